--- a/crates/clients/src/cloud.rs
+++ b/crates/clients/src/cloud.rs
@@ -1,9 +1,9 @@
 //! The cloud's client.
 
-use crate::budget::Budget;
 use crate::http::{Error, Http, body};
+use crate::rate_limiter::Budget;
 use hyper::Method;
-use rushwalk_wire::cloud::{MAX_LIST, MachineList, MachineNames, MachineTypes, RentRequest};
+use rushwalk_protocol::cloud::{MAX_LIST, MachineList, MachineNames, MachineTypes, RentRequest};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::sync::Mutex;
--- a/crates/clients/src/http.rs
+++ b/crates/clients/src/http.rs
@@ -1,6 +1,6 @@
 //! HTTP/1.1 with kept connections, one request at a time on each.
 
-use crate::idle::Idle;
+use crate::idle_connections::Idle;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::client::conn::http1::{SendRequest, handshake};
--- a/crates/clients/src/lib.rs
+++ b/crates/clients/src/lib.rs
@@ -1,12 +1,12 @@
 //! Clients of the services around rushwalk: state, cloud, workers, mesh.
 
-pub mod budget;
 pub mod cloud;
 pub mod http;
-mod idle;
-pub mod mesh;
-pub mod state;
-pub mod worker;
+mod idle_connections;
+pub mod peers;
+pub mod rate_limiter;
+pub mod store;
+pub mod workers;
 
 pub use http::{Error, Http};
 
--- a/crates/clients/src/mesh.rs
+++ b/crates/clients/src/peers.rs
@@ -2,7 +2,7 @@
 
 use crate::http::{Error, Http, address};
 use hyper::Method;
-use rushwalk_wire::mesh::{decode, encode};
+use rushwalk_protocol::peers::{decode, encode};
 use serde::{Serialize, de::DeserializeOwned};
 use std::time::Duration;
 
--- a/crates/clients/src/state.rs
+++ b/crates/clients/src/store.rs
@@ -2,7 +2,9 @@
 
 use crate::http::{Error, Http, body};
 use hyper::Method;
-use rushwalk_wire::state::{Changes, Committed, Items, LeaseGranted, LeaseRequest, Transaction};
+use rushwalk_protocol::store::{
+    Changes, Committed, Items, LeaseGranted, LeaseRequest, Transaction,
+};
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/crates/clients/src/worker.rs
+++ b/crates/clients/src/workers.rs
@@ -2,7 +2,7 @@
 
 use crate::http::{Error, Http, address, body};
 use hyper::Method;
-use rushwalk_wire::worker::{DirectCommands, Report};
+use rushwalk_protocol::worker::{DirectCommands, Report};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{Semaphore, SemaphorePermit};
--- a/crates/detect/src/standing.rs
+++ b/crates/failure-detector/src/detector.rs
@@ -15,7 +15,7 @@
 use crate::accrual::Arrivals;
 use crate::damping::{Damping, Term};
 use crate::succession::{Candidate, Spans};
-use rushwalk_wire::mesh::{Hello, Sight};
+use rushwalk_protocol::peers::{Hello, Sight};
 use std::collections::BTreeMap;
 
 /// Spans that follow from the settings.
--- a/crates/detect/src/lib.rs
+++ b/crates/failure-detector/src/lib.rs
@@ -7,9 +7,9 @@
 
 pub mod accrual;
 pub mod damping;
-pub mod reach;
-pub mod standing;
+pub mod detector;
+pub mod reachability;
 pub mod succession;
 
 pub use damping::Damping;
-pub use standing::{Change, Contact, Detector, Limits, Own, Standing, Why};
+pub use detector::{Change, Contact, Detector, Limits, Own, Standing, Why};
--- a/crates/wire/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -6,10 +6,10 @@
 
 pub mod cloud;
 pub mod jobs;
-pub mod mesh;
+pub mod peers;
 pub mod records;
 pub mod settings;
-pub mod state;
+pub mod store;
 pub mod worker;
 
 /// Largest request body that any interface accepts.
--- a/crates/wire/tests/stored_data.rs
+++ b/crates/protocol/tests/stored_data.rs
@@ -2,9 +2,9 @@
 //! must stay the same to the byte. The files under `fixtures/` were written by the program
 //! at f94b32f; a field renamed without `serde(rename)` fails these tests.
 
-use rushwalk_wire::jobs::JobState;
-use rushwalk_wire::mesh::{AskJob, Change, Changed, Hello, JobAnswer, decode, encode};
-use rushwalk_wire::records::{self as rec, Base, Entry, Grant, Leader, Member, Op, Types};
+use rushwalk_protocol::jobs::JobState;
+use rushwalk_protocol::peers::{AskJob, Change, Changed, Hello, JobAnswer, decode, encode};
+use rushwalk_protocol::records::{self as rec, Base, Entry, Grant, Leader, Member, Op, Types};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
--- a/crates/rushwalk/src/admin.rs
+++ b/crates/rushwalk/src/admin.rs
@@ -5,7 +5,7 @@
 use poem::web::{Data, Query};
 use poem::{Response, handler};
 use rushwalk_clients::{Http, Method};
-use rushwalk_wire::records::Stage;
+use rushwalk_protocol::records::Stage;
 use serde::Deserialize;
 use serde_json::json;
 use std::collections::BTreeMap;
--- a/crates/rushwalk/src/fleet/expecting.rs
+++ b/crates/rushwalk/src/fleet/expecting.rs
@@ -4,11 +4,11 @@
 use crate::node::Node;
 use crate::slots;
 use crate::view::{Name, View};
-use rushwalk_plan::Amount;
-use rushwalk_plan::fleet;
-use rushwalk_plan::round::Waiting;
-use rushwalk_wire::jobs::{Priority, Shape};
-use rushwalk_wire::records::{Phase, Types};
+use rushwalk_protocol::jobs::{Priority, Shape};
+use rushwalk_protocol::records::{Phase, Types};
+use rushwalk_scheduler::Amount;
+use rushwalk_scheduler::arrivals;
+use rushwalk_scheduler::round::Waiting;
 use std::collections::BTreeMap;
 
 /// Arrivals to be expected while a machine would boot: planned in the same
@@ -40,7 +40,7 @@
                 false => a,
             }
         });
-        let rate = fleet::rate(&buckets, span as f64 / 1000.0);
+        let rate = arrivals::rate(&buckets, span as f64 / 1000.0);
         // Who only has to finish by a time can wait a little for a heap's end.
         let aims = &node.settings.site.objectives;
         let hurried = aims
@@ -52,7 +52,7 @@
             _ => 0.0,
         };
         let latest = times.iter().rev().cycle();
-        for (at, (_, spec)) in fleet::arrivals(rate, slowest, z).into_iter().zip(latest) {
+        for (at, (_, spec)) in arrivals::arrivals(rate, slowest, z).into_iter().zip(latest) {
             let mut phantom = slots::waiting(view, spec, types);
             phantom.indexes = (0..spec.tasks.min(PLANNED_EACH as u32)).collect();
             // What is expected is no reason to go beyond a team's limit.
--- a/crates/rushwalk/src/fleet/machines.rs
+++ b/crates/rushwalk/src/fleet/machines.rs
@@ -4,15 +4,15 @@
 use crate::node::Node;
 use crate::slots;
 use crate::view::{Name, View};
-use rushwalk_plan::Amount;
-use rushwalk_plan::boots::{Boots, Group, Seen};
-use rushwalk_plan::market::Kind;
-use rushwalk_plan::quota::Usage;
-use rushwalk_plan::round::{Offer, Round};
-use rushwalk_plan::slot::Slot;
-use rushwalk_plan::slots::Slots;
-use rushwalk_wire::cloud::{MAX_RENT, MachineType};
-use rushwalk_wire::records::{Machine, Rental, Stage, Types};
+use rushwalk_protocol::cloud::{MAX_RENT, MachineType};
+use rushwalk_protocol::records::{Machine, Rental, Stage, Types};
+use rushwalk_scheduler::Amount;
+use rushwalk_scheduler::boot_times::{Boots, Group, Seen};
+use rushwalk_scheduler::capacity::Kind;
+use rushwalk_scheduler::quota::Usage;
+use rushwalk_scheduler::round::{Offer, Round};
+use rushwalk_scheduler::timeline::Slot;
+use rushwalk_scheduler::timeline_index::Slots;
 use std::collections::BTreeMap;
 
 /// The machines there are, and those under way.
--- a/crates/rushwalk/src/fleet/placing.rs
+++ b/crates/rushwalk/src/fleet/placing.rs
@@ -5,13 +5,13 @@
 use crate::node::Node;
 use crate::slots;
 use crate::view::{Name, View};
-use rushwalk_plan::Amount;
-use rushwalk_plan::quota::Usage;
-use rushwalk_plan::retry::{Failures, Retry, retry};
-use rushwalk_plan::round::{Decisions, Round, Waiting};
-use rushwalk_plan::urgency::{Needs, start_by};
-use rushwalk_wire::jobs::{Priority, Shape};
-use rushwalk_wire::records::{Op, Phase, StopWhy, Types};
+use rushwalk_protocol::jobs::{Priority, Shape};
+use rushwalk_protocol::records::{Op, Phase, StopWhy, Types};
+use rushwalk_scheduler::Amount;
+use rushwalk_scheduler::deadlines::{Needs, start_by};
+use rushwalk_scheduler::quota::Usage;
+use rushwalk_scheduler::retry::{Failures, Retry, retry};
+use rushwalk_scheduler::round::{Decisions, Round, Waiting};
 use std::collections::BTreeMap;
 
 /// Counts live tasks into the usage, and plans room for those that their
--- a/crates/rushwalk/src/fleet/sizing.rs
+++ b/crates/rushwalk/src/fleet/sizing.rs
@@ -4,12 +4,12 @@
 use crate::leader::{LISTED, LeaderMemory, zone_of};
 use crate::slots;
 use crate::view::{Name, View};
-use rushwalk_plan::market::{self, Kind, Lack};
-use rushwalk_plan::round::{Round, Waiting};
-use rushwalk_plan::slot::Slot;
-use rushwalk_wire::cloud::MAX_RENT;
-use rushwalk_wire::jobs::Shape;
-use rushwalk_wire::records::{Op, Phase, Rental, Stage, Types};
+use rushwalk_protocol::cloud::MAX_RENT;
+use rushwalk_protocol::jobs::Shape;
+use rushwalk_protocol::records::{Op, Phase, Rental, Stage, Types};
+use rushwalk_scheduler::capacity::{self, Kind, Lack};
+use rushwalk_scheduler::round::{Round, Waiting};
+use rushwalk_scheduler::timeline::Slot;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use tokio::time::Instant;
@@ -55,7 +55,7 @@
 ) -> Vec<Op> {
     let free = most.saturating_sub(memory.asking.len());
     let mut ops = Vec::new();
-    for (kind, count) in market::calls(&mut memory.lacking, free, MAX_RENT) {
+    for (kind, count) in capacity::calls(&mut memory.lacking, free, MAX_RENT) {
         let rental = Rental {
             kind: kind.name.to_string(),
             zone: kind.zone.to_string(),
--- a/crates/rushwalk/src/handover.rs
+++ b/crates/rushwalk/src/handover.rs
@@ -1,18 +1,18 @@
 //! From judgement to action: who leads, who lays the lead down, and what is told of
 //! blocks whose holder does not hear them. The judgement itself is in
-//! `crates/detect`; here it meets the view and the state service.
+//! `crates/failure-detector`; here it meets the view and the state service.
 
 use crate::chance;
 use crate::node::{For, Node, lock, now_ms};
 use crate::view::{Name, View};
-use rushwalk_clients::state::Outcome;
-use rushwalk_detect::damping::Term;
-use rushwalk_detect::reach::{self, due_s, enough};
-use rushwalk_detect::succession::{self, Candidate, Pace};
-use rushwalk_detect::{Own, Standing};
-use rushwalk_wire::mesh::Hello;
-use rushwalk_wire::records::{self as rec, LEADER};
-use rushwalk_wire::state::Transaction;
+use rushwalk_clients::store::Outcome;
+use rushwalk_failure_detector::damping::Term;
+use rushwalk_failure_detector::reachability::{self, due_s, enough};
+use rushwalk_failure_detector::succession::{self, Candidate, Pace};
+use rushwalk_failure_detector::{Own, Standing};
+use rushwalk_protocol::peers::Hello;
+use rushwalk_protocol::records::{self as rec, LEADER};
+use rushwalk_protocol::store::Transaction;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -72,7 +72,7 @@
         let (up, silent) = view.pulse(block);
         let machines = up.saturating_sub(silent);
         // Few blocks are quiet at all: the machines of the others aren't looked at.
-        if !reach::deaf(machines, machines, quiet, report) {
+        if !reachability::deaf(machines, machines, quiet, report) {
             continue;
         }
         let ago = |at: Instant| -at.elapsed().as_secs_f64();
@@ -83,7 +83,7 @@
                 && due_s(heard, ago(lent), report) < 0.0
         };
         let overdue = view.blocks.get(block).into_iter().flatten().filter(overdue);
-        if reach::deaf(machines, overdue.count(), quiet, report) {
+        if reachability::deaf(machines, overdue.count(), quiet, report) {
             out.push(block.to_string());
         }
     }
--- a/crates/rushwalk/src/holder.rs
+++ b/crates/rushwalk/src/holder.rs
@@ -10,14 +10,14 @@
 use crate::slots;
 use crate::view::{MachineRow, Name, View};
 use rushwalk_clients::Error;
-use rushwalk_clients::state::Outcome;
-use rushwalk_plan::quota::Usage;
-use rushwalk_plan::round::Round;
-use rushwalk_plan::slots::Slots;
-use rushwalk_wire::jobs::Shape;
-use rushwalk_wire::records::{self as rec, How, Op, Phase, Stage};
-use rushwalk_wire::state::Transaction;
-use rushwalk_wire::worker::{Command, DirectCommands, ExitCause, TaskState};
+use rushwalk_clients::store::Outcome;
+use rushwalk_protocol::jobs::Shape;
+use rushwalk_protocol::records::{self as rec, How, Op, Phase, Stage};
+use rushwalk_protocol::store::Transaction;
+use rushwalk_protocol::worker::{Command, DirectCommands, ExitCause, TaskState};
+use rushwalk_scheduler::quota::Usage;
+use rushwalk_scheduler::round::Round;
+use rushwalk_scheduler::timeline_index::Slots;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use tokio::time::{Instant, sleep};
@@ -323,7 +323,7 @@
     let Some(types) = view.types.clone() else {
         return Vec::new();
     };
-    let mut wanted: BTreeMap<&Name, Vec<(rushwalk_wire::jobs::Priority, u64, &Name, u32)>> =
+    let mut wanted: BTreeMap<&Name, Vec<(rushwalk_protocol::jobs::Priority, u64, &Name, u32)>> =
         BTreeMap::new();
     for (uid, index) in &view.unplaced {
         let Some(job) = view.jobs.get(uid) else {
--- a/crates/rushwalk/src/leader.rs
+++ b/crates/rushwalk/src/leader.rs
@@ -8,13 +8,13 @@
 use crate::node::{For, Node, lock, now_ms};
 use crate::slots;
 use crate::view::{JobRow, Name, TaskRow, View};
-use rushwalk_clients::state::Outcome;
-use rushwalk_plan::blocks::{self, Block, Member};
-use rushwalk_plan::boots::{Boots, Group, Late, Seen};
-use rushwalk_plan::market::{Kind, Lack, Market};
-use rushwalk_wire::jobs::Shape;
-use rushwalk_wire::records::{self as rec, LEADER, Machine, Op, Phase, Stage, StopWhy};
-use rushwalk_wire::state::Transaction;
+use rushwalk_clients::store::Outcome;
+use rushwalk_protocol::jobs::Shape;
+use rushwalk_protocol::records::{self as rec, LEADER, Machine, Op, Phase, Stage, StopWhy};
+use rushwalk_protocol::store::Transaction;
+use rushwalk_scheduler::boot_times::{Boots, Group, Late, Seen};
+use rushwalk_scheduler::capacity::{Kind, Lack, Market};
+use rushwalk_scheduler::shards::{self, Block, Member};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -310,7 +310,7 @@
     let more = !lately(memory.settled.as_ref(), node.times.round);
     let mut txn = Transaction::default().when(LEADER, version);
     let mut needed = Vec::new();
-    for (i, to) in blocks::lend(&members, &lent, more) {
+    for (i, to) in shards::lend(&members, &lent, more) {
         if txn.writes.len() >= node.settings.site.state.txn_ops {
             break;
         }
--- a/crates/rushwalk/src/lib.rs
+++ b/crates/rushwalk/src/lib.rs
@@ -1,7 +1,7 @@
 //! One controller of a cluster scheduler: its loops, and what they share.
 //!
 //! The program is `main.rs`; this library is for it and for trials against stand-ins
-//! (`crates/lab`). It is no stable interface.
+//! (`crates/simulator`). It is no stable interface.
 
 pub mod admin;
 pub mod api;
--- a/crates/rushwalk/src/log/tests.rs
+++ b/crates/rushwalk/src/log/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use rushwalk_plan::predict::Averages;
+use rushwalk_scheduler::durations::Averages;
 
 #[test]
 fn changes_are_packed_into_few_values_of_the_allowed_size() {
@@ -13,7 +13,8 @@
         .iter()
         .map(|p| {
             let value = value(3, p).unwrap();
-            let entry: rushwalk_wire::records::Entry = serde_json::from_str(value.get()).unwrap();
+            let entry: rushwalk_protocol::records::Entry =
+                serde_json::from_str(value.get()).unwrap();
             entry.ops.len()
         })
         .sum();
--- a/crates/rushwalk/src/main.rs
+++ b/crates/rushwalk/src/main.rs
@@ -6,7 +6,7 @@
 use rushwalk::node::{self, Node};
 use rushwalk::{admin, api, mesh};
 use rushwalk_clients::Http;
-use rushwalk_wire::settings::Settings;
+use rushwalk_protocol::settings::Settings;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use tracing_subscriber::filter::LevelFilter;
--- a/crates/rushwalk/src/mesh.rs
+++ b/crates/rushwalk/src/mesh.rs
@@ -7,9 +7,9 @@
 use poem::web::Data;
 use poem::{Body, Endpoint, EndpointExt, Response, Route, get, handler, post};
 use rushwalk_clients::Error;
-use rushwalk_detect::{Contact, Standing};
-use rushwalk_wire::MAX_BODY;
-use rushwalk_wire::mesh::{AskJob, Change, Changed, Hello, JobAnswer, decode, encode};
+use rushwalk_failure_detector::{Contact, Standing};
+use rushwalk_protocol::MAX_BODY;
+use rushwalk_protocol::peers::{AskJob, Change, Changed, Hello, JobAnswer, decode, encode};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use tokio::time::{Instant, sleep};
@@ -78,7 +78,7 @@
 fn able(node: &Node) -> Vec<String> {
     let limit = node.times.round.as_secs_f64() * 4.0;
     let detector = lock(&node.detector);
-    let able = |p: &&rushwalk_wire::settings::Peer| {
+    let able = |p: &&rushwalk_protocol::settings::Peer| {
         let hello = detector.hello(&p.member, node.uptime());
         detector.standing(&p.member) == Standing::Trusted
             && hello.is_some_and(|(age, hello)| {
@@ -143,7 +143,7 @@
 /// Greets each peer in a loop of its own: one that hangs must not keep the others from
 /// being heard.
 pub async fn hello_loop(node: Arc<Node>) {
-    let each = |peer: &rushwalk_wire::settings::Peer| {
+    let each = |peer: &rushwalk_protocol::settings::Peer| {
         let (node, peer) = (node.clone(), peer.clone());
         async move {
             loop {
@@ -157,7 +157,7 @@
     all.join_next().await;
 }
 
-async fn greet_one(node: &Node, peer: &rushwalk_wire::settings::Peer) {
+async fn greet_one(node: &Node, peer: &rushwalk_protocol::settings::Peer) {
     let hello = ours(node);
     let call = node
         .mesh
--- a/crates/rushwalk/src/size.rs
+++ b/crates/rushwalk/src/size.rs
@@ -2,10 +2,10 @@
 
 use crate::log;
 use crate::view::{Name, View};
-use rushwalk_plan::predict::Averages;
-use rushwalk_wire::jobs::JobSpec;
-use rushwalk_wire::records::{self as rec, Base, Machine, Op, Phase, Stage};
-use rushwalk_wire::state::Item;
+use rushwalk_protocol::jobs::JobSpec;
+use rushwalk_protocol::records::{self as rec, Base, Machine, Op, Phase, Stage};
+use rushwalk_protocol::store::Item;
+use rushwalk_scheduler::durations::Averages;
 use std::sync::Arc;
 
 const MACHINES: usize = 2100;
--- a/crates/rushwalk/src/slots.rs
+++ b/crates/rushwalk/src/slots.rs
@@ -1,13 +1,13 @@
 //! Machines and jobs as the planner sees them, made from the view.
 
 use crate::view::{JobRow, MachineRow, Name, TaskRow, View};
-use rushwalk_plan::Amount;
-use rushwalk_plan::quota::Places;
-use rushwalk_plan::round::{Estimate, Waiting};
-use rushwalk_plan::slot::Slot;
-use rushwalk_wire::jobs::JobSpec;
-use rushwalk_wire::records::{Phase, Types};
-use rushwalk_wire::settings::Site;
+use rushwalk_protocol::jobs::JobSpec;
+use rushwalk_protocol::records::{Phase, Types};
+use rushwalk_protocol::settings::Site;
+use rushwalk_scheduler::Amount;
+use rushwalk_scheduler::quota::Places;
+use rushwalk_scheduler::round::{Estimate, Waiting};
+use rushwalk_scheduler::timeline::Slot;
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
--- a/crates/rushwalk/src/view.rs
+++ b/crates/rushwalk/src/view.rs
@@ -13,14 +13,14 @@
 mod tests;
 
 use crate::chance::Map;
-use rushwalk_plan::market::Kind;
-use rushwalk_plan::predict::{Averages, Rolling};
-use rushwalk_plan::slot::ImageId;
-use rushwalk_wire::jobs::{JobSpec, JobState, Priority, Stance};
-use rushwalk_wire::records::{
+use rushwalk_protocol::jobs::{JobSpec, JobState, Priority, Stance};
+use rushwalk_protocol::records::{
     self as rec, Base, Bits, Entry, Machine, Phase, Rental, Task, Trouble,
 };
-use rushwalk_wire::state::{Changes, Event, Item, Value};
+use rushwalk_protocol::store::{Changes, Event, Item, Value};
+use rushwalk_scheduler::capacity::Kind;
+use rushwalk_scheduler::durations::{Averages, Rolling};
+use rushwalk_scheduler::timeline::ImageId;
 use serde::de::DeserializeOwned;
 use served::Served;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
--- a/crates/rushwalk/src/view/apply.rs
+++ b/crates/rushwalk/src/view/apply.rs
@@ -1,8 +1,8 @@
 //! How changes take effect on a view, and how a view is told as changes.
 
 use super::{ARRIVALS, JobRow, LISTED, MachineRow, Name, TaskRow, View, number, pulse};
-use rushwalk_wire::jobs::{JobSpec, Shape};
-use rushwalk_wire::records::{Bits, How, Machine, Op, Phase, Stage, StopWhy, Task, Trouble};
+use rushwalk_protocol::jobs::{JobSpec, Shape};
+use rushwalk_protocol::records::{Bits, How, Machine, Op, Phase, Stage, StopWhy, Task, Trouble};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
--- a/crates/rushwalk/src/view/served.rs
+++ b/crates/rushwalk/src/view/served.rs
@@ -1,7 +1,7 @@
 //! Who is served: jobs accepted, started, done and cancelled, by class and by team, as
 //! this process has seen them in the log.
 
-use rushwalk_wire::jobs::JobSpec;
+use rushwalk_protocol::jobs::JobSpec;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
--- a/crates/rushwalk/src/view/tests.rs
+++ b/crates/rushwalk/src/view/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use rushwalk_wire::records::{How, Op, Stage, StopWhy, entry_key};
+use rushwalk_protocol::records::{How, Op, Stage, StopWhy, entry_key};
 
 fn spec(uid: &str, shape: &str, tasks: u32) -> Arc<JobSpec> {
     let text = format!(
--- a/crates/plan/src/urgency.rs
+++ b/crates/scheduler/src/deadlines.rs
@@ -6,8 +6,8 @@
 //! little late. One that can't meet its aim any more waits behind those that
 //! can, until its age puts it in front.
 
-use rushwalk_wire::jobs::JobSpec;
-use rushwalk_wire::settings::Objective;
+use rushwalk_protocol::jobs::JobSpec;
+use rushwalk_protocol::settings::Objective;
 
 /// What a job needs before it runs, and how long it then runs.
 #[derive(Debug, Clone, Copy)]
--- a/crates/plan/src/predict.rs
+++ b/crates/scheduler/src/durations.rs
@@ -1,6 +1,6 @@
 //! What is learnt from finished tasks: run times, fetch rates, overhead.
 
-use rushwalk_wire::jobs::{JobSpec, Shape};
+use rushwalk_protocol::jobs::{JobSpec, Shape};
 use std::collections::{HashMap, VecDeque};
 
 /// Rolling average over the latest samples (the paper's Rolling-Average).
--- a/crates/plan/src/quota.rs
+++ b/crates/scheduler/src/quota.rs
@@ -1,8 +1,8 @@
 //! Teams' limits and guarantees, and where a job's tasks may be.
 
 use crate::Amount;
-use rushwalk_wire::jobs::{JobSpec, Shape};
-use rushwalk_wire::settings::Team;
+use rushwalk_protocol::jobs::{JobSpec, Shape};
+use rushwalk_protocol::settings::Team;
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
@@ -50,7 +50,7 @@
 pub fn can_ever_run(
     spec: &JobSpec,
     teams: &[Team],
-    types: &[rushwalk_wire::cloud::MachineType],
+    types: &[rushwalk_protocol::cloud::MachineType],
     zones: &[String],
 ) -> Result<(), String> {
     let Some(team) = teams.iter().find(|t| t.name == spec.team) else {
--- a/crates/plan/src/amount.rs
+++ b/crates/scheduler/src/resources.rs
@@ -1,6 +1,6 @@
 //! Amounts of a machine's resources.
 
-use rushwalk_wire::{cloud::MachineType, jobs::JobSpec};
+use rushwalk_protocol::{cloud::MachineType, jobs::JobSpec};
 use std::ops::{Add, Sub};
 
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
--- a/crates/plan/src/round.rs
+++ b/crates/scheduler/src/round.rs
@@ -10,10 +10,10 @@
 
 use crate::Amount;
 use crate::quota::{Places, Usage};
-use crate::slot::{Finish, ImageId, Slot};
-use crate::slots::Slots;
-use rushwalk_wire::jobs::{JobSpec, Shape};
-use rushwalk_wire::settings::Team;
+use crate::timeline::{Finish, ImageId, Slot};
+use crate::timeline_index::Slots;
+use rushwalk_protocol::jobs::{JobSpec, Shape};
+use rushwalk_protocol::settings::Team;
 use std::cell::Cell;
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
--- a/crates/plan/src/round/tests.rs
+++ b/crates/scheduler/src/round/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use rushwalk_wire::cloud::MachineType;
+use rushwalk_protocol::cloud::MachineType;
 
 fn types() -> Vec<MachineType> {
     let kind = |name: &str, cpus: f64, price: f64| MachineType {
--- a/crates/plan/src/slot.rs
+++ b/crates/scheduler/src/timeline.rs
@@ -2,7 +2,7 @@
 
 use crate::Amount;
 use crate::round::{Estimate, Waiting};
-use rushwalk_wire::cloud::MachineType;
+use rushwalk_protocol::cloud::MachineType;
 use std::sync::Arc;
 
 #[derive(Debug, Clone)]
--- a/crates/plan/src/slots.rs
+++ b/crates/scheduler/src/timeline_index.rs
@@ -3,7 +3,7 @@
 
 use crate::Amount;
 use crate::round::Waiting;
-use crate::slot::{Finish, ImageId, Slot};
+use crate::timeline::{Finish, ImageId, Slot};
 use std::ops::Deref;
 
 /// What a bound on a machine's finish is found from, in one place: most machines
@@ -183,7 +183,7 @@
                     continue;
                 }
                 let start = match class.up {
-                    true => crate::slot::doubted(start, now, glance.pending_error, times, job),
+                    true => crate::timeline::doubted(start, now, glance.pending_error, times, job),
                     false => start,
                 };
                 let there = with.get(i / 64).is_some_and(|b| b & (1 << (i % 64)) != 0);
--- a/crates/lab/src/site.rs
+++ b/crates/simulator/src/cluster.rs
@@ -5,10 +5,10 @@
 use rushwalk::node::{Node, start, virtual_time};
 use rushwalk::{api, mesh};
 use rushwalk_clients::Http;
-use rushwalk_testkit::world::{Door, Link};
+use rushwalk_protocol::jobs::{JobSpec, JobState, Stance};
+use rushwalk_protocol::settings::{Peer, Settings, Team};
+use rushwalk_testkit::platform::{Door, Link};
 use rushwalk_testkit::{Fault, Limit, Request, World, ZONES};
-use rushwalk_wire::jobs::{JobSpec, JobState, Stance};
-use rushwalk_wire::settings::{Peer, Settings, Team};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 use tokio::task::{JoinHandle, JoinSet};
 use tokio::time::{sleep, timeout};
 
-const SETTINGS: &str = include_str!("../../wire/tests/settings.toml");
+const SETTINGS: &str = include_str!("../../protocol/tests/settings.toml");
 
 /// A running controller.
 pub struct Process {
--- a/crates/lab/src/model.rs
+++ b/crates/simulator/src/detector_model.rs
@@ -8,9 +8,9 @@
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
-use rushwalk_detect::damping::Term;
-use rushwalk_detect::{Contact, Detector, Limits, Own, Standing};
-use rushwalk_wire::mesh::Hello;
+use rushwalk_failure_detector::damping::Term;
+use rushwalk_failure_detector::{Contact, Detector, Limits, Own, Standing};
+use rushwalk_protocol::peers::Hello;
 use serde::Serialize;
 use statrs::distribution::{ContinuousCDF, Gamma};
 use std::cmp::Reverse;
--- a/crates/lab/src/trial.rs
+++ b/crates/simulator/src/failover.rs
@@ -1,12 +1,12 @@
 //! One failure, played and measured.
 
 use crate::Site;
-use crate::site::job;
+use crate::cluster::job;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use rushwalk::handover;
 use rushwalk::node::{Node, lock};
-use rushwalk_detect::{Standing, Why};
+use rushwalk_failure_detector::{Standing, Why};
 use rushwalk_testkit::Fault;
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
@@ -273,7 +273,7 @@
 fn post(site: &mut Site, n: u32) {
     let uid = format!("j-{n:06}");
     let body = job(&uid, "sweep", 4, 1.0, 20.0);
-    if let Ok(spec) = rushwalk_wire::jobs::JobSpec::parse(body.as_bytes()) {
+    if let Ok(spec) = rushwalk_protocol::jobs::JobSpec::parse(body.as_bytes()) {
         site.world.rules().jobs.insert(uid, spec);
     }
     let (world, controllers) = (site.world.clone(), site.processes.len());
--- a/crates/lab/src/meetings.rs
+++ b/crates/simulator/src/fault_search.rs
@@ -4,14 +4,14 @@
 //! played on a small site with jobs of all shapes whose users ask and cancel. The same
 //! seed plays the same day, to the last commit.
 
-use crate::site::{close_look, job, request};
+use crate::cluster::{close_look, job, request};
 use crate::{Setup, Site};
 use clap::ValueEnum;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use rushwalk::signal::Signal;
+use rushwalk_protocol::jobs::{JobSpec, JobState, Stance};
 use rushwalk_testkit::{Fault, Request, World, ZONES};
-use rushwalk_wire::jobs::{JobSpec, JobState, Stance};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -466,7 +466,7 @@
     // Every accepted job that wasn't cancelled runs or stays known.
     for (uid, stance) in told.iter() {
         let shape = rules.jobs.get(uid).map(|s| s.shape);
-        let service = shape == Some(rushwalk_wire::jobs::Shape::Service);
+        let service = shape == Some(rushwalk_protocol::jobs::Shape::Service);
         let served = match stance {
             Some(Stance::Done | Stance::Cancelled) => true,
             Some(Stance::Running) => service,
--- a/crates/lab/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -3,10 +3,10 @@
 //! of the network. For tests, measurements, and to see the service survive something
 //! without any platform.
 
-pub mod meetings;
-pub mod model;
+pub mod cluster;
+pub mod detector_model;
+pub mod failover;
+pub mod fault_search;
 pub mod plot;
-pub mod site;
-pub mod trial;
 
-pub use site::{Setup, Site};
+pub use cluster::{Setup, Site};
--- a/crates/lab/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -1,13 +1,13 @@
-//! `rushwalk-lab`: fail controllers on virtual time, and see what it costs.
+//! `rushwalk-simulator`: fail controllers on virtual time, and see what it costs.
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use hdrhistogram::Histogram;
 use indicatif::{ProgressBar, ProgressStyle};
-use rushwalk_detect::Limits;
-use rushwalk_lab::meetings::{self, Day, Found, Trouble};
-use rushwalk_lab::model::{self, End, Hours, Network};
-use rushwalk_lab::plot;
-use rushwalk_lab::trial::{self, Failure, Figures};
+use rushwalk_failure_detector::Limits;
+use rushwalk_simulator::detector_model::{self, End, Hours, Network};
+use rushwalk_simulator::failover::{self, Failure, Figures};
+use rushwalk_simulator::fault_search::{self, Day, Found, Trouble};
+use rushwalk_simulator::plot;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::sync::Mutex;
@@ -136,7 +136,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(error) => {
-            eprintln!("rushwalk-lab: {error}");
+            eprintln!("rushwalk-simulator: {error}");
             ExitCode::from(2)
         }
     }
@@ -149,7 +149,7 @@
             #[command(flatten)]
             trial: Trial,
         }
-        Bare::parse_from(["rushwalk-lab"]).trial
+        Bare::parse_from(["rushwalk-simulator"]).trial
     }
 }
 
@@ -221,7 +221,7 @@
         usize::MAX
     };
     let found = spread(threads, &days, |day| {
-        let (found, events) = paused(meetings::played(day, meet.events))?;
+        let (found, events) = paused(fault_search::played(day, meet.events))?;
         events.iter().for_each(|line| eprintln!("{line}"));
         Ok::<_, String>(found)
     });
@@ -238,7 +238,7 @@
         let mut least = one.clone();
         while let Some(smaller) = (0..least.day.events.len())
             .filter(|_| least.day.events.len() > 1)
-            .map(|i| paused(meetings::play(&least.day.without(i))))
+            .map(|i| paused(fault_search::play(&least.day.without(i))))
             .find(|f| f.as_ref().is_ok_and(|f| !f.broken.is_empty()))
         {
             least = smaller?;
@@ -262,7 +262,7 @@
     seed: u64,
     restart_s: f64,
 ) -> Result<Figures, String> {
-    paused(trial::play(failure, controllers, seed, restart_s))
+    paused(failover::play(failure, controllers, seed, restart_s))
 }
 
 /// Median, 95% and most of some seconds.
@@ -309,7 +309,7 @@
         println!(
             "{controllers} controllers, {} machines, {} runs of each failure; seconds as median, \
              95%, most\n",
-            trial::MACHINES,
+            failover::MACHINES,
             trial.runs
         );
         println!(
@@ -422,19 +422,19 @@
         let seeds: Vec<u64> = (0..parts).map(|n| sweep.seed + n).collect();
         let mut hours = Hours::default();
         for part in spread(usize::MAX, &seeds, |seed| {
-            model::live(&network, &limits, each, *seed)
+            detector_model::live(&network, &limits, each, *seed)
         }) {
             hours.add(&part);
         }
         let seeds: Vec<u64> = (0..ENDS).map(|n| sweep.seed + n).collect();
         let ends = |how: End| {
             spread(usize::MAX, &seeds, |seed| {
-                model::end(&network, &limits, how, *seed)
+                detector_model::end(&network, &limits, how, *seed)
             })
         };
         let (refuses, silent) = (ends(End::Refuses), ends(End::Silent));
-        let (_, low, high) = model::rate(hours.judged, hours.controller_hours);
-        let judged = model::rate(hours.judged, hours.controller_hours).0;
+        let (_, low, high) = detector_model::rate(hours.judged, hours.controller_hours);
+        let judged = detector_model::rate(hours.judged, hours.controller_hours).0;
         let suspected = hours.suspected as f64 / hours.controller_hours;
         println!(
             "{phi:>4} {refusals:>9}  {suspected:<24.2} {:30} {} {}",
--- a/crates/lab/tests/days.rs
+++ b/crates/simulator/tests/days.rs
@@ -2,9 +2,9 @@
 //! cuts, lost answers and late messages. The protocol's rules must hold.
 
 use rushwalk::meter::Work;
-use rushwalk_lab::{Setup, Site as Day};
+use rushwalk_protocol::jobs::Stance;
+use rushwalk_simulator::{Setup, Site as Day};
 use rushwalk_testkit::Fault;
-use rushwalk_wire::jobs::Stance;
 use std::time::Duration;
 use tokio::task::JoinHandle;
 
--- a/crates/lab/tests/failures.rs
+++ b/crates/simulator/tests/failover.rs
@@ -1,7 +1,7 @@
 //! Each row of the table in `docs/SUSPICION.md`, by whole controllers on virtual time:
 //! who acts, within what time, and that nobody who lives is judged.
 
-use rushwalk_lab::trial::{Failure, Figures, play};
+use rushwalk_simulator::failover::{Failure, Figures, play};
 
 /// The figures of some seeds of a failure, of which none may break a rule.
 async fn seeds(failure: Failure, controllers: usize) -> Vec<Figures> {
--- a/crates/lab/tests/meetings.rs
+++ b/crates/simulator/tests/fault_combinations.rs
@@ -2,11 +2,11 @@
 //! time with whole controllers. Each test says what happened without its guard.
 
 use clap::ValueEnum;
-use rushwalk_lab::meetings::{self, Trouble};
-use rushwalk_lab::site::request;
-use rushwalk_lab::{Setup, Site as Day};
+use rushwalk_protocol::jobs::Stance;
+use rushwalk_simulator::cluster::request;
+use rushwalk_simulator::fault_search::{self, Trouble};
+use rushwalk_simulator::{Setup, Site as Day};
 use rushwalk_testkit::{Fault, Request};
-use rushwalk_wire::jobs::Stance;
 use std::time::Duration;
 
 /// A day with room for more machines, and few changes a second: snapshots are made early.
@@ -396,12 +396,12 @@
     day.check();
 }
 
-/// Fixed seeds of the search; by hand it plays hundreds: `rushwalk-lab meet`.
+/// Fixed seeds of the search; by hand it plays hundreds: `rushwalk-simulator meet`.
 #[test]
 fn drawn_meetings_break_no_rule() {
     for seed in 1..=36 {
-        let day = meetings::Day::draw(seed, 3, Trouble::value_variants());
-        let found = paused(meetings::play(&day));
+        let day = fault_search::Day::draw(seed, 3, Trouble::value_variants());
+        let found = paused(fault_search::play(&day));
         assert!(found.broken.is_empty(), "{found:#?}");
     }
 }
@@ -410,8 +410,8 @@
 #[test]
 fn one_seed_plays_the_same_day_to_the_last_commit() {
     for seed in [3, 4] {
-        let day = meetings::Day::draw(seed, 3, Trouble::value_variants());
-        let once = || paused(meetings::played(&day, true));
+        let day = fault_search::Day::draw(seed, 3, Trouble::value_variants());
+        let once = || paused(fault_search::played(&day, true));
         let ((first, before), (second, after)) = (once(), once());
         assert!(before.len() > 1000, "{} events", before.len());
         let differ = before.iter().zip(&after).find(|(a, b)| a != b);
--- a/crates/lab/tests/real_machines.rs
+++ b/crates/simulator/tests/real_machines.rs
@@ -3,10 +3,10 @@
 //! against is in `docs/MEETINGS.md`.
 
 use rushwalk::view::View;
-use rushwalk_lab::site::{close_look, job, job_with, request};
-use rushwalk_lab::{Setup, Site as Day};
+use rushwalk_protocol::jobs::Stance;
+use rushwalk_simulator::cluster::{close_look, job, job_with, request};
+use rushwalk_simulator::{Setup, Site as Day};
 use rushwalk_testkit::{Build, Fault, Request, ZONES};
-use rushwalk_wire::jobs::Stance;
 use serde_json::json;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
--- a/crates/testkit/src/rules.rs
+++ b/crates/testkit/src/invariants.rs
@@ -11,7 +11,7 @@
 
 use history::History;
 pub use history::Request;
-use rushwalk_wire::jobs::{JobSpec, Shape, Stance};
+use rushwalk_protocol::jobs::{JobSpec, Shape, Stance};
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::time::Duration;
 use tokio::sync::mpsc::UnboundedSender;
--- a/crates/testkit/src/rules/history.rs
+++ b/crates/testkit/src/invariants/history.rs
@@ -1,6 +1,6 @@
 //! What users were told of one job, as invocations and responses.
 
-use rushwalk_wire::jobs::Stance;
+use rushwalk_protocol::jobs::Stance;
 use tokio::time::Instant;
 
 /// What a user asked of a controller.
--- a/crates/testkit/src/rules/waiting.rs
+++ b/crates/testkit/src/invariants/waiting.rs
@@ -2,7 +2,7 @@
 //! and its team is under its limit.
 
 use super::{Place, Rules};
-use rushwalk_wire::jobs::{JobSpec, Shape};
+use rushwalk_protocol::jobs::{JobSpec, Shape};
 use std::time::Duration;
 use tokio::time::Instant;
 
--- a/crates/testkit/src/world.rs
+++ b/crates/testkit/src/platform.rs
@@ -1,15 +1,15 @@
 //! Everything around the controllers, and the network between them.
 
-use crate::rules::Rules;
+use crate::invariants::Rules;
 use crate::store::Store;
 use crate::worker::{Worker, live};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use rushwalk_clients::http::{Exchange, Transport};
 use rushwalk_clients::{Error, Method};
-use rushwalk_wire::cloud::{MachineNames, RentRequest};
-use rushwalk_wire::state::{LeaseRequest, Transaction};
-use rushwalk_wire::worker::{DirectCommands, Report};
+use rushwalk_protocol::cloud::{MachineNames, RentRequest};
+use rushwalk_protocol::store::{LeaseRequest, Transaction};
+use rushwalk_protocol::worker::{DirectCommands, Report};
 use serde_json::json;
 use std::collections::{HashMap, HashSet};
 use std::future::Future;
--- a/crates/testkit/src/store.rs
+++ b/crates/testkit/src/store.rs
@@ -1,6 +1,6 @@
 //! The state service: keys with versions, transactions, leases, changes.
 
-use rushwalk_wire::state::{Changes, Event, Item, Items, Transaction, Value};
+use rushwalk_protocol::store::{Changes, Event, Item, Items, Transaction, Value};
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 use tokio::time::Instant;
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -1,9 +1,9 @@
 //! A worker: reports, obeys whoever has the highest token, keeps its lease.
 
-use crate::rules::{Place, Room};
-use crate::world::{Build, Fault, World};
-use rushwalk_wire::jobs::{JobSpec, parse_task};
-use rushwalk_wire::worker::{
+use crate::invariants::{Place, Room};
+use crate::platform::{Build, Fault, World};
+use rushwalk_protocol::jobs::{JobSpec, parse_task};
+use rushwalk_protocol::worker::{
     Answer, Command, DirectCommands, Elsewhere, ExitCause, Report, TaskReport, TaskState,
 };
 use std::collections::HashMap;
@@ -101,7 +101,7 @@
                     let service = rules
                         .jobs
                         .get(uid)
-                        .is_some_and(|s| s.shape == rushwalk_wire::jobs::Shape::Service);
+                        .is_some_and(|s| s.shape == rushwalk_protocol::jobs::Shape::Service);
                     let fails = !busy && !full && rules.fails(uid, &self.name);
                     let refused = match (busy, full, fails) {
                         (true, ..) => Some(ExitCause::Busy),
