--- a/crates/clients/src/http.rs
+++ b/crates/clients/src/http.rs
@@ -1,6 +1,6 @@
 //! HTTP/1.1 with kept connections, one request at a time on each.
 
-use crate::idle_connections::Idle;
+use crate::idle_connections::IdleConnections;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::client::conn::http1::{SendRequest, handshake};
@@ -21,15 +21,15 @@
     NotSent(String),
     /// Nothing was sent either: the host answered that nobody listens there.
     #[error("connection refused")]
-    Refused,
+    ConnectionRefused,
     /// Sent, but unanswered: the other side may have acted, or may still act.
     #[error("no answer: {0}")]
-    Unknown(String),
+    Unanswered(String),
     /// Answered with this status, and so not carried out.
     #[error("status {0}")]
     Status(u16),
     #[error("the answer is too large")]
-    TooLarge,
+    ResponseTooLarge,
 }
 
 impl Error {
@@ -52,27 +52,27 @@
 }
 
 #[derive(Clone)]
-pub struct Http {
+pub struct HttpClient {
     other: Option<Arc<dyn Transport>>,
-    idle: Arc<Mutex<Idle<Connection>>>,
+    idle: Arc<Mutex<IdleConnections<Connection>>>,
 }
 
 /// Answers larger than this are dropped rather than held in memory.
 const MAX_ANSWER: usize = 16 << 20;
 
-impl Http {
+impl HttpClient {
     /// Keeps at most so many connections that are not in use.
-    pub fn new(kept: usize) -> Http {
-        Http {
+    pub fn new(kept: usize) -> HttpClient {
+        HttpClient {
             other: None,
-            idle: Arc::new(Mutex::new(Idle::new(kept))),
+            idle: Arc::new(Mutex::new(IdleConnections::new(kept))),
         }
     }
 
-    pub fn over(transport: Arc<dyn Transport>) -> Http {
-        Http {
+    pub fn over(transport: Arc<dyn Transport>) -> HttpClient {
+        HttpClient {
             other: Some(transport),
-            ..Http::new(0)
+            ..HttpClient::new(0)
         }
     }
 
@@ -88,8 +88,9 @@
         if let Some(other) = &self.other {
             let call = other.call(address, method, path.to_string(), body);
             let answer = tokio::time::timeout_at(deadline, call).await;
-            let (status, body) = answer.map_err(|_| Error::Unknown("timed out".into()))??;
-            let status = StatusCode::from_u16(status).map_err(|e| Error::Unknown(e.to_string()))?;
+            let (status, body) = answer.map_err(|_| Error::Unanswered("timed out".into()))??;
+            let status =
+                StatusCode::from_u16(status).map_err(|e| Error::Unanswered(e.to_string()))?;
             return Ok((status, Bytes::from(body)));
         }
         let mut sender = match self.take(address) {
@@ -113,12 +114,12 @@
             Ok::<_, hyper::Error>((status, body, sender))
         };
         match tokio::time::timeout_at(deadline, exchange).await {
-            Err(_) => Err(Error::Unknown("timed out".into())),
-            Ok(Err(e)) => Err(Error::Unknown(e.to_string())),
+            Err(_) => Err(Error::Unanswered("timed out".into())),
+            Ok(Err(e)) => Err(Error::Unanswered(e.to_string())),
             Ok(Ok((status, body, sender))) => {
                 let body = body.map_err(|e| match e.is::<http_body_util::LengthLimitError>() {
-                    true => Error::TooLarge,
-                    false => Error::Unknown(e.to_string()),
+                    true => Error::ResponseTooLarge,
+                    false => Error::Unanswered(e.to_string()),
                 })?;
                 self.put(address, sender);
                 Ok((status, body))
@@ -139,7 +140,7 @@
         if status != StatusCode::OK {
             return Err(Error::Status(status.as_u16()));
         }
-        serde_json::from_slice(&body).map_err(|e| Error::Unknown(e.to_string()))
+        serde_json::from_slice(&body).map_err(|e| Error::Unanswered(e.to_string()))
     }
 
     fn take(&self, address: SocketAddr) -> Option<Connection> {
@@ -172,7 +173,7 @@
     let stream = TcpStream::connect(address)
         .await
         .map_err(|e| match e.kind() {
-            std::io::ErrorKind::ConnectionRefused => Error::Refused,
+            std::io::ErrorKind::ConnectionRefused => Error::ConnectionRefused,
             _ => failed(&e),
         })?;
     let _ = stream.set_nodelay(true);
--- a/crates/clients/src/idle_connections.rs
+++ b/crates/clients/src/idle_connections.rs
@@ -8,7 +8,7 @@
 
 /// What is kept. A controller speaks to thousands of workers, to each of them
 /// rarely, and a connection holds some 25 KB: the longest unused give way.
-pub struct Idle<T> {
+pub struct IdleConnections<T> {
     most: usize,
     kept: HashMap<SocketAddr, Vec<(u64, T)>>,
     /// In the order of their coming; those taken meanwhile are still in it.
@@ -17,9 +17,9 @@
     len: usize,
 }
 
-impl<T> Idle<T> {
-    pub fn new(most: usize) -> Idle<T> {
-        Idle {
+impl<T> IdleConnections<T> {
+    pub fn new(most: usize) -> IdleConnections<T> {
+        IdleConnections {
             most,
             kept: HashMap::new(),
             order: VecDeque::new(),
@@ -92,7 +92,7 @@
     #[test]
     fn the_longest_unused_give_way() {
         let address = |n: u16| SocketAddr::from(([10, 0, 0, 1], n));
-        let mut idle = Idle::new(100);
+        let mut idle = IdleConnections::new(100);
         for round in 0..50 {
             for n in 0..1000 {
                 idle.put(address(n), (round, n));
--- a/crates/clients/src/lib.rs
+++ b/crates/clients/src/lib.rs
@@ -8,6 +8,6 @@
 pub mod store;
 pub mod workers;
 
-pub use http::{Error, Http};
+pub use http::{Error, HttpClient};
 
 pub use hyper::Method;
--- a/crates/clients/src/peers.rs
+++ b/crates/clients/src/peers.rs
@@ -1,22 +1,22 @@
 //! Other controllers: CBOR bodies over HTTP.
 
-use crate::http::{Error, Http, address};
+use crate::http::{Error, HttpClient, address};
 use hyper::Method;
 use rushwalk_protocol::peers::{decode, encode};
 use serde::{Serialize, de::DeserializeOwned};
 use std::time::Duration;
 
 #[derive(Clone)]
-pub struct Mesh {
-    http: Http,
+pub struct PeerClient {
+    http: HttpClient,
 }
 
-impl Mesh {
-    pub fn new(http: Http) -> Self {
-        Mesh { http }
+impl PeerClient {
+    pub fn new(http: HttpClient) -> Self {
+        PeerClient { http }
     }
 
-    pub async fn ask<Q: Serialize, A: DeserializeOwned>(
+    pub async fn call<Q: Serialize, A: DeserializeOwned>(
         &self,
         to: &str,
         path: &str,
@@ -31,6 +31,6 @@
         if status != 200 {
             return Err(Error::Status(status.as_u16()));
         }
-        decode(&bytes).ok_or_else(|| Error::Unknown("not CBOR".into()))
+        decode(&bytes).ok_or_else(|| Error::Unanswered("not CBOR".into()))
     }
 }
--- a/crates/clients/src/store.rs
+++ b/crates/clients/src/store.rs
@@ -1,39 +1,39 @@
 //! The state service's client.
 
-use crate::http::{Error, Http, body};
+use crate::http::{Error, HttpClient, body};
 use hyper::Method;
 use rushwalk_protocol::store::{
-    Changes, Committed, Items, LeaseGranted, LeaseRequest, Transaction,
+    CommitResponse, KeyValuePage, LeaseGranted, LeaseRequest, Transaction, WatchResponse,
 };
 use std::net::SocketAddr;
 use std::time::Duration;
 
 #[derive(Clone)]
-pub struct State {
-    http: Http,
+pub struct StoreClient {
+    http: HttpClient,
     address: SocketAddr,
 }
 
 /// What became of a transaction.
 #[derive(Debug, Clone)]
-pub enum Outcome {
-    Done(u64),
+pub enum CommitOutcome {
+    Committed(u64),
     /// A condition did not hold: nothing was changed.
     Conflict,
     /// A lease named in it has ended.
-    NoLease,
+    LeaseExpired,
     /// Refused for now (429, 503), or never sent.
-    Refused(Error),
+    Rejected(Error),
     /// No answer: it may have been carried out, or may still be.
-    Unknown(Error),
+    Unanswered(Error),
 }
 
-impl State {
-    pub fn new(http: Http, address: SocketAddr) -> Self {
-        State { http, address }
+impl StoreClient {
+    pub fn new(http: HttpClient, address: SocketAddr) -> Self {
+        StoreClient { http, address }
     }
 
-    pub async fn list(&self, prefix: &str, since: &str) -> Result<Items, Error> {
+    pub async fn list(&self, prefix: &str, since: &str) -> Result<KeyValuePage, Error> {
         let path = format!("/store?under={prefix}&since={since}&limit=1000");
         self.get(&path, Duration::from_secs(5)).await
     }
@@ -49,13 +49,13 @@
     }
 
     /// Waits up to `block` for changes after `since`.
-    pub async fn changes(
+    pub async fn watch(
         &self,
         prefix: &str,
         since: u64,
         block: Duration,
         patience: Duration,
-    ) -> Result<Changes, Error> {
+    ) -> Result<WatchResponse, Error> {
         let path = format!(
             "/changes?under={prefix}&since={since}&blockMs={}",
             block.as_millis()
@@ -63,26 +63,26 @@
         self.get(&path, block + patience).await
     }
 
-    pub async fn commit(&self, txn: &Transaction, timeout: Duration) -> Outcome {
+    pub async fn commit(&self, txn: &Transaction, timeout: Duration) -> CommitOutcome {
         let call = self
             .http
             .call(self.address, Method::POST, "/commit", body(txn), timeout);
         match call.await {
             Ok((status, bytes)) => match status.as_u16() {
-                200 => match serde_json::from_slice::<Committed>(&bytes) {
-                    Ok(done) => Outcome::Done(done.revision),
-                    Err(e) => Outcome::Unknown(Error::Unknown(e.to_string())),
+                200 => match serde_json::from_slice::<CommitResponse>(&bytes) {
+                    Ok(done) => CommitOutcome::Committed(done.revision),
+                    Err(e) => CommitOutcome::Unanswered(Error::Unanswered(e.to_string())),
                 },
-                409 => Outcome::Conflict,
-                400 if bytes.windows(5).any(|w| w == b"lease") => Outcome::NoLease,
-                other => Outcome::Refused(Error::Status(other)),
+                409 => CommitOutcome::Conflict,
+                400 if bytes.windows(5).any(|w| w == b"lease") => CommitOutcome::LeaseExpired,
+                other => CommitOutcome::Rejected(Error::Status(other)),
             },
-            Err(e @ (Error::NotSent(_) | Error::Refused)) => Outcome::Refused(e),
-            Err(e) => Outcome::Unknown(e),
+            Err(e @ (Error::NotSent(_) | Error::ConnectionRefused)) => CommitOutcome::Rejected(e),
+            Err(e) => CommitOutcome::Unanswered(e),
         }
     }
 
-    pub async fn lease(&self, ttl: Duration) -> Result<u64, Error> {
+    pub async fn grant_lease(&self, ttl: Duration) -> Result<u64, Error> {
         let request = LeaseRequest {
             ttl_ms: ttl.as_millis() as u64,
         };
@@ -99,7 +99,7 @@
         Ok(granted.lease)
     }
 
-    pub async fn renew(&self, lease: u64, timeout: Duration) -> Result<(), Error> {
+    pub async fn renew_lease(&self, lease: u64, timeout: Duration) -> Result<(), Error> {
         let path = format!("/leases/{lease}/touch");
         let call = self
             .http
--- a/crates/clients/src/workers.rs
+++ b/crates/clients/src/workers.rs
@@ -1,27 +1,27 @@
 //! Workers' own addresses: direct commands and their status.
 
-use crate::http::{Error, Http, address, body};
+use crate::http::{Error, HttpClient, address, body};
 use hyper::Method;
-use rushwalk_protocol::worker::{DirectCommands, Report};
+use rushwalk_protocol::worker::{CommandBatch, Heartbeat};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{Semaphore, SemaphorePermit};
 use tokio::time::{Instant, timeout_at};
 
 #[derive(Clone)]
-pub struct Workers {
-    http: Http,
+pub struct WorkerClient {
+    http: HttpClient,
     /// Calls that may be under way: commands, and questions to workers that are
     /// not heard of. Those mostly wait in vain, so they have a number of their own.
     commands: Arc<Semaphore>,
     questions: Arc<Semaphore>,
 }
 
-impl Workers {
+impl WorkerClient {
     /// At most so many commands under way, and half as many questions; more would
     /// only hold sockets that others need.
-    pub fn new(http: Http, most: usize) -> Self {
-        Workers {
+    pub fn new(http: HttpClient, most: usize) -> Self {
+        WorkerClient {
             http,
             commands: Arc::new(Semaphore::new(most.max(2))),
             questions: Arc::new(Semaphore::new((most / 2).max(1))),
@@ -32,9 +32,9 @@
     pub async fn command(
         &self,
         to: &str,
-        commands: &DirectCommands,
+        commands: &CommandBatch,
         timeout: Duration,
-    ) -> Result<(bool, Report), Error> {
+    ) -> Result<(bool, Heartbeat), Error> {
         let to = address(to)?;
         let (_permit, timeout) = permit(&self.commands, timeout).await?;
         let call = self
@@ -44,12 +44,12 @@
         match status.as_u16() {
             code @ (200 | 409) => serde_json::from_slice(&bytes)
                 .map(|report| (code == 200, report))
-                .map_err(|e| Error::Unknown(e.to_string())),
+                .map_err(|e| Error::Unanswered(e.to_string())),
             other => Err(Error::Status(other)),
         }
     }
 
-    pub async fn status(&self, to: &str, timeout: Duration) -> Result<Report, Error> {
+    pub async fn heartbeat(&self, to: &str, timeout: Duration) -> Result<Heartbeat, Error> {
         let to = address(to)?;
         let (_permit, timeout) = permit(&self.questions, timeout).await?;
         self.http
@@ -105,19 +105,19 @@
     #[tokio::test(start_paused = true)]
     async fn calls_that_nobody_answers_hold_few_sockets_and_no_commands_up() {
         let silent = Arc::new(Silent::default());
-        let workers = Workers::new(Http::over(Arc::new(silent.clone())), 8);
+        let workers = WorkerClient::new(HttpClient::over(Arc::new(silent.clone())), 8);
         let patience = Duration::from_secs(2);
         let asked: Vec<_> = (0..100)
             .map(|_| {
                 let workers = workers.clone();
-                tokio::spawn(async move { workers.status("10.0.0.1:9000", patience).await })
+                tokio::spawn(async move { workers.heartbeat("10.0.0.1:9000", patience).await })
             })
             .collect();
         tokio::time::sleep(Duration::from_secs(1)).await;
         assert_eq!(silent.0.load(Ordering::Relaxed), 4);
         let command = workers.clone();
         let command = tokio::spawn(async move {
-            let commands = DirectCommands {
+            let commands = CommandBatch {
                 token: 1,
                 session: 1,
                 commands: Vec::new(),
--- a/crates/failure-detector/src/accrual.rs
+++ b/crates/failure-detector/src/accrual.rs
@@ -17,16 +17,16 @@
 
 /// When a peer was heard of.
 #[derive(Debug, Clone)]
-pub struct Arrivals {
+pub struct HeartbeatHistory {
     gaps: VecDeque<f64>,
     last_s: Option<f64>,
     /// The gap expected of a peer of which little is known, in seconds.
     expected_s: f64,
 }
 
-impl Arrivals {
-    pub fn new(expected_s: f64) -> Arrivals {
-        Arrivals {
+impl HeartbeatHistory {
+    pub fn new(expected_s: f64) -> HeartbeatHistory {
+        HeartbeatHistory {
             gaps: VecDeque::with_capacity(KEPT),
             last_s: None,
             expected_s,
@@ -34,7 +34,7 @@
     }
 
     /// Heard of at a time; one that is not after the last says nothing new.
-    pub fn heard(&mut self, now_s: f64) {
+    pub fn record(&mut self, now_s: f64) {
         if let Some(last) = self.last_s {
             if now_s <= last {
                 return;
@@ -51,7 +51,7 @@
     }
 
     /// Forgets the history: another process.
-    pub fn restart(&mut self) {
+    pub fn reset(&mut self) {
         self.gaps.clear();
         self.last_s = None;
     }
@@ -95,9 +95,9 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn steady(gap: f64) -> Arrivals {
-        let mut arrivals = Arrivals::new(gap);
-        (0..50).for_each(|i| arrivals.heard(f64::from(i) * gap));
+    fn steady(gap: f64) -> HeartbeatHistory {
+        let mut arrivals = HeartbeatHistory::new(gap);
+        (0..50).for_each(|i| arrivals.record(f64::from(i) * gap));
         arrivals
     }
 
@@ -108,11 +108,11 @@
         assert!(quick.phi(last + 0.5, 0.0) < 2.0, "a lost greeting");
         assert!(quick.phi(last + 1.5, 0.0) > 8.0);
         // One that was always irregular is given more time.
-        let mut jumpy = Arrivals::new(0.3);
+        let mut jumpy = HeartbeatHistory::new(0.3);
         let mut at = 0.0;
         for i in 0..100 {
             at += if i % 5 == 0 { 1.6 } else { 0.3 };
-            jumpy.heard(at);
+            jumpy.record(at);
         }
         assert!(jumpy.phi(at + 1.5, 0.0) < 4.0);
     }
@@ -122,7 +122,11 @@
         let peer = steady(0.3);
         let last = peer.last_s().unwrap();
         assert!(peer.phi(last + 2.0, 2.0) < 1.0);
-        assert_eq!(Arrivals::new(0.3).phi(100.0, 0.0), 0.0, "never heard of");
+        assert_eq!(
+            HeartbeatHistory::new(0.3).phi(100.0, 0.0),
+            0.0,
+            "never heard of"
+        );
     }
 
     proptest! {
@@ -130,11 +134,11 @@
         /// the observer's own lateness.
         #[test]
         fn phi_accrues(gaps in prop::collection::vec(0.001f64..20.0, 0..200), a in 0.0f64..30.0, b in 0.0f64..30.0, late in 0.0f64..5.0) {
-            let mut arrivals = Arrivals::new(0.3);
+            let mut arrivals = HeartbeatHistory::new(0.3);
             let mut at = 0.0;
             for gap in gaps {
                 at += gap;
-                arrivals.heard(at);
+                arrivals.record(at);
             }
             let (short, long) = (a.min(b), a.max(b));
             let phi = |silent: f64, late: f64| arrivals.phi(at + silent, late);
--- a/crates/failure-detector/src/detector.rs
+++ b/crates/failure-detector/src/detector.rs
@@ -12,33 +12,33 @@
 //! and that the judge itself has read the state service since. So one that is cut off
 //! can pass no verdict, and a packet filter between all controllers leads to none.
 
-use crate::accrual::Arrivals;
-use crate::damping::{Damping, Term};
-use crate::succession::{Candidate, Spans};
-use rushwalk_protocol::peers::{Hello, Sight};
+use crate::accrual::HeartbeatHistory;
+use crate::damping::{FlapDamping, MembershipTerm};
+use crate::succession::{DetectorTiming, LeaderCandidate};
+use rushwalk_protocol::peers::{PeerHeartbeat, PeerObservation};
 use std::collections::BTreeMap;
 
 /// Spans that follow from the settings.
 #[derive(Debug, Clone)]
-pub struct Limits {
+pub struct DetectorConfig {
     /// Seconds between two greetings of the same peer.
-    pub every_s: f64,
+    pub heartbeat_s: f64,
     /// A planning round.
     pub round_s: f64,
     /// The member lease: by its end the state service itself says who is gone.
-    pub member_s: f64,
+    pub member_lease_s: f64,
     /// The workers' lease.
-    pub lease_s: f64,
+    pub worker_lease_s: f64,
     /// Suspicion begins at this φ.
-    pub phi: f64,
+    pub phi_threshold: f64,
     /// Greetings refused in a row before that is a doubt.
-    pub refusals: u32,
+    pub refusal_threshold: u32,
 }
 
-impl Limits {
-    pub fn spans(&self) -> Spans {
-        Spans {
-            every_s: self.every_s,
+impl DetectorConfig {
+    pub fn timing(&self) -> DetectorTiming {
+        DetectorTiming {
+            heartbeat_s: self.heartbeat_s,
             round_s: self.round_s,
         }
     }
@@ -46,82 +46,87 @@
 
 /// What became of a greeting of ours.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Contact {
+pub enum ProbeFailure {
     /// Its host answered that nobody listens there. That is a dead process, or one
     /// without sockets, or a packet filter.
     Refused,
     /// No answer in time.
-    Silent,
+    TimedOut,
     /// The connection broke: that may be the process's end, or a packet filter.
-    Broken,
+    ConnectionBroken,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Standing {
-    Trusted,
-    Suspect,
-    Judged,
+pub enum PeerHealth {
+    #[serde(rename = "trusted")]
+    Healthy,
+    #[serde(rename = "suspect")]
+    Suspected,
+    #[serde(rename = "judged")]
+    Failed,
 }
 
 /// What speaks against a controller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Why {
+pub enum SuspicionReason {
     /// Its port refuses greetings.
     Refused,
     /// It is silent for longer than its history explains.
-    Silent,
+    #[serde(rename = "silent")]
+    Unresponsive,
     /// It leads, says itself that its timers are late, and plans no rounds.
     Stalled,
     /// It says itself that its timers are late, round after round.
     Slow,
     /// Its member lease has ended: the state service's word.
-    Left,
+    #[serde(rename = "left")]
+    LeaseExpired,
 }
 
 /// A change of somebody's standing, for the log.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Change {
+pub struct HealthTransition {
     pub member: String,
-    pub from: Standing,
-    pub to: Standing,
-    pub why: Option<Why>,
+    pub from: PeerHealth,
+    pub to: PeerHealth,
+    pub reason: Option<SuspicionReason>,
     /// How long the standing before had lasted, in seconds.
-    pub after_s: f64,
+    pub previous_lasted_s: f64,
     pub phi: f64,
     /// Controllers that could be asked, and those that had the same doubt.
     pub witnesses: usize,
-    pub agree: usize,
+    pub agreeing: usize,
 }
 
 /// What the observer knows of itself.
 #[derive(Debug, Clone, Copy)]
-pub struct Own {
+pub struct LocalHealth {
     /// How late its timers are, the latest ones, in seconds.
-    pub late_s: f64,
+    pub recent_lag_s: f64,
     /// How late they are in the mean of a round, in seconds.
-    pub lag_s: f64,
+    pub mean_lag_s: f64,
     /// The share of time in which its thread is busy.
-    pub busy: f64,
+    pub busy_share: f64,
     /// Since when its last answered read of the state service was sent, in seconds.
-    pub state_age_s: f64,
+    pub staleness_s: f64,
     /// Since when the lead last passed from one who lives to another, in seconds.
-    pub passed_s: f64,
+    pub since_leadership_moved_s: f64,
     /// The newest revision it has seen.
     pub revision: u64,
 }
 
 #[derive(Debug, Clone)]
-struct Peer {
+struct PeerState {
     /// Its present process, as far as is known; 0 if it never was a member.
     nonce: u64,
     /// Its present term as a member, and whether one was seen to end since.
-    term: Option<Term>,
+    term: Option<MembershipTerm>,
     ended: bool,
-    arrivals: Arrivals,
+    arrivals: HeartbeatHistory,
     /// What it said last, and when that came.
-    hello: Option<(f64, Hello)>,
+    hello: Option<(f64, PeerHeartbeat)>,
     /// Since when greetings are refused, and how many were.
     refused: Option<(f64, u32)>,
     /// A greeting came to no end since it was last heard.
@@ -130,13 +135,13 @@
     wrote_s: f64,
     /// Since when it says that it is late.
     late_since: Option<f64>,
-    standing: Standing,
-    why: Option<Why>,
+    standing: PeerHealth,
+    why: Option<SuspicionReason>,
     /// Whether most of those who could be asked have the same doubt.
     agreed: bool,
     /// When the standing began, and the term and the observer's revision then.
     since_s: f64,
-    doubted: Option<Term>,
+    doubted: Option<MembershipTerm>,
     revision: u64,
     /// Of one that was judged: since when it answers again.
     back_s: Option<f64>,
@@ -144,35 +149,39 @@
 
 /// The observer's judgement of all others.
 #[derive(Debug, Clone)]
-pub struct Detector {
-    limits: Limits,
-    peers: BTreeMap<String, Peer>,
-    pub damping: Damping,
+pub struct FailureDetector {
+    limits: DetectorConfig,
+    peers: BTreeMap<String, PeerState>,
+    pub damping: FlapDamping,
     /// When verdicts were passed, the latest last.
     verdicts: Vec<f64>,
 }
 
 /// What is to be said of a suspect at a moment.
-struct Verdict {
+struct Assessment {
     closed: bool,
     agreed: bool,
     witnesses: usize,
     agree: usize,
 }
 
-impl Detector {
-    pub fn new<'a>(limits: Limits, peers: impl Iterator<Item = &'a str>, now_s: f64) -> Detector {
-        let peer = |_| Peer {
+impl FailureDetector {
+    pub fn new<'a>(
+        limits: DetectorConfig,
+        peers: impl Iterator<Item = &'a str>,
+        now_s: f64,
+    ) -> FailureDetector {
+        let peer = |_| PeerState {
             nonce: 0,
             term: None,
             ended: false,
-            arrivals: Arrivals::new(limits.every_s),
+            arrivals: HeartbeatHistory::new(limits.heartbeat_s),
             hello: None,
             refused: None,
             hung: false,
             wrote_s: f64::NEG_INFINITY,
             late_since: None,
-            standing: Standing::Trusted,
+            standing: PeerHealth::Healthy,
             why: None,
             agreed: false,
             since_s: now_s,
@@ -180,31 +189,31 @@
             revision: 0,
             back_s: None,
         };
-        Detector {
+        FailureDetector {
             peers: peers.map(|name| (name.to_string(), peer(name))).collect(),
-            damping: Damping::new(limits.member_s),
+            damping: FlapDamping::new(limits.member_lease_s),
             limits,
             verdicts: Vec::new(),
         }
     }
 
-    pub fn limits(&self) -> &Limits {
+    pub fn config(&self) -> &DetectorConfig {
         &self.limits
     }
 
     /// It answered a greeting of ours.
-    pub fn answered(&mut self, now_s: f64, hello: Hello) {
+    pub fn record_response(&mut self, now_s: f64, hello: PeerHeartbeat) {
         self.listen(now_s, hello, true);
     }
 
     /// It greeted us. Such a message may have been held back by the network for
     /// minutes: it speaks for its sender only if it knows of what the state service
     /// held when the doubt began.
-    pub fn greeted(&mut self, now_s: f64, hello: Hello) {
+    pub fn record_heartbeat(&mut self, now_s: f64, hello: PeerHeartbeat) {
         let Some(peer) = self.peers.get(&hello.member) else {
             return;
         };
-        let late = peer.standing != Standing::Trusted && hello.revision < peer.revision;
+        let late = peer.standing != PeerHealth::Healthy && hello.revision < peer.revision;
         let older = peer
             .hello
             .as_ref()
@@ -214,54 +223,54 @@
         }
     }
 
-    fn listen(&mut self, now_s: f64, hello: Hello, answer: bool) {
-        let spans = self.limits.spans();
+    fn listen(&mut self, now_s: f64, hello: PeerHeartbeat, answer: bool) {
+        let spans = self.limits.timing();
         let Some(peer) = self.peers.get_mut(&hello.member) else {
             return;
         };
-        if peer.nonce != hello.nonce && hello.nonce != 0 {
-            peer.nonce = hello.nonce;
-            peer.arrivals.restart();
+        if peer.nonce != hello.incarnation && hello.incarnation != 0 {
+            peer.nonce = hello.incarnation;
+            peer.arrivals.reset();
             peer.late_since = None;
         }
-        peer.arrivals.heard(now_s);
+        peer.arrivals.record(now_s);
         (peer.refused, peer.hung) = (None, false);
-        let late = hello.late_ms as f64 / 1000.0;
+        let late = hello.lag_ms as f64 / 1000.0;
         // Well in time again, not just below: or its blocks would come and go.
-        if spans.calm(late) {
+        if spans.is_on_time(late) {
             peer.late_since = None;
-        } else if late >= spans.late_s() {
+        } else if late >= spans.slow_threshold_s() {
             peer.late_since.get_or_insert(now_s);
         }
-        if answer && peer.standing == Standing::Judged {
+        if answer && peer.standing == PeerHealth::Failed {
             peer.back_s.get_or_insert(now_s);
         }
         peer.hello = Some((now_s, hello));
     }
 
     /// A greeting of ours was not answered.
-    pub fn failed(&mut self, now_s: f64, member: &str, contact: Contact) {
+    pub fn record_probe_failure(&mut self, now_s: f64, member: &str, contact: ProbeFailure) {
         let Some(peer) = self.peers.get_mut(member) else {
             return;
         };
         match contact {
-            Contact::Refused if peer.hung => {}
-            Contact::Refused => {
+            ProbeFailure::Refused if peer.hung => {}
+            ProbeFailure::Refused => {
                 let (_, count) = peer.refused.get_or_insert((now_s, 0));
                 *count += 1;
             }
             // It hangs: if it refuses connections next, it has more callers than it can
             // take, or no sockets left. Under an overload of all, living controllers were
             // judged for that again and again.
-            Contact::Silent => (peer.refused, peer.hung) = (None, true),
-            Contact::Broken => {}
+            ProbeFailure::TimedOut => (peer.refused, peer.hung) = (None, true),
+            ProbeFailure::ConnectionBroken => {}
         }
         peer.back_s = None;
     }
 
     /// An entry of its came into the log. One that was written before its end may
     /// come late, so it only speaks against a verdict, for a while.
-    pub fn wrote(&mut self, now_s: f64, member: &str) {
+    pub fn record_write(&mut self, now_s: f64, member: &str) {
         if let Some(peer) = self.peers.get_mut(member) {
             peer.wrote_s = now_s;
         }
@@ -269,7 +278,7 @@
 
     /// What the state service says of a member: its process and the time of its
     /// registration, or none.
-    pub fn member(&mut self, now_s: f64, name: &str, term: Option<Term>) {
+    pub fn record_membership(&mut self, now_s: f64, name: &str, term: Option<MembershipTerm>) {
         let Some(peer) = self.peers.get_mut(name) else {
             return;
         };
@@ -277,112 +286,119 @@
             return;
         }
         if let Some(before) = peer.term {
-            self.damping.left(now_s, name, before);
+            self.damping.record_departure(now_s, name, before);
         }
         peer.ended = term.is_none();
         peer.term = term;
         if let Some(term) = term
-            && term.nonce != peer.nonce
+            && term.incarnation != peer.nonce
         {
-            peer.nonce = term.nonce;
-            peer.arrivals.restart();
+            peer.nonce = term.incarnation;
+            peer.arrivals.reset();
             (peer.refused, peer.hung) = (None, false);
             peer.late_since = None;
         }
     }
 
     /// It laid down the lead by itself, or lost a block's machines, in a term.
-    pub fn stood_down(&mut self, now_s: f64, name: &str, term: Term) {
-        self.damping.left(now_s, name, term);
+    pub fn record_departure(&mut self, now_s: f64, name: &str, term: MembershipTerm) {
+        self.damping.record_departure(now_s, name, term);
     }
 
-    pub fn standing(&self, member: &str) -> Standing {
+    pub fn health(&self, member: &str) -> PeerHealth {
         self.peers
             .get(member)
-            .map_or(Standing::Trusted, |p| p.standing)
+            .map_or(PeerHealth::Healthy, |p| p.standing)
     }
 
     /// Whether nothing new should be given to a member: it is judged, or others have the
     /// same doubt and it writes nothing. Behind a packet filter between controllers all
     /// suspect all, and each serves as before.
-    pub fn doubtful(&self, member: &str) -> bool {
-        let doubtful = |p: &Peer| match p.standing {
-            Standing::Trusted => false,
-            Standing::Suspect => p.agreed,
-            Standing::Judged => true,
+    pub fn is_doubtful(&self, member: &str) -> bool {
+        let doubtful = |p: &PeerState| match p.standing {
+            PeerHealth::Healthy => false,
+            PeerHealth::Suspected => p.agreed,
+            PeerHealth::Failed => true,
         };
         self.peers.get(member).is_some_and(doubtful)
     }
 
     /// Whether a process has lost its blocks: it is judged, and not only for the rounds
     /// that it does not make.
-    pub fn dead(&self, member: &str, nonce: u64) -> bool {
-        let stalled = |p: &Peer| p.why == Some(Why::Stalled);
-        self.judged(member, nonce) && !self.peers.get(member).is_some_and(stalled)
+    pub fn has_lost_shards(&self, member: &str, nonce: u64) -> bool {
+        let stalled = |p: &PeerState| p.why == Some(SuspicionReason::Stalled);
+        self.is_failed(member, nonce) && !self.peers.get(member).is_some_and(stalled)
     }
 
     /// Whether a process is judged for the port that refuses.
-    pub fn refuses(&self, member: &str, nonce: u64) -> bool {
-        let refused = |p: &Peer| p.why == Some(Why::Refused);
-        self.judged(member, nonce) && self.peers.get(member).is_some_and(refused)
+    pub fn failed_by_refusal(&self, member: &str, nonce: u64) -> bool {
+        let refused = |p: &PeerState| p.why == Some(SuspicionReason::Refused);
+        self.is_failed(member, nonce) && self.peers.get(member).is_some_and(refused)
     }
 
     /// Whether this process of a member is judged: a new one of its name is not.
-    pub fn judged(&self, member: &str, nonce: u64) -> bool {
+    pub fn is_failed(&self, member: &str, nonce: u64) -> bool {
         let peer = self.peers.get(member);
-        let of = |p: &Peer| p.doubted.is_some_and(|term| term.nonce == nonce);
-        peer.is_some_and(|p| p.standing == Standing::Judged && of(p))
+        let of = |p: &PeerState| p.doubted.is_some_and(|term| term.incarnation == nonce);
+        peer.is_some_and(|p| p.standing == PeerHealth::Failed && of(p))
     }
 
     /// Whether a process whose lease ended not longer than `grace_s` ago is still heard
     /// of, cut off from the state service alone.
-    pub fn lingers(&self, member: &str, nonce: u64, now_s: f64, grace_s: f64) -> bool {
-        let lingers = |p: &Peer| {
+    pub fn lingers_after_expiry(&self, member: &str, nonce: u64, now_s: f64, grace_s: f64) -> bool {
+        let lingers = |p: &PeerState| {
             let heard = p
                 .arrivals
                 .last_s()
                 .is_some_and(|at| now_s - at < 2.0 * self.limits.round_s);
-            let left = p.why == Some(Why::Left) && now_s - p.since_s < grace_s;
+            let left = p.why == Some(SuspicionReason::LeaseExpired) && now_s - p.since_s < grace_s;
             p.nonce == nonce && left && heard && p.refused.is_none()
         };
         self.peers.get(member).is_some_and(lingers)
     }
 
     /// Whether it is too slow for what it has.
-    pub fn slow(&self, member: &str) -> bool {
-        let slow = |p: &Peer| matches!(p.why, Some(Why::Slow | Why::Stalled));
+    pub fn is_slow(&self, member: &str) -> bool {
+        let slow = |p: &PeerState| {
+            matches!(
+                p.why,
+                Some(SuspicionReason::Slow | SuspicionReason::Stalled)
+            )
+        };
         self.peers.get(member).is_some_and(slow)
     }
 
     /// What a peer said last, and how long ago that was, in seconds.
-    pub fn hello(&self, member: &str, now_s: f64) -> Option<(f64, &Hello)> {
+    pub fn last_heartbeat(&self, member: &str, now_s: f64) -> Option<(f64, &PeerHeartbeat)> {
         let (at, hello) = self.peers.get(member)?.hello.as_ref()?;
         Some((now_s - at, hello))
     }
 
     /// What all peers said last.
-    pub fn hellos(&self, now_s: f64) -> impl Iterator<Item = (f64, &Hello)> {
+    pub fn last_heartbeats(&self, now_s: f64) -> impl Iterator<Item = (f64, &PeerHeartbeat)> {
         let hellos = self.peers.values().filter_map(|p| p.hello.as_ref());
         hellos.map(move |(at, hello)| (now_s - at, hello))
     }
 
     /// What is told to the others.
-    pub fn sights(&self, now_s: f64) -> Vec<Sight> {
+    pub fn observations(&self, now_s: f64) -> Vec<PeerObservation> {
         let told = self.peers.iter().filter(|(_, p)| p.nonce != 0);
-        let sight = |(name, p): (&String, &Peer)| Sight {
+        let sight = |(name, p): (&String, &PeerState)| PeerObservation {
             member: name.clone(),
-            nonce: p.nonce,
-            heard_ms: p
+            incarnation: p.nonce,
+            last_heard_ms: p
                 .arrivals
                 .last_s()
                 .map(|at| ((now_s - at) * 1000.0).max(0.0) as u64),
-            refused: p.refused.is_some_and(|(_, n)| n >= self.limits.refusals),
+            refused: p
+                .refused
+                .is_some_and(|(_, n)| n >= self.limits.refusal_threshold),
         };
         told.map(sight).collect()
     }
 
     /// All others as candidates for the lead.
-    pub fn candidates(&self, now_s: f64) -> Vec<Candidate<'_>> {
+    pub fn candidates(&self, now_s: f64) -> Vec<LeaderCandidate<'_>> {
         let fresh_s = 2.0 * self.limits.round_s;
         let mut out = Vec::new();
         for (name, p) in &self.peers {
@@ -390,48 +406,51 @@
                 continue;
             };
             let age = now_s - at;
-            out.push(Candidate {
+            out.push(LeaderCandidate {
                 name,
-                trusted: p.standing == Standing::Trusted && p.term.is_some() && age < fresh_s,
-                fit: self.damping.fit(now_s, name),
-                late_s: hello.late_ms as f64 / 1000.0,
-                busy: f64::from(hello.busy) / 1000.0,
-                state_age_s: age + hello.state_age_ms as f64 / 1000.0,
+                trusted: p.standing == PeerHealth::Healthy && p.term.is_some() && age < fresh_s,
+                eligible: self.damping.is_eligible(now_s, name),
+                mean_lag_s: hello.lag_ms as f64 / 1000.0,
+                busy_share: f64::from(hello.busy_permille) / 1000.0,
+                staleness_s: age + hello.staleness_ms as f64 / 1000.0,
             });
         }
         out
     }
 
-    fn doubt(&self, peer: &Peer, now_s: f64, own: &Own) -> Option<Why> {
+    fn doubt(&self, peer: &PeerState, now_s: f64, own: &LocalHealth) -> Option<SuspicionReason> {
         let limits = &self.limits;
         if peer.term.is_none() {
             // One that greets before its key is seen has not left.
-            return peer.ended.then_some(Why::Left);
+            return peer.ended.then_some(SuspicionReason::LeaseExpired);
         }
-        if peer.refused.is_some_and(|(_, n)| n >= limits.refusals) {
-            return Some(Why::Refused);
+        if peer
+            .refused
+            .is_some_and(|(_, n)| n >= limits.refusal_threshold)
+        {
+            return Some(SuspicionReason::Refused);
         }
-        if peer.arrivals.phi(now_s, own.late_s) > limits.phi {
-            return Some(Why::Silent);
+        if peer.arrivals.phi(now_s, own.recent_lag_s) > limits.phi_threshold {
+            return Some(SuspicionReason::Unresponsive);
         }
         let late = peer.late_since.map(|since| now_s - since)?;
         // Who has no room itself would do no better. After an end of all nobody has, and
         // each took the lead and the blocks from the others in turn.
         let (_, hello) = peer.hello.as_ref()?;
-        if !limits.spans().room(own.lag_s, own.busy) {
+        if !limits.timing().has_headroom(own.mean_lag_s, own.busy_share) {
             return None;
         }
-        let planned = hello.planned_ms;
-        let pace = (hello.pace_ms as f64 / 1000.0).max(limits.round_s);
+        let planned = hello.last_round_ms;
+        let pace = (hello.round_interval_ms as f64 / 1000.0).max(limits.round_s);
         if planned.is_some_and(|ms| ms as f64 / 1000.0 > 3.0 * pace) && late > limits.round_s {
-            return Some(Why::Stalled);
+            return Some(SuspicionReason::Stalled);
         }
-        (late > 3.0 * limits.round_s).then_some(Why::Slow)
+        (late > 3.0 * limits.round_s).then_some(SuspicionReason::Slow)
     }
 
     /// Controllers whose word counts on a suspect: those that could be asked, those
     /// that have the same doubt, and whether any has heard of it since the doubt.
-    fn witnesses(&self, name: &str, peer: &Peer, now_s: f64) -> (usize, usize, bool) {
+    fn witnesses(&self, name: &str, peer: &PeerState, now_s: f64) -> (usize, usize, bool) {
         let limits = &self.limits;
         let (mut all, mut agree, mut heard) = (0, 0, false);
         for (other, witness) in &self.peers {
@@ -441,57 +460,64 @@
             // Only what was said since the doubt began, by one that reaches the state
             // service and is no suspect itself.
             let fresh = *at >= peer.since_s && now_s - at < 2.0 * limits.round_s;
-            let able = (hello.state_age_ms as f64) < 2000.0 * limits.round_s;
-            if other == name || !fresh || !able || witness.standing != Standing::Trusted {
+            let able = (hello.staleness_ms as f64) < 2000.0 * limits.round_s;
+            if other == name || !fresh || !able || witness.standing != PeerHealth::Healthy {
                 continue;
             }
             let sight = hello
-                .sights
+                .observations
                 .iter()
-                .find(|s| s.member == name && s.nonce == peer.nonce);
+                .find(|s| s.member == name && s.incarnation == peer.nonce);
             let Some(sight) = sight else {
                 continue;
             };
             all += 1;
-            let ago = sight.heard_ms.map(|ms| ms as f64 / 1000.0 + (now_s - at));
+            let ago = sight
+                .last_heard_ms
+                .map(|ms| ms as f64 / 1000.0 + (now_s - at));
             let since = now_s - peer.since_s;
             heard |= ago.is_some_and(|ago| ago < since);
-            let silent = ago.is_none_or(|ago| ago > 4.0 * limits.every_s);
+            let silent = ago.is_none_or(|ago| ago > 4.0 * limits.heartbeat_s);
             agree += usize::from(sight.refused || silent);
         }
         (all, agree, heard)
     }
 
     /// Whether a suspect's case is closed, and what the others say.
-    fn verdict(&self, name: &str, peer: &Peer, now_s: f64, own: &Own) -> Verdict {
+    fn verdict(&self, name: &str, peer: &PeerState, now_s: f64, own: &LocalHealth) -> Assessment {
         let limits = &self.limits;
         let since = now_s - peer.since_s;
         let (all, agree, heard) = self.witnesses(name, peer, now_s);
         // The judge must be whole itself.
-        let able = own.late_s < limits.round_s && own.state_age_s < since;
+        let able = own.recent_lag_s < limits.round_s && own.staleness_s < since;
         // An entry written before its end may be seen a little after.
-        let idle = peer.wrote_s < peer.since_s + limits.every_s / 2.0
+        let idle = peer.wrote_s < peer.since_s + limits.heartbeat_s / 2.0
             || now_s - peer.wrote_s > 2.0 * limits.round_s;
         let agreed = agree > 0 && 2 * agree > all && !heard;
         let alone = self.peers.len() == 1;
         let silent = peer.arrivals.last_s().map_or(since, |at| now_s - at);
         let closed = match peer.why {
-            Some(Why::Left) => true,
-            Some(Why::Refused) if alone => able && idle && since >= 2.0 * limits.round_s,
-            Some(Why::Refused) => able && idle && agreed && since >= limits.every_s,
+            Some(SuspicionReason::LeaseExpired) => true,
+            Some(SuspicionReason::Refused) if alone => {
+                able && idle && since >= 2.0 * limits.round_s
+            }
+            Some(SuspicionReason::Refused) => able && idle && agreed && since >= limits.heartbeat_s,
             // Its lease is about to end, unless somebody lives there who renews it and
             // does nothing else.
-            Some(Why::Silent) => {
-                let gone = 0.75 * limits.member_s;
+            Some(SuspicionReason::Unresponsive) => {
+                let gone = 0.75 * limits.member_lease_s;
                 let quiet = silent >= gone && now_s - peer.wrote_s >= gone;
-                able && agreed && quiet && limits.spans().calm(own.lag_s)
+                able && agreed && quiet && limits.timing().is_on_time(own.mean_lag_s)
             }
             // Once in a lease, whoever it was: if the next one can't keep up either, it is
             // the load, and the lead would go round.
-            Some(Why::Stalled) => able && since >= limits.round_s && own.passed_s > limits.lease_s,
-            Some(Why::Slow) | None => false,
+            Some(SuspicionReason::Stalled) => {
+                able && since >= limits.round_s
+                    && own.since_leadership_moved_s > limits.worker_lease_s
+            }
+            Some(SuspicionReason::Slow) | None => false,
         };
-        Verdict {
+        Assessment {
             closed,
             agreed: agreed && idle,
             witnesses: all,
@@ -503,13 +529,13 @@
     /// than half of all controllers are judged by evidence of ours. What the state
     /// service says is not bounded.
     fn may_judge(&mut self, now_s: f64) -> bool {
-        let span = self.limits.member_s;
+        let span = self.limits.member_lease_s;
         self.verdicts.retain(|at| now_s - at < span);
         2 * self.verdicts.len() < self.peers.len().max(2)
     }
 
     /// Works out all standings anew. Called a few times a second.
-    pub fn judge(&mut self, now_s: f64, own: Own) -> Vec<Change> {
+    pub fn evaluate(&mut self, now_s: f64, own: LocalHealth) -> Vec<HealthTransition> {
         let mut changes = Vec::new();
         let names: Vec<String> = self.peers.keys().cloned().collect();
         for name in names {
@@ -518,65 +544,71 @@
             let verdict = self.verdict(&name, peer, now_s, &own);
             let back = peer
                 .back_s
-                .is_some_and(|at| now_s - at >= self.limits.member_s);
+                .is_some_and(|at| now_s - at >= self.limits.member_lease_s);
             let to = match (peer.standing, doubt) {
-                (Standing::Trusted, None) => Standing::Trusted,
-                (Standing::Trusted, Some(Why::Left)) => Standing::Judged,
-                (Standing::Trusted, Some(_)) => Standing::Suspect,
-                (Standing::Suspect, None) => Standing::Trusted,
-                (Standing::Suspect, Some(Why::Left)) => Standing::Judged,
-                (Standing::Suspect, Some(why)) if verdict.closed && peer.why == Some(why) => {
+                (PeerHealth::Healthy, None) => PeerHealth::Healthy,
+                (PeerHealth::Healthy, Some(SuspicionReason::LeaseExpired)) => PeerHealth::Failed,
+                (PeerHealth::Healthy, Some(_)) => PeerHealth::Suspected,
+                (PeerHealth::Suspected, None) => PeerHealth::Healthy,
+                (PeerHealth::Suspected, Some(SuspicionReason::LeaseExpired)) => PeerHealth::Failed,
+                (PeerHealth::Suspected, Some(why)) if verdict.closed && peer.why == Some(why) => {
                     match self.may_judge(now_s) {
-                        true => Standing::Judged,
-                        false => Standing::Suspect,
+                        true => PeerHealth::Failed,
+                        false => PeerHealth::Suspected,
                     }
                 }
-                (Standing::Suspect, Some(_)) => Standing::Suspect,
+                (PeerHealth::Suspected, Some(_)) => PeerHealth::Suspected,
                 // Another process, or the same one heard for a while: a late answer to
                 // an old suspicion does not undo what was done upon it.
-                (Standing::Judged, None) if peer.term != peer.doubted || back => Standing::Trusted,
-                (Standing::Judged, _) => Standing::Judged,
+                (PeerHealth::Failed, None) if peer.term != peer.doubted || back => {
+                    PeerHealth::Healthy
+                }
+                (PeerHealth::Failed, _) => PeerHealth::Failed,
             };
             if let Some(peer) = self.peers.get_mut(&name) {
                 peer.agreed = verdict.agreed;
             }
             let peer = &self.peers[&name];
-            let (from, phi) = (peer.standing, peer.arrivals.phi(now_s, own.late_s));
-            let why = doubt.or(if to == Standing::Judged {
+            let (from, phi) = (peer.standing, peer.arrivals.phi(now_s, own.recent_lag_s));
+            let why = doubt.or(if to == PeerHealth::Failed {
                 peer.why
             } else {
                 None
             });
-            if from == to && (why == peer.why || to == Standing::Judged) {
+            if from == to && (why == peer.why || to == PeerHealth::Failed) {
                 continue;
             }
-            if to == Standing::Judged && why != Some(Why::Left) {
+            if to == PeerHealth::Failed && why != Some(SuspicionReason::LeaseExpired) {
                 self.verdicts.push(now_s);
                 if let Some(term) = peer.term {
-                    self.damping.left(now_s, &name, term);
+                    self.damping.record_departure(now_s, &name, term);
                 }
             }
-            let was_slow = matches!(peer.why, Some(Why::Slow | Why::Stalled));
-            if to == Standing::Trusted
+            let was_slow = matches!(
+                peer.why,
+                Some(SuspicionReason::Slow | SuspicionReason::Stalled)
+            );
+            if to == PeerHealth::Healthy
                 && was_slow
                 && let Some(term) = peer.term
             {
                 // It gets its work back as one that was away.
                 let since = (now_s * 1000.0) as u64;
-                self.damping.left(now_s, &name, Term { since, ..term });
+                self.damping
+                    .record_departure(now_s, &name, MembershipTerm { since, ..term });
             }
             let Some(peer) = self.peers.get_mut(&name) else {
                 continue;
             };
-            changes.push(Change {
+            changes.push(HealthTransition {
                 member: name,
                 from,
                 to,
-                why,
-                after_s: now_s - peer.since_s,
+                reason: why,
+                previous_lasted_s: now_s - peer.since_s,
                 phi,
                 witnesses: verdict.witnesses,
-                agree: verdict.agree,
+                agreeing: verdict.agree,
             });
             (peer.standing, peer.why) = (to, why);
             (peer.since_s, peer.doubted, peer.revision) = (now_s, peer.term, own.revision);
@@ -586,19 +618,19 @@
     }
 
     /// Each peer with its standing, reason and evidence, for the administration.
-    pub fn told(&self, now_s: f64, own: Own) -> Vec<Told> {
-        let told = |(name, p): (&String, &Peer)| Told {
+    pub fn statuses(&self, now_s: f64, own: LocalHealth) -> Vec<PeerStatus> {
+        let told = |(name, p): (&String, &PeerState)| PeerStatus {
             member: name.clone(),
             standing: p.standing,
             why: p.why,
             since_s: tenths(now_s - p.since_s),
-            phi: tenths(p.arrivals.phi(now_s, own.late_s)),
+            phi: tenths(p.arrivals.phi(now_s, own.recent_lag_s)),
             heard_s: p.arrivals.last_s().map(|at| tenths(now_s - at)),
             refused: p.refused.map_or(0, |(_, n)| n),
             wrote_s: p.wrote_s.is_finite().then(|| tenths(now_s - p.wrote_s)),
-            late_ms: p.hello.as_ref().map_or(0, |(_, hello)| hello.late_ms),
-            departures: self.damping.count(now_s, name),
-            fit: self.damping.fit(now_s, name),
+            late_ms: p.hello.as_ref().map_or(0, |(_, hello)| hello.lag_ms),
+            departures: self.damping.departures(now_s, name),
+            fit: self.damping.is_eligible(now_s, name),
         };
         self.peers.iter().map(told).collect()
     }
@@ -610,10 +642,10 @@
 
 /// One peer as an operator sees it. Times are in seconds ago.
 #[derive(Debug, Clone, serde::Serialize)]
-pub struct Told {
+pub struct PeerStatus {
     pub member: String,
-    pub standing: Standing,
-    pub why: Option<Why>,
+    pub standing: PeerHealth,
+    pub why: Option<SuspicionReason>,
     pub since_s: f64,
     pub phi: f64,
     pub heard_s: Option<f64>,
@@ -632,168 +664,197 @@
 mod tests {
     use super::*;
 
-    const ME: Own = Own {
-        late_s: 0.0,
-        lag_s: 0.002,
-        busy: 0.1,
-        state_age_s: 0.1,
-        passed_s: f64::INFINITY,
+    const ME: LocalHealth = LocalHealth {
+        recent_lag_s: 0.0,
+        mean_lag_s: 0.002,
+        busy_share: 0.1,
+        staleness_s: 0.1,
+        since_leadership_moved_s: f64::INFINITY,
         revision: 100,
     };
 
-    fn detector(peers: &[&str]) -> Detector {
-        let limits = Limits {
-            every_s: 0.3,
+    fn detector(peers: &[&str]) -> FailureDetector {
+        let limits = DetectorConfig {
+            heartbeat_s: 0.3,
             round_s: 0.9,
-            member_s: 5.0,
-            lease_s: 36.0,
-            phi: 8.0,
-            refusals: 2,
+            member_lease_s: 5.0,
+            worker_lease_s: 36.0,
+            phi_threshold: 8.0,
+            refusal_threshold: 2,
         };
-        let mut detector = Detector::new(limits, peers.iter().copied(), 0.0);
+        let mut detector = FailureDetector::new(limits, peers.iter().copied(), 0.0);
         for (i, peer) in peers.iter().enumerate() {
             let nonce = i as u64 + 1;
-            detector.member(0.0, peer, Some(Term { nonce, since: 0 }));
+            detector.record_membership(
+                0.0,
+                peer,
+                Some(MembershipTerm {
+                    incarnation: nonce,
+                    since: 0,
+                }),
+            );
         }
         detector
     }
 
-    fn hello(member: &str, nonce: u64, of: &[(&str, u64, u64, bool)]) -> Hello {
-        let sight = |(m, nonce, heard, refused): &(&str, u64, u64, bool)| Sight {
+    fn hello(member: &str, nonce: u64, of: &[(&str, u64, u64, bool)]) -> PeerHeartbeat {
+        let sight = |(m, nonce, heard, refused): &(&str, u64, u64, bool)| PeerObservation {
             member: m.to_string(),
-            nonce: *nonce,
-            heard_ms: Some(*heard),
+            incarnation: *nonce,
+            last_heard_ms: Some(*heard),
             refused: *refused,
         };
-        Hello {
+        PeerHeartbeat {
             member: member.into(),
-            nonce,
+            incarnation: nonce,
             revision: 100,
-            sights: of.iter().map(sight).collect(),
-            ..Hello::default()
+            observations: of.iter().map(sight).collect(),
+            ..PeerHeartbeat::default()
         }
     }
 
     /// `a` refuses from 10 s on; `b` is heard, and says what it sees of `a`.
-    fn refused(heard_ms: u64, refuses: bool, own: Own, wrote: bool) -> Standing {
+    fn refused(heard_ms: u64, refuses: bool, own: LocalHealth, wrote: bool) -> PeerHealth {
         let mut d = detector(&["a", "b"]);
-        d.answered(9.9, hello("a", 1, &[]));
+        d.record_response(9.9, hello("a", 1, &[]));
         for step in 0..10u32 {
             let now = 10.0 + 0.3 * f64::from(step);
-            d.failed(now, "a", Contact::Refused);
-            d.answered(now, hello("b", 2, &[("a", 1, heard_ms, refuses)]));
+            d.record_probe_failure(now, "a", ProbeFailure::Refused);
+            d.record_response(now, hello("b", 2, &[("a", 1, heard_ms, refuses)]));
             if wrote {
-                d.wrote(now, "a");
+                d.record_write(now, "a");
             }
-            d.judge(now, own);
+            d.evaluate(now, own);
         }
-        d.standing("a")
+        d.health("a")
     }
 
     #[test]
     fn a_refusal_is_a_verdict_if_another_says_so_and_nothing_speaks_against_it() {
-        assert_eq!(refused(9000, true, ME, false), Standing::Judged);
+        assert_eq!(refused(9000, true, ME, false), PeerHealth::Failed);
         // The other has heard it since.
-        assert_eq!(refused(10, false, ME, false), Standing::Suspect);
+        assert_eq!(refused(10, false, ME, false), PeerHealth::Suspected);
         // It writes: it lives behind a packet filter, or has no sockets.
-        assert_eq!(refused(9000, true, ME, true), Standing::Suspect);
+        assert_eq!(refused(9000, true, ME, true), PeerHealth::Suspected);
         // The judge is the one that is cut off, or late.
-        let cut = Own {
-            state_age_s: 30.0,
+        let cut = LocalHealth {
+            staleness_s: 30.0,
+            ..ME
+        };
+        assert_eq!(refused(9000, true, cut, false), PeerHealth::Suspected);
+        let late = LocalHealth {
+            recent_lag_s: 2.0,
             ..ME
         };
-        assert_eq!(refused(9000, true, cut, false), Standing::Suspect);
-        let late = Own { late_s: 2.0, ..ME };
-        assert_eq!(refused(9000, true, late, false), Standing::Suspect);
+        assert_eq!(refused(9000, true, late, false), PeerHealth::Suspected);
     }
 
     #[test]
     fn refusals_after_a_time_out_and_of_all_peers_are_no_verdict() {
         let mut d = detector(&["a", "b"]);
-        d.failed(9.0, "a", Contact::Silent);
+        d.record_probe_failure(9.0, "a", ProbeFailure::TimedOut);
         for step in 0..10u32 {
             let now = 10.0 + 0.3 * f64::from(step);
-            d.failed(now, "a", Contact::Refused);
-            d.answered(now, hello("b", 2, &[("a", 1, 9000, true)]));
-            d.judge(now, ME);
+            d.record_probe_failure(now, "a", ProbeFailure::Refused);
+            d.record_response(now, hello("b", 2, &[("a", 1, 9000, true)]));
+            d.evaluate(now, ME);
         }
-        assert_eq!(d.standing("a"), Standing::Trusted, "it was overloaded");
+        assert_eq!(d.health("a"), PeerHealth::Healthy, "it was overloaded");
         for step in 0..100u32 {
             let now = 20.0 + 0.3 * f64::from(step);
-            d.failed(now, "b", Contact::Refused);
-            d.judge(now, ME);
+            d.record_probe_failure(now, "b", ProbeFailure::Refused);
+            d.evaluate(now, ME);
         }
-        assert_ne!(d.standing("b"), Standing::Judged, "nobody else was heard");
-        assert!(!d.doubtful("b"), "it is given work as before");
+        assert_ne!(d.health("b"), PeerHealth::Failed, "nobody else was heard");
+        assert!(!d.is_doubtful("b"), "it is given work as before");
     }
 
     #[test]
     fn an_answer_ends_a_suspicion_but_not_a_verdict_and_an_old_greeting_neither() {
         let mut d = detector(&["a", "b"]);
-        d.answered(9.9, hello("a", 1, &[]));
-        let suspect = |d: &mut Detector, from: f64, steps: u32| {
+        d.record_response(9.9, hello("a", 1, &[]));
+        let suspect = |d: &mut FailureDetector, from: f64, steps: u32| {
             for step in 0..steps {
                 let now = from + 0.3 * f64::from(step);
-                d.failed(now, "a", Contact::Refused);
-                d.answered(now, hello("b", 2, &[("a", 1, 9000, true)]));
-                d.judge(now, ME);
+                d.record_probe_failure(now, "a", ProbeFailure::Refused);
+                d.record_response(now, hello("b", 2, &[("a", 1, 9000, true)]));
+                d.evaluate(now, ME);
             }
         };
         suspect(&mut d, 10.0, 2);
-        assert_eq!(d.standing("a"), Standing::Suspect);
+        assert_eq!(d.health("a"), PeerHealth::Suspected);
         // Held back by the network since before.
-        d.greeted(
+        d.record_heartbeat(
             10.5,
-            Hello {
+            PeerHeartbeat {
                 revision: 50,
                 ..hello("a", 1, &[])
             },
         );
-        d.judge(10.5, ME);
-        assert_eq!(d.standing("a"), Standing::Suspect);
-        d.answered(10.6, hello("a", 1, &[]));
-        d.judge(10.6, ME);
-        assert_eq!(d.standing("a"), Standing::Trusted);
+        d.evaluate(10.5, ME);
+        assert_eq!(d.health("a"), PeerHealth::Suspected);
+        d.record_response(10.6, hello("a", 1, &[]));
+        d.evaluate(10.6, ME);
+        assert_eq!(d.health("a"), PeerHealth::Healthy);
         suspect(&mut d, 11.0, 6);
-        assert!(d.judged("a", 1));
-        d.answered(13.0, hello("a", 1, &[]));
-        d.judge(13.0, ME);
-        assert_eq!(d.standing("a"), Standing::Judged, "too late");
-        d.answered(18.5, hello("a", 1, &[]));
-        d.judge(18.5, ME);
-        assert_eq!(d.standing("a"), Standing::Trusted, "it answers for a while");
+        assert!(d.is_failed("a", 1));
+        d.record_response(13.0, hello("a", 1, &[]));
+        d.evaluate(13.0, ME);
+        assert_eq!(d.health("a"), PeerHealth::Failed, "too late");
+        d.record_response(18.5, hello("a", 1, &[]));
+        d.evaluate(18.5, ME);
+        assert_eq!(d.health("a"), PeerHealth::Healthy, "it answers for a while");
         // Of the name, but not the process that was judged.
         suspect(&mut d, 30.0, 6);
-        d.member(33.0, "a", Some(Term { nonce: 7, since: 9 }));
-        assert!(!d.judged("a", 7) && d.judged("a", 1));
+        d.record_membership(
+            33.0,
+            "a",
+            Some(MembershipTerm {
+                incarnation: 7,
+                since: 9,
+            }),
+        );
+        assert!(!d.is_failed("a", 7) && d.is_failed("a", 1));
     }
 
     /// Two that came back took the lead from each other six times in 0.2 s.
     #[test]
     fn a_leader_that_stalls_is_judged_once_in_a_lease_by_one_with_room() {
-        let stalls = |own: Own| {
+        let stalls = |own: LocalHealth| {
             let mut d = detector(&["a", "b"]);
             for step in 0..30u32 {
                 let now = 10.0 + 0.3 * f64::from(step);
-                let slow = Hello {
-                    late_ms: 300,
-                    planned_ms: Some(5000),
+                let slow = PeerHeartbeat {
+                    lag_ms: 300,
+                    last_round_ms: Some(5000),
                     ..hello("a", 1, &[])
                 };
-                d.answered(now, slow);
-                d.judge(now, own);
+                d.record_response(now, slow);
+                d.evaluate(now, own);
             }
-            d.standing("a")
+            d.health("a")
         };
-        assert_eq!(stalls(ME), Standing::Judged);
+        assert_eq!(stalls(ME), PeerHealth::Failed);
+        assert_eq!(
+            stalls(LocalHealth {
+                since_leadership_moved_s: 9.0,
+                ..ME
+            }),
+            PeerHealth::Suspected
+        );
+        assert_eq!(
+            stalls(LocalHealth {
+                busy_share: 0.6,
+                ..ME
+            }),
+            PeerHealth::Healthy
+        );
         assert_eq!(
-            stalls(Own {
-                passed_s: 9.0,
+            stalls(LocalHealth {
+                mean_lag_s: 0.2,
                 ..ME
             }),
-            Standing::Suspect
+            PeerHealth::Healthy
         );
-        assert_eq!(stalls(Own { busy: 0.6, ..ME }), Standing::Trusted);
-        assert_eq!(stalls(Own { lag_s: 0.2, ..ME }), Standing::Trusted);
     }
 }
--- a/crates/failure-detector/src/lib.rs
+++ b/crates/failure-detector/src/lib.rs
@@ -11,5 +11,8 @@
 pub mod reachability;
 pub mod succession;
 
-pub use damping::Damping;
-pub use detector::{Change, Contact, Detector, Limits, Own, Standing, Why};
+pub use damping::FlapDamping;
+pub use detector::{
+    DetectorConfig, FailureDetector, HealthTransition, LocalHealth, PeerHealth, ProbeFailure,
+    SuspicionReason,
+};
--- a/crates/failure-detector/src/reachability.rs
+++ b/crates/failure-detector/src/reachability.rs
@@ -38,14 +38,14 @@
 
 /// Workers of others' blocks that turned up here, by block. Each counts once.
 #[derive(Debug, Clone, Default)]
-pub struct Strays {
+pub struct MisroutedWorkers {
     /// With the token under which the block was lent then.
     seen: BTreeMap<String, (u64, BTreeMap<String, f64>)>,
 }
 
-impl Strays {
+impl MisroutedWorkers {
     /// A worker reported here while its block is lent to another under `token`.
-    pub fn turned_up(&mut self, now_s: f64, block: &str, token: u64, machine: &str) {
+    pub fn record(&mut self, now_s: f64, block: &str, token: u64, machine: &str) {
         if !self.seen.contains_key(block) {
             self.seen.insert(block.to_string(), Default::default());
         }
@@ -65,7 +65,7 @@
     }
 
     /// How many turned up of each block in the last `span_s`; older ones are dropped.
-    pub fn told(&mut self, now_s: f64, span_s: f64) -> Vec<(String, u32)> {
+    pub fn counts(&mut self, now_s: f64, span_s: f64) -> Vec<(String, u32)> {
         self.seen.retain(|_, (_, machines)| {
             machines.retain(|_, at| now_s - *at < span_s);
             !machines.is_empty()
@@ -100,13 +100,13 @@
 
     #[test]
     fn a_worker_counts_once_and_not_after_its_block_was_lent_anew() {
-        let mut strays = Strays::default();
-        strays.turned_up(1.0, "east", 7, "i-1");
-        strays.turned_up(2.0, "east", 7, "i-1");
-        strays.turned_up(2.0, "east", 7, "i-2");
-        assert_eq!(strays.told(3.0, 8.0), [("east".to_string(), 2)]);
-        strays.turned_up(4.0, "east", 9, "i-1");
-        assert_eq!(strays.told(4.0, 8.0), [("east".to_string(), 1)]);
-        assert!(strays.told(13.0, 8.0).is_empty());
+        let mut strays = MisroutedWorkers::default();
+        strays.record(1.0, "east", 7, "i-1");
+        strays.record(2.0, "east", 7, "i-1");
+        strays.record(2.0, "east", 7, "i-2");
+        assert_eq!(strays.counts(3.0, 8.0), [("east".to_string(), 2)]);
+        strays.record(4.0, "east", 9, "i-1");
+        assert_eq!(strays.counts(4.0, 8.0), [("east".to_string(), 1)]);
+        assert!(strays.counts(13.0, 8.0).is_empty());
     }
 }
--- a/crates/protocol/src/cloud.rs
+++ b/crates/protocol/src/cloud.rs
@@ -25,7 +25,7 @@
 }
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct MachineTypes {
+pub struct MachineTypesResponse {
     #[serde(rename = "builds")]
     pub types: Vec<MachineType>,
 }
@@ -35,7 +35,7 @@
     #[serde(rename = "ask")]
     pub request: String,
     #[serde(rename = "build")]
-    pub kind: String,
+    pub machine_type: String,
     #[serde(rename = "yard")]
     pub zone: String,
     #[serde(rename = "loaners")]
@@ -67,13 +67,13 @@
 }
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Listed {
+pub struct ListedMachine {
     #[serde(rename = "uid")]
     pub name: String,
     #[serde(default)]
     pub address: String,
     #[serde(rename = "build")]
-    pub kind: String,
+    pub machine_type: String,
     #[serde(rename = "yard")]
     pub zone: String,
     #[serde(rename = "loaners")]
@@ -87,7 +87,7 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct MachineList {
     #[serde(rename = "rigs")]
-    pub machines: Vec<Listed>,
+    pub machines: Vec<ListedMachine>,
     #[serde(rename = "truncated", default)]
     pub more: bool,
 }
--- a/crates/protocol/src/jobs.rs
+++ b/crates/protocol/src/jobs.rs
@@ -28,7 +28,8 @@
 /// A job as its user describes it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    pub uid: String,
+    #[serde(rename = "uid")]
+    pub id: String,
     #[serde(rename = "lane")]
     pub class: String,
     #[serde(rename = "crew")]
@@ -84,7 +85,7 @@
     }
 
     fn check(&self) -> Result<(), String> {
-        if !is_job_id(&self.uid) {
+        if !is_job_id(&self.id) {
             return Err("uid: not a job id".into());
         }
         if self.tasks == 0 || self.tasks > MAX_TASKS {
@@ -146,7 +147,7 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Stance {
+pub enum StatusPhase {
     Queued,
     Running,
     Done,
@@ -156,16 +157,17 @@
 
 /// The answer to every question about a job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct JobState {
-    pub uid: String,
+pub struct JobStatus {
+    #[serde(rename = "uid")]
+    pub job: String,
     #[serde(rename = "stance")]
-    pub state: Stance,
+    pub phase: StatusPhase,
     pub done: u32,
     pub running: u32,
 }
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Refusal {
+pub struct ErrorBody {
     pub error: String,
 }
 
--- a/crates/protocol/src/peers.rs
+++ b/crates/protocol/src/peers.rs
@@ -5,74 +5,87 @@
 /// One controller's condition, exchanged a few times a second. Fields that came
 /// later may be missing.
 #[derive(Debug, Clone, Default, Serialize, Deserialize, PartialEq)]
-pub struct Hello {
+pub struct PeerHeartbeat {
     pub member: String,
     /// Milliseconds since the state service last answered this node.
-    pub state_age_ms: u64,
+    #[serde(rename = "state_age_ms")]
+    pub staleness_ms: u64,
     /// The newest revision that this node has seen.
     pub revision: u64,
     /// One per process; 0 if it isn't told.
     #[serde(default)]
-    pub nonce: u64,
+    #[serde(rename = "nonce")]
+    pub incarnation: u64,
     /// How late its timers are in the mean of a round, in milliseconds.
     #[serde(default)]
-    pub late_ms: u64,
+    #[serde(rename = "late_ms")]
+    pub lag_ms: u64,
     /// The share of time in which its thread was busy of late, in thousandths.
     #[serde(default)]
-    pub busy: u16,
+    #[serde(rename = "busy")]
+    pub busy_permille: u16,
     /// If it leads, milliseconds since its last planning round was finished.
     #[serde(default)]
-    pub planned_ms: Option<u64>,
+    #[serde(rename = "planned_ms")]
+    pub last_round_ms: Option<u64>,
     /// And how far its rounds are apart in the mean, in milliseconds.
     #[serde(default)]
-    pub pace_ms: u64,
+    #[serde(rename = "pace_ms")]
+    pub round_interval_ms: u64,
     /// What it knows of the other controllers at first hand.
     #[serde(default)]
-    pub sights: Vec<Sight>,
+    #[serde(rename = "sights")]
+    pub observations: Vec<PeerObservation>,
     /// Blocks lent to it of whose machines it has heard none for longer than chance
     /// allows.
     #[serde(default)]
-    pub deaf: Vec<String>,
+    #[serde(rename = "deaf")]
+    pub unreachable_shards: Vec<String>,
     /// Workers of others' blocks that turned up at it of late, by block.
     #[serde(default)]
-    pub strays: Vec<(String, u32)>,
+    #[serde(rename = "strays")]
+    pub misrouted_workers: Vec<(String, u32)>,
 }
 
 /// What one controller knows of another.
 #[derive(Debug, Clone, Default, Serialize, Deserialize, PartialEq)]
-pub struct Sight {
+pub struct PeerObservation {
     pub member: String,
     /// The process that it means.
-    pub nonce: u64,
+    #[serde(rename = "nonce")]
+    pub incarnation: u64,
     /// Milliseconds since that process was heard of; none if never.
-    pub heard_ms: Option<u64>,
+    #[serde(rename = "heard_ms")]
+    pub last_heard_ms: Option<u64>,
     /// Its port refused the latest greetings.
     pub refused: bool,
 }
 
 /// A node that can't read the state service asks for a job on a user's behalf.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
-pub struct AskJob {
-    pub uid: String,
+pub struct JobStatusQuery {
+    #[serde(rename = "uid")]
+    pub job: String,
 }
 
 /// The job as of a read made after the question; `None` if there is none.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
-pub struct JobAnswer {
-    pub state: Option<crate::jobs::JobState>,
+pub struct JobStatusReply {
+    #[serde(rename = "state")]
+    pub status: Option<crate::jobs::JobStatus>,
 }
 
 /// A user's change that a node can't commit itself: a submission, or the
 /// cancellation of a job.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
-pub enum Change {
+pub enum ForwardedRequest {
     Submit(Vec<u8>),
     Cancel(String),
 }
 
 /// What the peer would have answered that user.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
-pub struct Changed {
+pub struct ForwardedResponse {
     pub status: u16,
     pub body: Vec<u8>,
 }
@@ -107,24 +120,24 @@
             state_age_ms: 3,
             revision: 9,
         };
-        let hello: Hello = decode(&encode(&older)).unwrap();
+        let hello: PeerHeartbeat = decode(&encode(&older)).unwrap();
         assert_eq!(
-            (hello.revision, hello.nonce, hello.planned_ms),
+            (hello.revision, hello.incarnation, hello.last_round_ms),
             (9, 0, None)
         );
     }
 
     #[test]
     fn garbage_is_no_message() {
-        let hello = Hello {
+        let hello = PeerHeartbeat {
             member: "walker-0".into(),
-            state_age_ms: 3,
+            staleness_ms: 3,
             revision: 9,
-            sights: vec![Sight::default()],
-            ..Hello::default()
+            observations: vec![PeerObservation::default()],
+            ..PeerHeartbeat::default()
         };
         assert_eq!(decode(&encode(&hello)), Some(hello));
-        assert_eq!(decode::<Hello>(&[0xff, 0x00, 0x9f]), None);
-        assert_eq!(decode::<Hello>(&[0x9f; 4096]), None);
+        assert_eq!(decode::<PeerHeartbeat>(&[0xff, 0x00, 0x9f]), None);
+        assert_eq!(decode::<PeerHeartbeat>(&[0x9f; 4096]), None);
     }
 }
--- a/crates/protocol/src/settings.rs
+++ b/crates/protocol/src/settings.rs
@@ -12,15 +12,15 @@
     pub public_addr: String,
     pub mesh_addr: String,
     #[serde(rename = "others", default)]
-    pub peers: Vec<Peer>,
+    pub peers: Vec<PeerSettings>,
     #[serde(rename = "outside")]
-    pub services: Services,
+    pub endpoints: ServiceAddresses,
     #[serde(rename = "settings")]
-    pub site: Site,
+    pub site: SiteSettings,
 }
 
 #[derive(Debug, Clone, Deserialize)]
-pub struct Peer {
+pub struct PeerSettings {
     pub member: String,
     #[serde(rename = "domain")]
     pub zone: String,
@@ -28,13 +28,14 @@
 }
 
 #[derive(Debug, Clone, Deserialize)]
-pub struct Services {
+pub struct ServiceAddresses {
     pub cloud: String,
-    pub state: String,
+    #[serde(rename = "state")]
+    pub store: String,
 }
 
 #[derive(Debug, Clone, Deserialize)]
-pub struct Site {
+pub struct SiteSettings {
     pub zones: Vec<String>,
     #[serde(default)]
     pub skew_ms: f64,
@@ -42,11 +43,12 @@
     pub teams: Vec<Team>,
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    pub workers: Workers,
-    pub state: StateLimits,
+    pub workers: WorkerTiming,
+    #[serde(rename = "state")]
+    pub store: StoreLimits,
     pub cloud: CloudLimits,
     #[serde(rename = "quota")]
-    pub limits: Limits,
+    pub limits: ProcessLimits,
 }
 
 /// A team's guarantee and limit; 0 means none.
@@ -75,8 +77,9 @@
 }
 
 #[derive(Debug, Clone, Deserialize)]
-pub struct Workers {
-    pub report_s: f64,
+pub struct WorkerTiming {
+    #[serde(rename = "report_s")]
+    pub heartbeat_s: f64,
     pub lease_s: f64,
     pub gang_wait_s: f64,
     pub gang_peer_s: f64,
@@ -84,7 +87,7 @@
 }
 
 #[derive(Debug, Clone, Deserialize)]
-pub struct StateLimits {
+pub struct StoreLimits {
     pub rps: f64,
     pub write_rps: f64,
     pub value_kb: f64,
@@ -99,7 +102,7 @@
 }
 
 #[derive(Debug, Clone, Deserialize)]
-pub struct Limits {
+pub struct ProcessLimits {
     pub cpu_share: f64,
     pub mem_mb: f64,
     pub fd_limit: f64,
@@ -107,13 +110,13 @@
 
 #[derive(Debug, thiserror::Error)]
 #[error("{field}: {reason}")]
-pub struct Invalid {
+pub struct SettingsError {
     pub field: String,
     pub reason: String,
 }
 
-fn invalid(field: impl Into<String>, reason: impl Into<String>) -> Result<(), Invalid> {
-    Err(Invalid {
+fn invalid(field: impl Into<String>, reason: impl Into<String>) -> Result<(), SettingsError> {
+    Err(SettingsError {
         field: field.into(),
         reason: reason.into(),
     })
@@ -121,8 +124,8 @@
 
 impl Settings {
     /// Reads and checks a settings file. Errors are one line.
-    pub fn parse(text: &str) -> Result<Settings, Invalid> {
-        let settings: Settings = toml::from_str(text).map_err(|e| Invalid {
+    pub fn parse(text: &str) -> Result<Settings, SettingsError> {
+        let settings: Settings = toml::from_str(text).map_err(|e| SettingsError {
             field: "settings file".into(),
             reason: describe(&e, text),
         })?;
@@ -130,15 +133,15 @@
         Ok(settings)
     }
 
-    fn check(&self) -> Result<(), Invalid> {
+    fn check(&self) -> Result<(), SettingsError> {
         if self.member.is_empty() || self.member.len() > 100 || self.member.contains(['/', ' ']) {
             return invalid("member", "must be a name without spaces or slashes");
         }
         let mut addresses = vec![
             ("public_addr".to_string(), &self.public_addr),
             ("mesh_addr".to_string(), &self.mesh_addr),
-            ("outside.cloud".to_string(), &self.services.cloud),
-            ("outside.state".to_string(), &self.services.state),
+            ("outside.cloud".to_string(), &self.endpoints.cloud),
+            ("outside.state".to_string(), &self.endpoints.store),
         ];
         let mut names = HashSet::from([self.member.as_str()]);
         for peer in &self.peers {
@@ -163,8 +166,8 @@
     }
 }
 
-impl Site {
-    fn check(&self) -> Result<(), Invalid> {
+impl SiteSettings {
+    fn check(&self) -> Result<(), SettingsError> {
         if self.zones.is_empty() {
             return invalid("settings.zones", "at least one zone is needed");
         }
@@ -180,15 +183,15 @@
             return invalid("settings.zones", format!("{twice} is named twice"));
         }
         let positive = [
-            ("settings.workers.report_s", self.workers.report_s),
+            ("settings.workers.report_s", self.workers.heartbeat_s),
             ("settings.workers.lease_s", self.workers.lease_s),
             ("settings.workers.gang_wait_s", self.workers.gang_wait_s),
             ("settings.workers.gang_peer_s", self.workers.gang_peer_s),
             ("settings.workers.cancel_s", self.workers.cancel_s),
-            ("settings.state.rps", self.state.rps),
-            ("settings.state.write_rps", self.state.write_rps),
-            ("settings.state.value_kb", self.state.value_kb),
-            ("settings.state.txn_ops", self.state.txn_ops as f64),
+            ("settings.state.rps", self.store.rps),
+            ("settings.state.write_rps", self.store.write_rps),
+            ("settings.state.value_kb", self.store.value_kb),
+            ("settings.state.txn_ops", self.store.txn_ops as f64),
             ("settings.cloud.rps", self.cloud.rps),
         ];
         for (field, value) in positive {
@@ -207,13 +210,13 @@
                 return invalid(field, format!("{value} is neither 0 nor at least {least}"));
             }
         }
-        if self.state.txn_ops < 4 {
+        if self.store.txn_ops < 4 {
             return invalid(
                 "settings.state.txn_ops",
                 "fewer than 4 can't be worked with",
             );
         }
-        if self.workers.lease_s < 3.0 * self.workers.report_s {
+        if self.workers.lease_s < 3.0 * self.workers.heartbeat_s {
             return invalid(
                 "settings.workers.lease_s",
                 "must be at least three times report_s",
--- a/crates/protocol/src/store.rs
+++ b/crates/protocol/src/store.rs
@@ -7,7 +7,7 @@
 pub type Value = Box<RawValue>;
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Item {
+pub struct KeyValue {
     pub key: String,
     #[serde(rename = "v")]
     pub value: Value,
@@ -16,9 +16,9 @@
 }
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Items {
+pub struct KeyValuePage {
     #[serde(rename = "entries")]
-    pub items: Vec<Item>,
+    pub entries: Vec<KeyValue>,
     #[serde(rename = "truncated", default)]
     pub more: bool,
     #[serde(rename = "ledger")]
@@ -54,7 +54,7 @@
 }
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Committed {
+pub struct CommitResponse {
     #[serde(rename = "ledger")]
     pub revision: u64,
 }
@@ -72,7 +72,7 @@
 }
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Event {
+pub struct WatchEvent {
     #[serde(rename = "write", default, skip_serializing_if = "Option::is_none")]
     pub put: Option<String>,
     #[serde(rename = "v", default, skip_serializing_if = "Option::is_none")]
@@ -83,7 +83,7 @@
     pub version: u64,
 }
 
-impl Event {
+impl WatchEvent {
     pub fn key(&self) -> &str {
         let key = self.put.as_ref().or(self.delete.as_ref());
         key.map_or("", String::as_str)
@@ -91,14 +91,14 @@
 }
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Changes {
+pub struct WatchResponse {
     #[serde(rename = "ledger")]
     pub revision: u64,
-    pub events: Vec<Event>,
+    pub events: Vec<WatchEvent>,
 }
 
 impl Transaction {
-    pub fn when(mut self, key: impl Into<String>, version: u64) -> Self {
+    pub fn expect_version(mut self, key: impl Into<String>, version: u64) -> Self {
         let key = key.into();
         if !self.conditions.iter().any(|c| c.key == key) {
             self.conditions.push(Condition { key, version });
@@ -146,7 +146,7 @@
     #[test]
     fn a_transaction_is_written_as_the_protocol_says() {
         let txn = Transaction::default()
-            .when("a/b", 0)
+            .expect_version("a/b", 0)
             .put_leased("a/b", &serde_json::json!({}), 7)
             .delete("c/d");
         assert_eq!(
@@ -157,7 +157,7 @@
 
     #[test]
     fn the_protocols_changes_are_read() {
-        let changes: Changes = serde_json::from_str(
+        let changes: WatchResponse = serde_json::from_str(
             r#"{"ledger":433,"events":[{"write":"c/9","v":{"x":1},"stamp":433},{"drop":"c/d","stamp":432}]}"#,
         )
         .unwrap();
--- a/crates/protocol/src/worker.rs
+++ b/crates/protocol/src/worker.rs
@@ -4,10 +4,10 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum TaskState {
+pub enum TaskPhase {
     Fetching,
     #[serde(rename = "gathering")]
-    Waiting,
+    WaitingForGang,
     Running,
     Saving,
     #[serde(rename = "ended")]
@@ -22,8 +22,10 @@
 pub enum ExitCause {
     Done,
     Stopped,
-    Peers,
-    Alone,
+    #[serde(rename = "peers")]
+    GangPeerLost,
+    #[serde(rename = "alone")]
+    GangIncomplete,
     Error,
     #[serde(rename = "full")]
     NoRoom,
@@ -34,27 +36,28 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TaskReport {
+pub struct TaskStatus {
     #[serde(rename = "piece")]
     pub task: String,
     #[serde(rename = "try")]
     pub attempt: u64,
     #[serde(rename = "stance")]
-    pub state: TaskState,
+    pub phase: TaskPhase,
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub cause: Option<ExitCause>,
+    #[serde(rename = "cause")]
+    pub exit_cause: Option<ExitCause>,
     #[serde(rename = "stored", default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct Heartbeat {
     #[serde(rename = "rig")]
     pub machine: String,
     #[serde(default)]
     pub address: String,
     #[serde(rename = "build", default)]
-    pub kind: String,
+    pub machine_type: String,
     #[serde(rename = "yard", default)]
     pub zone: String,
     #[serde(rename = "loaners", default)]
@@ -62,32 +65,35 @@
     #[serde(rename = "stint")]
     pub session: u64,
     #[serde(rename = "tally")]
-    pub seq: u64,
+    pub sequence: u64,
     #[serde(rename = "baton", default)]
     pub token: u64,
     #[serde(rename = "recallS", default)]
     pub notice_s: Option<f64>,
     #[serde(rename = "pieces", default)]
-    pub tasks: Vec<TaskReport>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb", rename_all = "lowercase")]
 pub enum Command {
     Run {
-        piece: String,
+        #[serde(rename = "piece")]
+        task: String,
         #[serde(rename = "try")]
         attempt: u64,
     },
     Stop {
-        piece: String,
+        #[serde(rename = "piece")]
+        task: String,
         #[serde(rename = "try")]
         attempt: u64,
         #[serde(rename = "leewayS")]
         grace_s: f64,
     },
     Forget {
-        piece: String,
+        #[serde(rename = "piece")]
+        task: String,
         #[serde(rename = "try")]
         attempt: u64,
     },
@@ -95,7 +101,7 @@
 
 /// The answer to a report.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Answer {
+pub struct HeartbeatResponse {
     #[serde(rename = "baton")]
     pub token: u64,
     #[serde(rename = "orders")]
@@ -104,7 +110,7 @@
 
 /// Commands sent to a worker's own address.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct DirectCommands {
+pub struct CommandBatch {
     #[serde(rename = "baton")]
     pub token: u64,
     #[serde(rename = "stint")]
@@ -115,7 +121,7 @@
 
 /// Body of a 421: where the worker should report.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Elsewhere {
+pub struct Redirect {
     #[serde(rename = "steward", default, skip_serializing_if = "Option::is_none")]
     pub report_to: Option<String>,
 }
@@ -126,33 +132,33 @@
 
     #[test]
     fn the_protocols_report_is_read() {
-        let report: Report = serde_json::from_str(
+        let report: Heartbeat = serde_json::from_str(
             r#"{"rig":"i-000231","address":"10.1.0.232:9000","build":"g8","yard":"a",
             "loaners":true,"stint":1,"tally":88,"baton":41,"recallS":null,
             "pieces":[{"piece":"j-000412/3","try":2,"stance":"running"},
             {"piece":"j-000398/0","try":1,"stance":"ended","cause":"done"}]}"#,
         )
         .unwrap();
-        assert_eq!((report.session, report.seq, report.token), (1, 88, 41));
-        assert_eq!(report.tasks[1].cause, Some(ExitCause::Done));
+        assert_eq!((report.session, report.sequence, report.token), (1, 88, 41));
+        assert_eq!(report.tasks[1].exit_cause, Some(ExitCause::Done));
     }
 
     #[test]
     fn commands_are_written_as_the_protocol_says() {
-        let answer = Answer {
+        let answer = HeartbeatResponse {
             token: 41,
             commands: vec![
                 Command::Run {
-                    piece: "j-000412/4".into(),
+                    task: "j-000412/4".into(),
                     attempt: 2,
                 },
                 Command::Stop {
-                    piece: "j-000377/1".into(),
+                    task: "j-000377/1".into(),
                     attempt: 1,
                     grace_s: 10.0,
                 },
                 Command::Forget {
-                    piece: "j-000398/0".into(),
+                    task: "j-000398/0".into(),
                     attempt: 1,
                 },
             ],
--- a/crates/protocol/tests/stored_data.rs
+++ b/crates/protocol/tests/stored_data.rs
@@ -2,9 +2,15 @@
 //! must stay the same to the byte. The files under `fixtures/` were written by the program
 //! at f94b32f; a field renamed without `serde(rename)` fails these tests.
 
-use rushwalk_protocol::jobs::JobState;
-use rushwalk_protocol::peers::{AskJob, Change, Changed, Hello, JobAnswer, decode, encode};
-use rushwalk_protocol::records::{self as rec, Base, Entry, Grant, Leader, Member, Op, Types};
+use rushwalk_protocol::jobs::JobStatus;
+use rushwalk_protocol::peers::{
+    ForwardedRequest, ForwardedResponse, JobStatusQuery, JobStatusReply, PeerHeartbeat, decode,
+    encode,
+};
+use rushwalk_protocol::records::{
+    self as rec, LeaderRecord, LogEntry, MachineTypes, MemberRecord, Mutation, ShardLease,
+    SnapshotManifest,
+};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
@@ -24,12 +30,12 @@
 fn rewritten_record(key: &str, value: &str) -> String {
     let rest = key.strip_prefix(rec::ROOT).expect(key);
     match rest.split_once('/') {
-        Some(("m", _)) => rewritten::<Member>(value),
-        Some(("g", _)) => rewritten::<Grant>(value),
-        Some(("l" | "s", _)) => rewritten::<Entry>(value),
-        _ if key == rec::LEADER => rewritten::<Leader>(value),
-        _ if key == rec::TYPES => rewritten::<Types>(value),
-        _ if key == rec::BASE => rewritten::<Base>(value),
+        Some(("m", _)) => rewritten::<MemberRecord>(value),
+        Some(("g", _)) => rewritten::<ShardLease>(value),
+        Some(("l" | "s", _)) => rewritten::<LogEntry>(value),
+        _ if key == rec::LEADER => rewritten::<LeaderRecord>(value),
+        _ if key == rec::TYPES => rewritten::<MachineTypes>(value),
+        _ if key == rec::BASE => rewritten::<SnapshotManifest>(value),
         _ => panic!("{key}: no such record"),
     }
 }
@@ -39,11 +45,11 @@
         encode(&decode::<T>(bytes).expect("a message of that kind"))
     }
     match name {
-        "peer-heartbeat" | "peer-heartbeat-of-a-follower" => again::<Hello>(bytes),
-        "job-query" => again::<AskJob>(bytes),
-        "job-reply" | "job-reply-of-an-unknown-job" => again::<JobAnswer>(bytes),
-        "forwarded-submission" | "forwarded-cancellation" => again::<Change>(bytes),
-        "forwarded-response" => again::<Changed>(bytes),
+        "peer-heartbeat" | "peer-heartbeat-of-a-follower" => again::<PeerHeartbeat>(bytes),
+        "job-query" => again::<JobStatusQuery>(bytes),
+        "job-reply" | "job-reply-of-an-unknown-job" => again::<JobStatusReply>(bytes),
+        "forwarded-submission" | "forwarded-cancellation" => again::<ForwardedRequest>(bytes),
+        "forwarded-response" => again::<ForwardedResponse>(bytes),
         _ => panic!("{name}: no such message"),
     }
 }
@@ -63,14 +69,14 @@
 fn stored_records_are_read_and_written_as_they_were() {
     assert_eq!(MUTATIONS.lines().count(), 32);
     for line in MUTATIONS.lines() {
-        assert_eq!(rewritten::<Op>(line), line);
+        assert_eq!(rewritten::<Mutation>(line), line);
     }
     assert_eq!(pairs(RECORDS).count() + pairs(SNAPSHOT).count(), 11);
     for (key, value) in pairs(RECORDS).chain(pairs(SNAPSHOT)) {
         assert_eq!(rewritten_record(key, value), value, "{key}");
     }
     for line in JOB_STATUSES.lines() {
-        assert_eq!(rewritten::<JobState>(line), line);
+        assert_eq!(rewritten::<JobStatus>(line), line);
     }
 }
 
--- a/crates/rushwalk/src/admin.rs
+++ b/crates/rushwalk/src/admin.rs
@@ -1,11 +1,11 @@
 //! The administration API, on the mesh address only: what an on-call person
 //! asks first. Read-only.
 
-use crate::node::{Node, lock};
+use crate::node::{Controller, lock};
 use poem::web::{Data, Query};
 use poem::{Response, handler};
-use rushwalk_clients::{Http, Method};
-use rushwalk_protocol::records::Stage;
+use rushwalk_clients::{HttpClient, Method};
+use rushwalk_protocol::records::MachineLifecycle;
 use serde::Deserialize;
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -24,7 +24,7 @@
 }
 
 #[derive(Default)]
-struct Count {
+struct MachineCounts {
     all: usize,
     up: usize,
     silent: usize,
@@ -35,17 +35,19 @@
 
 /// Leader, members, grants, machines by zone and type, waiting jobs by reason.
 #[handler]
-pub async fn status(node: Data<&Arc<Node>>) -> Response {
+pub async fn status(node: Data<&Arc<Controller>>) -> Response {
     let own = crate::handover::own(&node);
     let view = node.view();
-    let mut groups: BTreeMap<(&str, &str, bool), Count> = BTreeMap::new();
+    let mut groups: BTreeMap<(&str, &str, bool), MachineCounts> = BTreeMap::new();
     for row in view.machines.values() {
-        let m = &row.machine;
-        let count = groups.entry((&m.zone, &m.kind, m.spot)).or_default();
+        let m = &row.record;
+        let count = groups
+            .entry((&m.zone, &m.machine_type, m.spot))
+            .or_default();
         count.all += 1;
-        count.up += usize::from(m.up.is_some());
-        count.silent += usize::from(m.silent.is_some());
-        count.leaving += usize::from(m.stage != Stage::Use);
+        count.up += usize::from(m.ready_ms.is_some());
+        count.silent += usize::from(m.unreachable_since_ms.is_some());
+        count.leaving += usize::from(m.lifecycle != MachineLifecycle::Active);
         count.idle += usize::from(row.tasks.is_empty());
         count.tasks += row.tasks.len();
     }
@@ -57,11 +59,11 @@
         })
         .collect();
     let grants: Vec<_> = view
-        .grants
+        .shard_leases
         .iter()
         .map(|(block, (token, grant))| {
-            let machines = view.blocks.get(block).map_or(0, |b| b.len());
-            json!({"block": &**block, "holder": grant.holder, "token": token,
+            let machines = view.shards.get(block).map_or(0, |b| b.len());
+            json!({"block": &**block, "holder": grant.owner, "token": token,
                 "machines": machines})
         })
         .collect();
@@ -69,7 +71,7 @@
     // Only the leader plans, so only it knows why a job waits.
     let mut reasons: BTreeMap<&str, Vec<String>> = BTreeMap::new();
     if leads {
-        for (job, why) in &lock(&node.leading).waits {
+        for (job, why) in &lock(&node.leader_state).pending_reasons {
             reasons.entry(why).or_default().push(job.clone());
         }
     }
@@ -77,22 +79,25 @@
         .into_iter()
         .map(|(why, jobs)| json!({"why": why, "jobs": jobs.len(), "first": &jobs[..jobs.len().min(NAMED)]}))
         .collect();
-    let (up_s, busy_s) = node.busy();
-    let recovery = lock(&node.recovery);
-    let (trouble, last_trouble) = recovery.told();
-    let (connections, workers) = node.seats.count();
-    let age = node.synced.get().map(|at| at.elapsed().as_secs_f64());
-    answer(json!({"member": node.me(), "leads": leads,
+    let (up_s, busy_s) = node.busy_seconds();
+    let recovery = lock(&node.incidents);
+    let (trouble, last_trouble) = recovery.summary();
+    let (connections, workers) = node.connections.count();
+    let age = node
+        .last_read_sent
+        .get()
+        .map(|at| at.elapsed().as_secs_f64());
+    answer(json!({"member": node.member(), "leads": leads,
         "leader": view.leader.as_ref().map(|(_, l)| l.member.clone()),
         "revision": view.revision, "state_age_s": age, "unreadable": view.unreadable,
-        "snapshot": {"at": view.base.at, "chunks": view.base.chunks, "entries_since": view.entries},
-        "standings": lock(&node.detector).told(node.uptime(), own),
+        "snapshot": {"at": view.snapshot.revision, "chunks": view.snapshot.chunks, "entries_since": view.entries_since_snapshot},
+        "standings": lock(&node.detector).statuses(node.uptime_s(), own),
         "members": view.members.keys().collect::<Vec<_>>(),
-        "grants": grants, "machines": machines, "served": view.served,
-        "up_s": up_s, "busy_s": busy_s, "late_ms": node.load.late().as_millis() as u64,
+        "grants": grants, "machines": machines, "served": view.service_counts,
+        "up_s": up_s, "busy_s": busy_s, "late_ms": node.runtime_lag.recent_lag().as_millis() as u64,
         "trouble": trouble, "last_trouble": last_trouble,
-        "connections": {"open": connections, "workers": workers}, "work": node.meter.told(), "rentals": view.rentals.len(), "jobs_active": view.active.len(),
-        "jobs_live": view.live.len(), "waiting": waiting}))
+        "connections": {"open": connections, "workers": workers}, "work": node.work_profile.summary(), "rentals": view.rentals.len(), "jobs_active": view.active.len(),
+        "jobs_live": view.with_tasks.len(), "waiting": waiting}))
 }
 
 #[derive(Deserialize)]
@@ -103,7 +108,7 @@
 
 /// Machines one by one, a page at a time, in the order of their names.
 #[handler]
-pub async fn page(node: Data<&Arc<Node>>, from: Query<From>) -> Response {
+pub async fn page(node: Data<&Arc<Controller>>, from: Query<From>) -> Response {
     let view = node.view();
     let after = (Bound::Excluded(&*from.after), Bound::Unbounded);
     let mut rest = view.machines.range::<str, _>(after);
@@ -111,10 +116,10 @@
         .by_ref()
         .take(PAGE)
         .map(|(name, row)| {
-            let m = &row.machine;
-            json!({"name": &**name, "type": &*m.kind, "zone": &*m.zone, "spot": m.spot,
-                "block": &*m.block, "leaving": m.stage != Stage::Use, "up": m.up.is_some(),
-                "silent": m.silent.is_some(), "images": m.images.len(),
+            let m = &row.record;
+            json!({"name": &**name, "type": &*m.machine_type, "zone": &*m.zone, "spot": m.spot,
+                "block": &*m.shard, "leaving": m.lifecycle != MachineLifecycle::Active, "up": m.ready_ms.is_some(),
+                "silent": m.unreachable_since_ms.is_some(), "images": m.images.len(),
                 "tasks": row.tasks.iter().map(|(u, i)| format!("{u}/{i}")).collect::<Vec<_>>()})
         })
         .collect();
@@ -125,7 +130,7 @@
 pub async fn ask(address: &str, path: &str) -> Result<String, String> {
     let to = rushwalk_clients::http::address(address).map_err(|e| e.to_string())?;
     let patience = Duration::from_secs(5);
-    let answer: serde_json::Value = Http::new(0)
+    let answer: serde_json::Value = HttpClient::new(0)
         .json(to, Method::GET, path, Vec::new(), patience)
         .await
         .map_err(|e| format!("{address}: {e}"))?;
--- a/crates/rushwalk/src/api.rs
+++ b/crates/rushwalk/src/api.rs
@@ -4,18 +4,18 @@
 mod tests;
 
 use crate::mesh;
-use crate::meter::Work;
-use crate::node::{Node, lock, now_ms};
-use crate::reports::{self, Reply};
+use crate::meter::WorkKind;
+use crate::node::{Controller, lock, now_ms};
+use crate::reports::{self, HeartbeatReply};
 use poem::http::StatusCode;
 use poem::web::{Data, Path, RemoteAddr};
 use poem::{Body, Endpoint, EndpointExt, IntoResponse, Response, Route, get, handler, post};
-use rushwalk_clients::store::Outcome;
+use rushwalk_clients::store::CommitOutcome;
 use rushwalk_protocol::MAX_BODY;
-use rushwalk_protocol::jobs::{JobSpec, JobState, Refusal, Stance, is_job_id};
-use rushwalk_protocol::peers::Change;
-use rushwalk_protocol::records::Op;
-use rushwalk_protocol::worker::{Elsewhere, Report};
+use rushwalk_protocol::jobs::{ErrorBody, JobSpec, JobStatus, StatusPhase, is_job_id};
+use rushwalk_protocol::peers::ForwardedRequest;
+use rushwalk_protocol::records::Mutation;
+use rushwalk_protocol::worker::{Heartbeat, Redirect};
 use rushwalk_scheduler::quota::can_ever_run;
 use serde::Serialize;
 use std::sync::Arc;
@@ -23,7 +23,7 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout};
 
-pub fn routes(node: Arc<Node>) -> impl Endpoint {
+pub fn routes(node: Arc<Controller>) -> impl Endpoint {
     Route::new()
         .at("/api/jobs", post(submit))
         .at("/api/jobs/:uid", get(ask))
@@ -43,7 +43,7 @@
 fn refuse(status: StatusCode, error: impl Into<String>) -> Response {
     json(
         status,
-        &Refusal {
+        &ErrorBody {
             error: error.into(),
         },
     )
@@ -59,21 +59,21 @@
 }
 
 /// Refused for want of changes: come back when the budget will have some.
-fn too_many(node: &Node) -> Response {
-    node.refused.fetch_add(1, Ordering::Relaxed);
-    let wait = lock(&node.write_budget).wait(1.0, 0.0, Instant::now());
+fn too_many(node: &Controller) -> Response {
+    node.rejected_requests.fetch_add(1, Ordering::Relaxed);
+    let wait = lock(&node.write_budget).time_until(1.0, 0.0, Instant::now());
     refuse_until(StatusCode::TOO_MANY_REQUESTS, "too many requests", wait)
 }
 
 /// Refused because the state service is out of reach, or not in view yet: it is
 /// tried anew within a quarter of a round.
-fn not_now(node: &Node, why: &str) -> Response {
-    refuse_until(StatusCode::SERVICE_UNAVAILABLE, why, node.times.round / 4)
+fn not_now(node: &Controller, why: &str) -> Response {
+    refuse_until(StatusCode::SERVICE_UNAVAILABLE, why, node.timing.round / 4)
 }
 
 /// The same to a user.
-fn unserved(node: &Node, why: &str) -> Response {
-    node.refused.fetch_add(1, Ordering::Relaxed);
+fn unserved(node: &Controller, why: &str) -> Response {
+    node.rejected_requests.fetch_add(1, Ordering::Relaxed);
     not_now(node, why)
 }
 
@@ -91,27 +91,27 @@
 const PATIENCE: Duration = Duration::from_millis(1500);
 
 #[handler]
-async fn submit(body: Body, node: Data<&Arc<Node>>) -> Response {
+async fn submit(body: Body, node: Data<&Arc<Controller>>) -> Response {
     let body = match bytes(body).await {
         Ok(body) => body,
         Err(response) => return response,
     };
-    let change = Change::Submit(body.clone());
+    let change = ForwardedRequest::Submit(body.clone());
     here_or_there(&node, submit_here(&node, &body), &change).await
 }
 
 /// Carries a change out here; by a peer if that is refused, and beside it if it
 /// takes long. Both may do it: the second time changes nothing.
 async fn here_or_there(
-    node: &Node,
+    node: &Controller,
     here: impl Future<Output = Response>,
-    change: &Change,
+    change: &ForwardedRequest,
 ) -> Response {
     let refused = |r: &Response| r.status() == StatusCode::SERVICE_UNAVAILABLE;
     let mut late = cut_off(node);
     let mut here = std::pin::pin!(here);
     if !late {
-        match timeout(node.times.round / 6, &mut here).await {
+        match timeout(node.timing.round / 6, &mut here).await {
             Ok(response) if !refused(&response) => return response,
             Ok(_) => late = true,
             Err(_) => {}
@@ -136,12 +136,12 @@
 
 /// Whether this node has not read the state service for longer than it does
 /// when nothing is asked of it.
-fn cut_off(node: &Node) -> bool {
-    node.state_age() > node.times.round * 4
+fn cut_off(node: &Controller) -> bool {
+    node.staleness() > node.timing.round * 4
 }
 
 /// A peer's answer in place of ours, which would be 503.
-async fn passed_on(node: &Node, change: &Change) -> Response {
+async fn passed_on(node: &Controller, change: &ForwardedRequest) -> Response {
     match mesh::pass_on(node, change).await {
         Some(answer) if answer.status == 429 => too_many(node),
         Some(answer) => Response::builder()
@@ -152,9 +152,9 @@
     }
 }
 
-pub async fn submit_here(node: &Arc<Node>, body: &[u8]) -> Response {
-    let mut turn = node.meter.turn(Work::User);
-    turn.looked_at(1);
+pub async fn submit_here(node: &Arc<Controller>, body: &[u8]) -> Response {
+    let mut turn = node.work_profile.start(WorkKind::UserRequest);
+    turn.add_items(1);
     // A known job is answered by its state, however the request looks now.
     let named = serde_json::from_slice::<serde_json::Value>(body).ok();
     let uid = named
@@ -172,7 +172,7 @@
     drop(turn);
     let refused = match &parsed {
         Ok(spec) => {
-            let Some(types) = node.view().types.clone() else {
+            let Some(types) = node.view().machine_types.clone() else {
                 return not_now(node, "the machine types are not known yet");
             };
             let site = &node.settings.site;
@@ -185,10 +185,10 @@
     if let Some((status, why)) = refused {
         // It may have been accepted elsewhere, with another body.
         if let Some(uid) = uid {
-            if !node.fresh(PATIENCE).await {
+            if !node.linearizable_read(PATIENCE).await {
                 return not_now(node, "the state service does not answer");
             }
-            let known = node.view().state_of(uid);
+            let known = node.view().job_status(uid);
             if let Some(state) = known {
                 return json(StatusCode::OK, &state);
             }
@@ -199,20 +199,22 @@
     let Ok(spec) = parsed else {
         return refuse(StatusCode::BAD_REQUEST, "malformed");
     };
-    let uid = spec.uid.clone();
+    let uid = spec.id.clone();
     let (class, tasks) = (spec.class.clone(), spec.tasks);
-    match change(node, Op::Submit(Arc::new(spec), now_ms())).await {
-        Some(Outcome::Done(_)) => {
+    match change(node, Mutation::Submit(Arc::new(spec), now_ms())).await {
+        Some(CommitOutcome::Committed(_)) => {
             // Who was first decides: a known job's state is told as it is.
             tracing::info!(job = uid, class, tasks, "job accepted");
-            let state = node.view().state_of(&uid);
+            let state = node.view().job_status(&uid);
             match state {
-                Some(state) if state.state == Stance::Queued => json(StatusCode::CREATED, &state),
+                Some(state) if state.phase == StatusPhase::Queued => {
+                    json(StatusCode::CREATED, &state)
+                }
                 Some(state) => json(StatusCode::OK, &state),
                 None => not_now(node, "try again"),
             }
         }
-        Some(Outcome::Refused(error)) if error.status() == Some(429) => too_many(node),
+        Some(CommitOutcome::Rejected(error)) if error.status() == Some(429) => too_many(node),
         None => too_many(node),
         _ => not_now(node, "the state service does not answer"),
     }
@@ -220,17 +222,19 @@
 
 /// A user's change goes into the log with those that arrive beside it; `None`
 /// if there are too many.
-async fn change(node: &Node, op: Op) -> Option<Outcome> {
+async fn change(node: &Controller, op: Mutation) -> Option<CommitOutcome> {
     let (tell, told) = tokio::sync::oneshot::channel();
-    node.users.try_send((op, tell)).ok()?;
+    node.user_writes.try_send((op, tell)).ok()?;
     told.await.ok()
 }
 
 /// A job's state: final ones from memory, others from a fresh view.
-async fn answer(node: &Node, uid: &str) -> Response {
+async fn answer(node: &Controller, uid: &str) -> Response {
     let known = {
         let view = node.view();
-        view.is_over(uid).then(|| view.state_of(uid)).flatten()
+        view.is_finished(uid)
+            .then(|| view.job_status(uid))
+            .flatten()
     };
     if let Some(state) = known {
         return json(StatusCode::OK, &state);
@@ -238,36 +242,36 @@
     // Known to be cut off: a peer's fresh read is as good, and comes sooner. Only slow:
     // it may come sooner, and it is waited for as long as the user waits.
     let (patience, most) = match cut_off(node) {
-        false => (node.times.round * 2 / 3, PATIENCE),
-        true => (node.times.round / 10, node.times.round / 10),
+        false => (node.timing.round * 2 / 3, PATIENCE),
+        true => (node.timing.round / 10, node.timing.round / 10),
     };
-    let mut fresh = std::pin::pin!(node.fresh(most));
+    let mut fresh = std::pin::pin!(node.linearizable_read(most));
     let read = match timeout(patience, &mut fresh).await {
         Ok(read) => read,
         Err(_) => tokio::select! {
             biased;
             read = &mut fresh => read,
             answer = mesh::ask_peers(node, uid) => match answer {
-                Some(answer) => return told(node, answer.state),
+                Some(answer) => return told(node, answer.status),
                 None => fresh.await,
             },
         },
     };
     if read {
-        let state = node.view().state_of(uid);
+        let state = node.view().job_status(uid);
         return told(node, state);
     }
     if cut_off(node)
         && let Some(answer) = mesh::ask_peers(node, uid).await
     {
-        return told(node, answer.state);
+        return told(node, answer.status);
     }
     unserved(node, "the state service does not answer")
 }
 
-fn told(node: &Node, state: Option<JobState>) -> Response {
-    let mut turn = node.meter.turn(Work::User);
-    turn.looked_at(1);
+fn told(node: &Controller, state: Option<JobStatus>) -> Response {
+    let mut turn = node.work_profile.start(WorkKind::UserRequest);
+    turn.add_items(1);
     match state {
         Some(state) => json(StatusCode::OK, &state),
         None => refuse(StatusCode::NOT_FOUND, "no such job"),
@@ -275,42 +279,42 @@
 }
 
 #[handler]
-async fn ask(Path(uid): Path<String>, node: Data<&Arc<Node>>) -> Response {
+async fn ask(Path(uid): Path<String>, node: Data<&Arc<Controller>>) -> Response {
     answer(&node, &uid).await
 }
 
 #[handler]
-async fn cancel(Path(uid): Path<String>, node: Data<&Arc<Node>>) -> Response {
-    let change = Change::Cancel(uid.clone());
+async fn cancel(Path(uid): Path<String>, node: Data<&Arc<Controller>>) -> Response {
+    let change = ForwardedRequest::Cancel(uid.clone());
     here_or_there(&node, cancel_here(&node, &uid), &change).await
 }
 
-pub async fn cancel_here(node: &Arc<Node>, uid: &str) -> Response {
+pub async fn cancel_here(node: &Arc<Controller>, uid: &str) -> Response {
     if !node.view().knows(uid) {
-        if !node.fresh(PATIENCE).await {
+        if !node.linearizable_read(PATIENCE).await {
             return not_now(node, "the state service does not answer");
         }
         if !node.view().knows(uid) {
             return refuse(StatusCode::NOT_FOUND, "no such job");
         }
     }
-    if node.view().is_over(uid) {
+    if node.view().is_finished(uid) {
         return answer(node, uid).await;
     }
-    match change(node, Op::Cancel(uid.into())).await {
+    match change(node, Mutation::Cancel(uid.into())).await {
         // Cancelled, or done just before: the order of the log says which.
-        Some(Outcome::Done(_)) => {
+        Some(CommitOutcome::Committed(_)) => {
             tracing::info!(job = uid, "job cancelled");
             answer(node, uid).await
         }
-        Some(Outcome::Refused(error)) if error.status() == Some(429) => too_many(node),
+        Some(CommitOutcome::Rejected(error)) if error.status() == Some(429) => too_many(node),
         None => too_many(node),
         _ => not_now(node, "the state service does not answer"),
     }
 }
 
 #[handler]
-async fn health(node: Data<&Arc<Node>>) -> Response {
+async fn health(node: Data<&Arc<Controller>>) -> Response {
     match mesh::healthy(&node) {
         true => "ok".into_response(),
         false => not_now(&node, "no contact with the state service"),
@@ -318,23 +322,23 @@
 }
 
 #[handler]
-async fn beat(body: Body, from: &RemoteAddr, node: Data<&Arc<Node>>) -> Response {
-    node.seats.worker(from);
+async fn beat(body: Body, from: &RemoteAddr, node: Data<&Arc<Controller>>) -> Response {
+    node.connections.worker(from);
     let body = match bytes(body).await {
         Ok(body) => body,
         Err(response) => return response,
     };
-    let mut turn = node.meter.turn(Work::Report);
-    turn.looked_at(1);
-    let report: Report = match serde_json::from_slice(&body) {
+    let mut turn = node.work_profile.start(WorkKind::Heartbeat);
+    turn.add_items(1);
+    let report: Heartbeat = match serde_json::from_slice(&body) {
         Ok(report) => report,
         Err(error) => return refuse(StatusCode::BAD_REQUEST, error.to_string()),
     };
     match reports::beat(&node, &report) {
-        Reply::Here(answer) => json(StatusCode::OK, &answer),
-        Reply::Elsewhere(report_to) => {
-            json(StatusCode::MISDIRECTED_REQUEST, &Elsewhere { report_to })
+        HeartbeatReply::Accepted(answer) => json(StatusCode::OK, &answer),
+        HeartbeatReply::Redirected(report_to) => {
+            json(StatusCode::MISDIRECTED_REQUEST, &Redirect { report_to })
         }
-        Reply::NotNow => not_now(&node, "not entitled"),
+        HeartbeatReply::Unavailable => not_now(&node, "not entitled"),
     }
 }
--- a/crates/rushwalk/src/chance.rs
+++ b/crates/rushwalk/src/chance.rs
@@ -30,15 +30,15 @@
 
 /// Hashes under a key that is drawn, so that users can't choose names that collide.
 #[derive(Clone)]
-pub struct Keyed(u64);
+pub struct SeededHasher(u64);
 
-impl Default for Keyed {
-    fn default() -> Keyed {
-        Keyed(draw())
+impl Default for SeededHasher {
+    fn default() -> SeededHasher {
+        SeededHasher(draw())
     }
 }
 
-impl BuildHasher for Keyed {
+impl BuildHasher for SeededHasher {
     type Hasher = DefaultHasher;
 
     fn build_hasher(&self) -> DefaultHasher {
@@ -49,4 +49,4 @@
 }
 
 /// A map whose order follows from the seed where something is decided in it.
-pub type Map<K, V> = HashMap<K, V, Keyed>;
+pub type SeededMap<K, V> = HashMap<K, V, SeededHasher>;
--- a/crates/rushwalk/src/cloud.rs
+++ b/crates/rushwalk/src/cloud.rs
@@ -3,28 +3,32 @@
 
 use crate::fleet::kind_of;
 use crate::leader::{append, commit};
-use crate::node::{For, Node, lock, now_ms};
-use crate::view::{Name, View};
-use rushwalk_clients::cloud::Rented;
+use crate::node::{Controller, WritePriority, lock, now_ms};
+use crate::view::{ClusterState, Name};
+use rushwalk_clients::cloud::RentOutcome;
 use rushwalk_protocol::cloud::{ListedState, MAX_DELETE, MAX_LIST, RentRequest};
-use rushwalk_protocol::records::{self as rec, LEADER, Machine, Op, Rental, Stage};
+use rushwalk_protocol::records::{
+    self as rec, LEADER, MachineLifecycle, MachineRecord, Mutation, RentalRequest,
+};
 use rushwalk_protocol::store::Transaction;
-use rushwalk_scheduler::capacity::Kind;
+use rushwalk_scheduler::capacity::InstanceKind;
 use std::collections::HashMap;
 use std::sync::Arc;
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep};
 
 /// Machine types and the list: calls that nothing waits for.
-pub async fn list_loop(node: Arc<Node>) {
+pub async fn list_loop(node: Arc<Controller>) {
     let mut listed_at: Option<Instant> = None;
     let mut typed_at: Option<Instant> = None;
     loop {
-        sleep(node.times.round / 4).await;
+        sleep(node.timing.round / 4).await;
         if !leads(&node) {
             continue;
         }
-        if typed_at.is_none_or(|at| at.elapsed() > node.times.lease * 2) && types(&node).await {
+        if typed_at.is_none_or(|at| at.elapsed() > node.timing.worker_lease * 2)
+            && types(&node).await
+        {
             typed_at = Some(Instant::now());
         }
         // A large fleet takes many pages: a tenth of the calls at most.
@@ -38,29 +42,29 @@
     }
 }
 
-fn leads(node: &Node) -> bool {
+fn leads(node: &Controller) -> bool {
     let view = node.view();
     node.leadership(&view).is_some()
 }
 
 /// Gives back what is to be deleted: at once if tasks wait to be gone or a call is
 /// full, else once in a round, for a call costs the same for one as for a hundred.
-pub async fn return_loop(node: Arc<Node>) {
+pub async fn return_loop(node: Arc<Controller>) {
     let mut last: Option<Instant> = None;
     loop {
-        sleep(node.times.round / 4).await;
+        sleep(node.timing.round / 4).await;
         if !leads(&node) {
             continue;
         }
-        let lately = last.is_some_and(|at| at.elapsed() < node.times.round);
+        let lately = last.is_some_and(|at| at.elapsed() < node.timing.round);
         if delete(&node, lately).await {
             last = Some(Instant::now());
         }
     }
 }
 
-async fn types(node: &Node) -> bool {
-    let answer = match node.cloud.types().await {
+async fn types(node: &Controller) -> bool {
+    let answer = match node.cloud.machine_types().await {
         Ok(answer) => answer,
         Err(error) => {
             tracing::debug!(%error, "no machine types");
@@ -69,27 +73,28 @@
     };
     let txn = {
         let view = node.view();
-        let types = rec::Types {
+        let types = rec::MachineTypes {
             types: answer.types,
         };
         let Some(version) = node.leadership(&view) else {
             return false;
         };
-        if view.types.as_deref() == Some(&types) {
+        if view.machine_types.as_deref() == Some(&types) {
             return true;
         }
         Transaction::default()
-            .when(LEADER, version)
+            .expect_version(LEADER, version)
             .put(rec::TYPES, &types)
     };
-    commit(node, txn, For::Work).await
+    commit(node, txn, WritePriority::WorkKind).await
 }
 
 /// Deletes what is to be deleted; afterwards all on it is surely gone.
-async fn delete(node: &Node, lately: bool) -> bool {
+async fn delete(node: &Controller, lately: bool) -> bool {
     let (busy, names): (bool, Vec<Name>) = {
         let view = node.view();
-        let delete = |m: &&crate::view::MachineRow| m.machine.stage == Stage::Delete;
+        let delete =
+            |m: &&crate::view::MachineState| m.record.lifecycle == MachineLifecycle::Deleting;
         let mut list: Vec<_> = view
             .machines
             .iter()
@@ -116,8 +121,10 @@
             return true;
         };
         let now = Instant::now();
-        let mut memory = lock(&node.leading);
-        memory.gone.extend(names.iter().map(|n| (n.clone(), now)));
+        let mut memory = lock(&node.leader_state);
+        memory
+            .deleted_machines
+            .extend(names.iter().map(|n| (n.clone(), now)));
         let tasks: usize = names
             .iter()
             .filter_map(|n| view.machines.get(n))
@@ -126,16 +133,22 @@
         tracing::info!(?names, tasks, "machines gone");
         version
     };
-    append(node, version, &[Op::Deleted(names)], For::Work).await;
+    append(
+        node,
+        version,
+        &[Mutation::MachinesDeleted(names)],
+        WritePriority::WorkKind,
+    )
+    .await;
     true
 }
 
 /// Carries out the rentals that are committed, side by side, and commits together
 /// what became of them.
-pub async fn rent_loop(node: Arc<Node>) {
-    let (tell, mut told) = mpsc::unbounded_channel::<(Name, Rental, Option<Rented>)>();
+pub async fn rent_loop(node: Arc<Controller>) {
+    let (tell, mut told) = mpsc::unbounded_channel::<(Name, RentalRequest, Option<RentOutcome>)>();
     loop {
-        sleep(node.times.round / 8).await;
+        sleep(node.timing.round / 8).await;
         let version = {
             let view = node.view();
             node.leadership(&view)
@@ -148,21 +161,21 @@
             && !answers.is_empty()
         {
             let ops = outcomes(&node, &answers);
-            append(&node, version, &ops, For::Work).await;
+            append(&node, version, &ops, WritePriority::WorkKind).await;
         }
         // What is still open is asked for again, under the same name: it rents
         // nothing more.
         for (name, ..) in answers {
-            lock(&node.leading).asking.remove(&name);
+            lock(&node.leader_state).rentals_in_flight.remove(&name);
         }
         let Some(version) = version else {
             continue;
         };
         let view = node.view();
-        let mut memory = lock(&node.leading);
-        memory.unsent.retain(|_, (v, _)| *v == version);
+        let mut memory = lock(&node.leader_state);
+        memory.unsent_rentals.retain(|_, (v, _)| *v == version);
         for (name, rental) in &view.rentals {
-            if memory.asking.insert(name.clone()) {
+            if memory.rentals_in_flight.insert(name.clone()) {
                 let ask = ask(
                     node.clone(),
                     version,
@@ -176,32 +189,37 @@
     }
 }
 
-type Tell = mpsc::UnboundedSender<(Name, Rental, Option<Rented>)>;
+type Tell = mpsc::UnboundedSender<(Name, RentalRequest, Option<RentOutcome>)>;
 
 /// Asks for one rental and tells what came of it; `None` if that is not known.
-async fn ask(node: Arc<Node>, version: u64, name: Name, rental: Rental, tell: Tell) {
-    node.cloud.turn().await;
+async fn ask(node: Arc<Controller>, version: u64, name: Name, rental: RentalRequest, tell: Tell) {
+    node.cloud.wait_for_slot().await;
     let kind = kind_of(&rental);
     let refused = {
-        let mut memory = lock(&node.leading);
+        let mut memory = lock(&node.leader_state);
         // Its kind ran out since: never asked for, it can simply be dropped.
-        let unsent = memory.unsent.remove(&name);
-        unsent.is_some_and(|(v, at)| v == version && memory.market.ran_out_since(&kind, at))
+        let unsent = memory.unsent_rentals.remove(&name);
+        unsent.is_some_and(|(v, at)| v == version && memory.capacity.exhausted_since(&kind, at))
     };
     let answer = match refused {
-        true => Some(Rented::Nothing),
+        true => Some(RentOutcome::OutOfCapacity),
         false => asked(&node, &name, &rental, &kind).await,
     };
     if answer.is_none() {
-        sleep(node.times.round).await;
+        sleep(node.timing.round).await;
     }
     let _ = tell.send((name, rental, answer));
 }
 
-async fn asked(node: &Node, name: &Name, rental: &Rental, kind: &Kind) -> Option<Rented> {
+async fn asked(
+    node: &Controller,
+    name: &Name,
+    rental: &RentalRequest,
+    kind: &InstanceKind,
+) -> Option<RentOutcome> {
     let request = RentRequest {
         request: name.to_string(),
-        kind: rental.kind.clone(),
+        machine_type: rental.machine_type.clone(),
         zone: rental.zone.clone(),
         spot: rental.spot,
         count: rental.count,
@@ -215,31 +233,34 @@
         }
     };
     let got = match &answer {
-        Rented::Machines(machines) => machines.len() as u32,
-        Rented::Nothing | Rented::Malformed => 0,
+        RentOutcome::Machines(machines) => machines.len() as u32,
+        RentOutcome::OutOfCapacity | RentOutcome::Malformed => 0,
     };
     tracing::info!(request = &**name, got, of = rental.count, ?kind, "rented");
-    let have = node.view().of_kind(kind);
-    let pause = 6.0 * node.times.round.as_secs_f64();
-    let market = &mut lock(&node.leading).market;
-    market.answered(kind, rental.count, got, have, node.uptime(), pause);
+    let have = node.view().count_of_kind(kind);
+    let pause = 6.0 * node.timing.round.as_secs_f64();
+    let market = &mut lock(&node.leader_state).capacity;
+    market.record_response(kind, rental.count, got, have, node.uptime_s(), pause);
     Some(answer)
 }
 
 /// What became of rentals, with blocks for what was rented.
-fn outcomes(node: &Node, answers: &[(Name, Rental, Option<Rented>)]) -> Vec<Op> {
+fn outcomes(
+    node: &Controller,
+    answers: &[(Name, RentalRequest, Option<RentOutcome>)],
+) -> Vec<Mutation> {
     let view = node.view();
     let mut added = HashMap::new();
     let mut ops = Vec::new();
     for (name, rental, answer) in answers {
         ops.push(match answer {
-            Some(Rented::Machines(machines)) => {
+            Some(RentOutcome::Machines(machines)) => {
                 let n = machines.len();
                 let blocks = blocks_for(node, &view, &rental.zone, n, &mut added);
                 let names = machines.iter().map(|m| Name::from(m.as_str()));
-                Op::Rented(name.clone(), names.zip(blocks).collect())
+                Mutation::RentalFulfilled(name.clone(), names.zip(blocks).collect())
             }
-            Some(_) => Op::Refused(name.clone()),
+            Some(_) => Mutation::RentalRefused(name.clone()),
             None => continue,
         });
     }
@@ -255,8 +276,8 @@
 
 /// The zone's blocks with room, for `n` machines.
 fn blocks_for(
-    node: &Node,
-    view: &View,
+    node: &Controller,
+    view: &ClusterState,
     zone: &str,
     n: usize,
     added: &mut HashMap<String, usize>,
@@ -271,7 +292,7 @@
             0 => zone.to_string(),
             k => format!("{zone}#{k}"),
         };
-        let used = view.blocks.get(&*block).map_or(0, |b| b.len());
+        let used = view.shards.get(&*block).map_or(0, |b| b.len());
         let room = whole.saturating_sub(used + added.get(&block).copied().unwrap_or(0));
         let take = room.min(n - out.len()).min(whole / nodes.min(3));
         *added.entry(block.clone()).or_default() += take;
@@ -286,7 +307,7 @@
 
 /// Reads the list: machines that are not ours yet are returned, and those that
 /// failed are given up.
-async fn list(node: &Node) {
+async fn list(node: &Controller) {
     let mut all = Vec::new();
     let mut since = String::new();
     loop {
@@ -319,17 +340,17 @@
         let mut added = HashMap::new();
         // The list is late: a machine just deleted may still be on it.
         let lag = node.settings.site.cloud.list_lag_s;
-        let mut memory = lock(&node.leading);
+        let mut memory = lock(&node.leader_state);
         memory
-            .gone
+            .deleted_machines
             .retain(|_, at| at.elapsed().as_secs_f64() < 4.0 * lag + 10.0);
         // A rental that is not older may have brought it, unheard of as yet.
         let expected = |age_s: f64| {
             let born = now.saturating_sub((age_s * 1000.0) as u64);
-            view.rentals.values().any(|r| r.at <= born + skew)
+            view.rentals.values().any(|r| r.requested_ms <= born + skew)
         };
         for listed in &all {
-            if memory.gone.contains_key(&*listed.name) {
+            if memory.deleted_machines.contains_key(&*listed.name) {
                 continue;
             }
             match view.machines.get(&*listed.name) {
@@ -341,25 +362,28 @@
                     let Some(block) = blocks.into_iter().next() else {
                         continue;
                     };
-                    let machine = Machine {
-                        kind: listed.kind.as_str().into(),
+                    let machine = MachineRecord {
+                        machine_type: listed.machine_type.as_str().into(),
                         zone: listed.zone.as_str().into(),
                         spot: listed.spot,
-                        block,
-                        stage: Stage::Delete,
-                        rented: now.saturating_sub((listed.age_s * 1000.0) as u64),
-                        up: None,
+                        shard: block,
+                        lifecycle: MachineLifecycle::Deleting,
+                        rented_ms: now.saturating_sub((listed.age_s * 1000.0) as u64),
+                        ready_ms: None,
                         address: listed.address.as_str().into(),
                         images: Vec::new(),
-                        taken: None,
-                        silent: None,
+                        reclaim_ms: None,
+                        unreachable_since_ms: None,
                     };
                     tracing::info!(machine = listed.name, "unexpected machine");
-                    ops.push(Op::Found(listed.name.as_str().into(), machine));
+                    ops.push(Mutation::MachineAdopted(
+                        listed.name.as_str().into(),
+                        machine,
+                    ));
                 }
                 Some(row)
                     if listed.state == ListedState::Failed
-                        && row.machine.stage != Stage::Delete =>
+                        && row.record.lifecycle != MachineLifecycle::Deleting =>
                 {
                     tracing::info!(machine = listed.name, "machine failed");
                     failed.push(Name::from(listed.name.as_str()));
@@ -368,9 +392,12 @@
             }
         }
         for some in failed.chunks(MAX_DELETE) {
-            ops.push(Op::Stage(Stage::Delete, some.to_vec()));
+            ops.push(Mutation::SetLifecycle(
+                MachineLifecycle::Deleting,
+                some.to_vec(),
+            ));
         }
         (version, ops)
     };
-    append(node, version, &ops, For::Upkeep).await;
+    append(node, version, &ops, WritePriority::Maintenance).await;
 }
--- a/crates/rushwalk/src/fleet/expecting.rs
+++ b/crates/rushwalk/src/fleet/expecting.rs
@@ -1,19 +1,24 @@
 //! What is expected to arrive, or to come back.
 
 use super::PLANNED_EACH;
-use crate::node::Node;
+use crate::node::Controller;
 use crate::slots;
-use crate::view::{Name, View};
+use crate::view::{ClusterState, Name};
 use rushwalk_protocol::jobs::{Priority, Shape};
-use rushwalk_protocol::records::{Phase, Types};
-use rushwalk_scheduler::Amount;
+use rushwalk_protocol::records::{JobPhase, MachineTypes};
+use rushwalk_scheduler::Resources;
 use rushwalk_scheduler::arrivals;
-use rushwalk_scheduler::round::Waiting;
+use rushwalk_scheduler::round::PendingJob;
 use std::collections::BTreeMap;
 
 /// Arrivals to be expected while a machine would boot: planned in the same
 /// way, so that they find one that is warm.
-pub fn spare(view: &View, node: &Node, types: &Types, now: u64) -> Vec<(f64, Waiting)> {
+pub fn spare(
+    view: &ClusterState,
+    node: &Controller,
+    types: &MachineTypes,
+    now: u64,
+) -> Vec<(f64, PendingJob)> {
     const BUCKETS: usize = 5;
     let mut out = Vec::new();
     let mut classes: Vec<_> = view
@@ -35,7 +40,7 @@
         }
         let slowest = types.types.iter().fold(0.0, |a, t| {
             let allowed = spec.types.as_ref().is_none_or(|n| n.contains(&t.name));
-            match allowed && Amount::of_task(&spec).fits(&Amount::of_type(t)) {
+            match allowed && Resources::of_task(&spec).fits_in(&Resources::of_type(t)) {
                 true => f64::max(a, t.boot_s),
                 false => a,
             }
@@ -54,7 +59,7 @@
         let latest = times.iter().rev().cycle();
         for (at, (_, spec)) in arrivals::arrivals(rate, slowest, z).into_iter().zip(latest) {
             let mut phantom = slots::waiting(view, spec, types);
-            phantom.indexes = (0..spec.tasks.min(PLANNED_EACH as u32)).collect();
+            phantom.tasks = (0..spec.tasks.min(PLANNED_EACH as u32)).collect();
             // What is expected is no reason to go beyond a team's limit.
             out.push((at, phantom));
         }
@@ -66,13 +71,18 @@
 
 /// Services on silent machines that may have to start anew when the leases have
 /// run out: a place is made ready for them while a machine would boot.
-pub fn returning(view: &View, node: &Node, types: &Types, now: u64) -> Vec<(f64, Waiting)> {
-    let times = &node.times;
-    let last = (times.lease + times.loan).saturating_sub(times.silent);
+pub fn returning(
+    view: &ClusterState,
+    node: &Controller,
+    types: &MachineTypes,
+    now: u64,
+) -> Vec<(f64, PendingJob)> {
+    let times = &node.timing;
+    let last = (times.worker_lease + times.lease_validity).saturating_sub(times.unreachable_after);
     let lead = types.types.iter().map(|t| t.boot_s).fold(0.0, f64::max) * 1.5;
     let mut jobs: BTreeMap<&Name, (f64, Vec<u32>)> = BTreeMap::new();
     for row in view.machines.values() {
-        let Some(silent) = row.machine.silent else {
+        let Some(silent) = row.record.unreachable_since_ms else {
             continue;
         };
         let until = silent as f64 / 1000.0 + last.as_secs_f64() - now as f64 / 1000.0;
@@ -80,7 +90,7 @@
             continue;
         }
         for (uid, index) in &row.tasks {
-            let job = view.jobs.get(uid).filter(|j| j.phase == Phase::Active);
+            let job = view.jobs.get(uid).filter(|j| j.phase == JobPhase::Active);
             if job.is_some_and(|j| j.spec.shape == Shape::Service) {
                 let entry = jobs.entry(uid).or_insert((until.max(0.0), Vec::new()));
                 entry.1.push(*index);
@@ -91,7 +101,7 @@
     for (uid, (until, tasks)) in jobs {
         if let Some(job) = view.jobs.get(uid) {
             let mut waiting = slots::waiting(view, &job.spec, types);
-            waiting.indexes = tasks;
+            waiting.tasks = tasks;
             out.push((until, waiting));
         }
     }
--- a/crates/rushwalk/src/fleet/machines.rs
+++ b/crates/rushwalk/src/fleet/machines.rs
@@ -1,142 +1,165 @@
 //! What there is to place on: machines, those under way, and what may be rented.
 
-use crate::leader::{LeaderMemory, zone_of};
-use crate::node::Node;
+use crate::leader::{LeaderState, zone_of};
+use crate::node::Controller;
 use crate::slots;
-use crate::view::{Name, View};
+use crate::view::{ClusterState, Name};
 use rushwalk_protocol::cloud::{MAX_RENT, MachineType};
-use rushwalk_protocol::records::{Machine, Rental, Stage, Types};
-use rushwalk_scheduler::Amount;
-use rushwalk_scheduler::boot_times::{Boots, Group, Seen};
-use rushwalk_scheduler::capacity::Kind;
-use rushwalk_scheduler::quota::Usage;
-use rushwalk_scheduler::round::{Offer, Round};
-use rushwalk_scheduler::timeline::Slot;
-use rushwalk_scheduler::timeline_index::Slots;
+use rushwalk_protocol::records::{MachineLifecycle, MachineRecord, MachineTypes, RentalRequest};
+use rushwalk_scheduler::Resources;
+use rushwalk_scheduler::boot_times::{BootGroup, BootSample, BootTimeEstimator};
+use rushwalk_scheduler::capacity::InstanceKind;
+use rushwalk_scheduler::quota::QuotaUsage;
+use rushwalk_scheduler::round::{RentableCapacity, SchedulingRound};
+use rushwalk_scheduler::timeline::MachineTimeline;
+use rushwalk_scheduler::timeline_index::TimelineIndex;
 use std::collections::BTreeMap;
 
 /// The machines there are, and those under way.
 pub fn machines<'a>(
-    node: &'a Node,
-    view: &View,
-    memory: &mut LeaderMemory,
-    types: &Types,
+    node: &'a Controller,
+    view: &ClusterState,
+    memory: &mut LeaderState,
+    types: &MachineTypes,
     now: u64,
-) -> Round<'a> {
+) -> SchedulingRound<'a> {
     let seconds = now as f64 / 1000.0;
     let zones = slots::zones(types, &node.settings.site);
-    let mut round = Round {
-        now: seconds,
-        clock: seconds,
-        slots: Slots::new(seconds, view.machines.len() + 64),
-        offers: offers(view, memory, types, &zones, seconds, node.uptime()),
+    let mut round = SchedulingRound {
+        planned_time: seconds,
+        current_time: seconds,
+        machines: TimelineIndex::new(seconds, view.machines.len() + 64),
+        rentable: offers(view, memory, types, &zones, seconds, node.uptime_s()),
         zones,
         teams: &node.settings.site.teams,
-        usage: Usage::default(),
-        tie_s: node.times.tie.as_secs_f64(),
-        rent_from: usize::MAX,
-        looked: Default::default(),
+        usage: QuotaUsage::default(),
+        tie_s: node.timing.tie.as_secs_f64(),
+        first_rental: usize::MAX,
+        evaluations: Default::default(),
     };
     for (name, row) in &view.machines {
-        if row.machine.stage == Stage::Use && row.machine.silent.is_none() {
-            let ready = match row.machine.up {
+        if row.record.lifecycle == MachineLifecycle::Active
+            && row.record.unreachable_since_ms.is_none()
+        {
+            let ready = match row.record.ready_ms {
                 Some(_) => seconds,
-                None => ready(&memory.boots, &row.machine, types, &round.zones, seconds),
+                None => ready(
+                    &memory.boot_times,
+                    &row.record,
+                    types,
+                    &round.zones,
+                    seconds,
+                ),
             };
             let times = (seconds, ready);
             let slot = slots::slot(view, name, row, types, &round.zones, times);
-            slot.into_iter().for_each(|slot| round.slots.push(slot));
+            slot.into_iter().for_each(|slot| round.machines.push(slot));
         }
     }
     for rental in view.rentals.values() {
-        let Some(group) = types.types.iter().position(|t| t.name == rental.kind) else {
+        let Some(group) = types
+            .types
+            .iter()
+            .position(|t| t.name == rental.machine_type)
+        else {
             continue;
         };
         let kind = &types.types[group];
         let Some(zone) = round.zones.iter().position(|z| **z == *rental.zone) else {
             continue;
         };
-        let boots = memory.boots.fresh((group, zone), kind.boot_s);
-        let ready = (rental.at as f64 / 1000.0 + boots).max(seconds + 1.0);
-        let slot = Slot::new("".into(), group, kind, zone, rental.spot, ready);
+        let boots = memory
+            .boot_times
+            .expected_boot_s((group, zone), kind.boot_s);
+        let ready = (rental.requested_ms as f64 / 1000.0 + boots).max(seconds + 1.0);
+        let slot = MachineTimeline::new("".into(), group, kind, zone, rental.spot, ready);
         let all = std::iter::repeat_n(slot, rental.count as usize);
-        all.for_each(|slot| round.slots.push(slot));
+        all.for_each(|slot| round.machines.push(slot));
     }
-    round.rent_from = round.slots.len();
+    round.first_rental = round.machines.len();
     round
 }
 
 /// How machines boot, by those there are and those that were given up.
 pub fn boots(
-    view: &View,
-    memory: &mut LeaderMemory,
-    types: &Types,
+    view: &ClusterState,
+    memory: &mut LeaderState,
+    types: &MachineTypes,
     zones: &[Name],
     (now, report_s): (u64, f64),
-) -> Boots {
+) -> BootTimeEstimator {
     let seconds = now as f64 / 1000.0;
-    let mut boots = Boots::new(seconds, report_s);
+    let mut boots = BootTimeEstimator::new(seconds, report_s);
     for row in view.machines.values() {
-        let machine = &row.machine;
+        let machine = &row.record;
         let Some((group, kind)) = booting(machine, types, zones) else {
             continue;
         };
-        let rented = machine.rented as f64 / 1000.0;
-        let until = machine.up.map_or(seconds, |up| up as f64 / 1000.0);
-        let seen = Seen {
-            rented,
-            took: (until - rented).max(0.0),
-            up: machine.up.is_some(),
+        let rented = machine.rented_ms as f64 / 1000.0;
+        let until = machine.ready_ms.map_or(seconds, |up| up as f64 / 1000.0);
+        let seen = BootSample {
+            rented_s: rented,
+            elapsed_s: (until - rented).max(0.0),
+            booted: machine.ready_ms.is_some(),
         };
-        boots.seen(group, kind.boot_s, seen);
+        boots.add_sample(group, kind.boot_s, seen);
     }
     memory
-        .given_up
-        .retain(|(_, nominal, seen)| seconds - seen.rented < 8.0 * nominal);
-    for (group, nominal, seen) in &memory.given_up {
-        boots.seen(*group, *nominal, *seen);
+        .abandoned_boots
+        .retain(|(_, nominal, seen)| seconds - seen.rented_s < 8.0 * nominal);
+    for (group, nominal, seen) in &memory.abandoned_boots {
+        boots.add_sample(*group, *nominal, *seen);
     }
-    boots.settle();
+    boots.finish_sampling();
     boots
 }
 
 /// The group that a machine boots with, and its type.
 pub fn booting<'a>(
-    machine: &Machine,
-    types: &'a Types,
+    machine: &MachineRecord,
+    types: &'a MachineTypes,
     zones: &[Name],
-) -> Option<(Group, &'a MachineType)> {
+) -> Option<(BootGroup, &'a MachineType)> {
     let zone = zones.iter().position(|z| *z == machine.zone)?;
-    let kind = types.types.iter().position(|t| *t.name == *machine.kind)?;
+    let kind = types
+        .types
+        .iter()
+        .position(|t| *t.name == *machine.machine_type)?;
     Some(((kind, zone), &types.types[kind]))
 }
 
 /// When one that boots should be up.
-fn ready(boots: &Boots, machine: &Machine, types: &Types, zones: &[Name], now: f64) -> f64 {
+fn ready(
+    boots: &BootTimeEstimator,
+    machine: &MachineRecord,
+    types: &MachineTypes,
+    zones: &[Name],
+    now: f64,
+) -> f64 {
     let left = booting(machine, types, zones).map_or(0.0, |(group, kind)| {
-        boots.left(group, kind.boot_s, machine.rented as f64 / 1000.0)
+        boots.remaining_s(group, kind.boot_s, machine.rented_ms as f64 / 1000.0)
     });
     now + left.max(1.0)
 }
 
 /// What may be rented now, and how much of it.
 fn offers(
-    view: &View,
-    memory: &mut LeaderMemory,
-    types: &Types,
+    view: &ClusterState,
+    memory: &mut LeaderState,
+    types: &MachineTypes,
     zones: &[Name],
     seconds: f64,
     uptime: f64,
-) -> Vec<Offer> {
+) -> Vec<RentableCapacity> {
     // Machines of ours in each zone, and how many of them are silent.
     let mut ours: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
-    for (block, machines) in &view.blocks {
+    for (block, machines) in &view.shards {
         let there = ours.entry(zone_of(block)).or_default();
         there.0 += machines.len();
-        there.1 += view.pulse(block).1;
+        there.1 += view.shard_counts(block).1;
     }
-    let have = view.by_kind();
-    let mut asked: BTreeMap<Kind, u32> = BTreeMap::new();
+    let have = view.machines_by_kind();
+    let mut asked: BTreeMap<InstanceKind, u32> = BTreeMap::new();
     for rental in view.rentals.values() {
         *asked.entry(kind_of(rental)).or_default() += rental.count;
     }
@@ -155,20 +178,25 @@
                 if spot && kind.spot_price.is_none() {
                     continue;
                 }
-                let key = Kind::new(kind.name.as_str(), zones[zone].clone(), spot);
+                let key = InstanceKind::new(kind.name.as_str(), zones[zone].clone(), spot);
                 let have = have.get(&key).copied().unwrap_or_default();
-                memory.market.seen(&key, have);
+                memory.capacity.record_owned(&key, have);
                 let asked = asked.get(&key).copied().unwrap_or_default();
-                let left = memory.market.room(&key, have + asked, uptime, MAX_RENT);
+                let left = memory
+                    .capacity
+                    .headroom(&key, have + asked, uptime, MAX_RENT);
                 if left == 0 {
                     continue;
                 }
-                let ready = seconds + memory.boots.fresh((group, zone), kind.boot_s);
-                out.push(Offer {
-                    slot: Slot::new("".into(), group, kind, zone, spot, ready),
-                    ours: all,
-                    left,
-                    taken: 0,
+                let ready = seconds
+                    + memory
+                        .boot_times
+                        .expected_boot_s((group, zone), kind.boot_s);
+                out.push(RentableCapacity {
+                    machine: MachineTimeline::new("".into(), group, kind, zone, spot, ready),
+                    owned_in_zone: all,
+                    available: left,
+                    used: 0,
                 });
             }
         }
@@ -177,24 +205,30 @@
 }
 
 /// What a rental asks for.
-pub fn kind_of(rental: &Rental) -> Kind {
-    Kind::new(rental.kind.as_str(), rental.zone.as_str(), rental.spot)
+pub fn kind_of(rental: &RentalRequest) -> InstanceKind {
+    InstanceKind::new(
+        rental.machine_type.as_str(),
+        rental.zone.as_str(),
+        rental.spot,
+    )
 }
 
 /// By how much dearer each group counts for each class. Where no zone has more
 /// of a kind to rent, its machines should serve those for whom another kind would
 /// be dearest: the others count them dearer by as much as they would lose less.
 pub fn scarcity(
-    view: &View,
-    memory: &LeaderMemory,
-    types: &Types,
+    view: &ClusterState,
+    memory: &LeaderState,
+    types: &MachineTypes,
 ) -> BTreeMap<String, Vec<[f64; 2]>> {
     const MOST: f64 = 4.0;
     let kinds = &types.types;
     let scarce = |group: usize, spot: bool| {
         let kind = &kinds[group];
-        let key = |zone: &String| Kind::new(kind.name.as_str(), zone.as_str(), spot);
-        kind.zones.iter().all(|z| memory.market.scarce(&key(z)))
+        let key = |zone: &String| InstanceKind::new(kind.name.as_str(), zone.as_str(), spot);
+        kind.zones
+            .iter()
+            .all(|z| memory.capacity.is_exhausted(&key(z)))
     };
     let scarce: Vec<[bool; 2]> = (0..kinds.len())
         .map(|g| [scarce(g, false), scarce(g, true)])
@@ -208,7 +242,7 @@
         let Some((_, spec)) = times.back() else {
             continue;
         };
-        let amount = Amount::of_task(spec);
+        let amount = Resources::of_task(spec);
         let cost = |group: usize, spot: bool| {
             let kind = &kinds[group];
             let named = spec.types.as_ref().is_none_or(|t| t.contains(&kind.name));
@@ -216,7 +250,7 @@
                 true => kind.spot_price.filter(|_| spec.spot),
                 false => Some(kind.price),
             };
-            let fit = amount.times_in(&Amount::of_type(kind), u32::MAX);
+            let fit = amount.count_in(&Resources::of_type(kind), u32::MAX);
             price
                 .filter(|_| named && fit > 0)
                 .map(|p| p / f64::from(fit))
--- a/crates/rushwalk/src/fleet/placing.rs
+++ b/crates/rushwalk/src/fleet/placing.rs
@@ -1,37 +1,41 @@
 //! What waits, in its order, and what becomes of it.
 
 use super::PLANNED_EACH;
-use crate::leader::{LISTED, LeaderMemory, zone_of};
-use crate::node::Node;
+use crate::leader::{LISTED, LeaderState, zone_of};
+use crate::node::Controller;
 use crate::slots;
-use crate::view::{Name, View};
+use crate::view::{ClusterState, Name};
 use rushwalk_protocol::jobs::{Priority, Shape};
-use rushwalk_protocol::records::{Op, Phase, StopWhy, Types};
-use rushwalk_scheduler::Amount;
-use rushwalk_scheduler::deadlines::{Needs, start_by};
-use rushwalk_scheduler::quota::Usage;
-use rushwalk_scheduler::retry::{Failures, Retry, retry};
-use rushwalk_scheduler::round::{Decisions, Round, Waiting};
+use rushwalk_protocol::records::{JobPhase, MachineTypes, Mutation, StopReason};
+use rushwalk_scheduler::Resources;
+use rushwalk_scheduler::deadlines::{TaskDurations, start_by};
+use rushwalk_scheduler::quota::QuotaUsage;
+use rushwalk_scheduler::retry::{FailureSummary, RetryDecision, retry};
+use rushwalk_scheduler::round::{PendingJob, SchedulingDecisions, SchedulingRound};
 use std::collections::BTreeMap;
 
 /// Counts live tasks into the usage, and plans room for those that their
 /// holder has not placed yet.
-pub fn assigned(view: &View, types: &Types, round: &mut Round) {
-    for uid in &view.live {
+pub fn assigned(view: &ClusterState, types: &MachineTypes, round: &mut SchedulingRound) {
+    for uid in &view.with_tasks {
         let Some(job) = view.jobs.get(uid) else {
             continue;
         };
-        let amount = Amount::of_task(&job.spec);
+        let amount = Resources::of_task(&job.spec);
         for _ in &job.tasks {
             round.usage.add(&job.spec.team, amount);
         }
     }
-    let mut last: Option<(&Name, Waiting)> = None;
+    let mut last: Option<(&Name, PendingJob)> = None;
     for (uid, index) in &view.unplaced {
         let Some(job) = view.jobs.get(uid) else {
             continue;
         };
-        let Some(hint) = job.tasks.get(index).and_then(|t| t.task.hint.as_ref()) else {
+        let Some(hint) = job
+            .tasks
+            .get(index)
+            .and_then(|t| t.record.placement_hint.as_ref())
+        else {
             continue;
         };
         let waiting = match &last {
@@ -43,22 +47,27 @@
         };
         // Machines come in the order of their names.
         let at = round
-            .slots
+            .machines
             .partition_point(|s| !s.name.is_empty() && s.name < *hint);
-        if let Some(slot) = round.slots.get(at).filter(|s| s.name == *hint)
-            && let Some(finish) = slot.finish(waiting, round.now)
+        if let Some(slot) = round.machines.get(at).filter(|s| s.name == *hint)
+            && let Some(finish) = slot.predict(waiting, round.planned_time)
         {
-            round.slots.place(at, waiting, &finish);
+            round.machines.place(at, waiting, &finish);
         }
     }
 }
 
 /// Jobs with tasks that have no place, in order.
-pub fn waiting(view: &mut View, now: u64, node: &Node, types: &Types) -> Vec<Waiting> {
+pub fn waiting(
+    view: &mut ClusterState,
+    now: u64,
+    node: &Controller,
+    types: &MachineTypes,
+) -> Vec<PendingJob> {
     let site = &node.settings.site;
     // Of all unfinished jobs in order of arrival, per team: a job is within
     // its guarantee if it fits into it together with the earlier ones.
-    let mut unfinished = Usage::default();
+    let mut unfinished = QuotaUsage::default();
     let mut by_arrival: Vec<(u64, &Name)> = view.active.iter().map(|a| (a.1, &a.2)).collect();
     by_arrival.sort_unstable();
     let mut order: Vec<(Priority, f64, u64, Name)> = Vec::new();
@@ -67,39 +76,39 @@
             continue;
         };
         let spec = &job.spec;
-        let amount = Amount::of_task(spec);
+        let amount = Resources::of_task(spec);
         let n = f64::from(spec.tasks);
-        let all = Amount {
+        let all = Resources {
             cpus: amount.cpus * n,
             gpus: amount.gpus * n,
             memory_gb: 0.0,
         };
         let team = site.teams.iter().find(|t| t.name == spec.team);
-        let guaranteed = team.is_some_and(|t| unfinished.guaranteed(t, all));
+        let guaranteed = team.is_some_and(|t| unfinished.is_within_guarantee(t, all));
         unfinished.add(&spec.team, all);
-        if job.tasks.len() as u32 + job.done.count() >= spec.tasks {
+        if job.tasks.len() as u32 + job.completed.count() >= spec.tasks {
             continue;
         }
         // As if on a machine without its image: the type is not known yet.
         let kind = types.types.first();
-        let needs = Needs {
+        let needs = TaskDurations {
             fetch_s: kind.map_or(0.0, |k| {
-                view.averages
+                view.durations
                     .fetch_time(spec.image_gb, &k.name, k.fetch_gb_per_s)
             }),
-            run_s: kind.map_or(0.0, |k| view.averages.run_time(spec, &k.name)),
+            run_s: kind.map_or(0.0, |k| view.durations.run_time(spec, &k.name)),
             guaranteed,
         };
-        let at = job.at as f64 / 1000.0;
+        let at = job.accepted_ms as f64 / 1000.0;
         let by = start_by(spec, at, now as f64 / 1000.0, needs, &site.objectives);
-        order.push((spec.priority, by, job.at, uid.clone()));
+        order.push((spec.priority, by, job.accepted_ms, uid.clone()));
     }
     order.sort_by(|a, b| {
         (a.0.cmp(&b.0))
             .then(a.1.total_cmp(&b.1))
             .then(a.2.cmp(&b.2))
     });
-    let mut out: Vec<Waiting> = Vec::new();
+    let mut out: Vec<PendingJob> = Vec::new();
     let each = PLANNED_EACH.max(view.machines.len());
     for (_, _, _, uid) in order {
         let Some(job) = view.jobs.get(&uid) else {
@@ -109,38 +118,39 @@
         if spec.shape == Shape::Gang && !job.tasks.is_empty() {
             continue;
         }
-        let trouble = &job.trouble;
-        let failures = Failures {
+        let trouble = &job.failures;
+        let failures = FailureSummary {
             machines: trouble.machines.len(),
-            works: job.done.count() > 0 || job.tasks.values().any(|t| t.task.ran.is_some()),
-            since_s: now.saturating_sub(trouble.last) as f64 / 1000.0,
+            succeeded_somewhere: job.completed.count() > 0
+                || job.tasks.values().any(|t| t.record.started_ms.is_some()),
+            since_s: now.saturating_sub(trouble.last_ms) as f64 / 1000.0,
         };
-        let retry = retry(failures, node.times.round.as_secs_f64());
-        if retry == Retry::Later {
+        let retry = retry(failures, node.timing.round.as_secs_f64());
+        if retry == RetryDecision::BackOff {
             continue;
         }
         let most = match (spec.shape, retry) {
             (Shape::Gang, _) => spec.tasks as usize,
-            (_, Retry::One) => 1,
+            (_, RetryDecision::SingleProbe) => 1,
             _ => each,
         };
         let mut waiting = slots::waiting(view, &spec, types);
         for t in job.tasks.values() {
-            let machine = t.task.machine.as_ref().and_then(|m| view.machines.get(m));
-            let zone = machine.map(|m| &*m.machine.zone);
+            let machine = t.record.machine.as_ref().and_then(|m| view.machines.get(m));
+            let zone = machine.map(|m| &*m.record.zone);
             waiting
-                .places
-                .add(zone.unwrap_or_else(|| zone_of(&t.task.block)));
+                .tasks_per_zone
+                .add(zone.unwrap_or_else(|| zone_of(&t.record.shard)));
         }
         // After failing in many places it may as well be tried anywhere.
         if trouble.machines.len() <= 3 {
-            waiting.avoid = trouble.machines.clone();
+            waiting.avoided_machines = trouble.machines.clone();
         }
-        waiting.probe = retry == Retry::One;
-        let again = waiting.probe && job.tasks.is_empty();
+        waiting.single_probe = retry == RetryDecision::SingleProbe;
+        let again = waiting.single_probe && job.tasks.is_empty();
         let machines = trouble.machines.len();
-        waiting.indexes = view.waiting(&uid, most);
-        if waiting.indexes.is_empty() {
+        waiting.tasks = view.unassigned_tasks(&uid, most);
+        if waiting.tasks.is_empty() {
             continue;
         }
         if again {
@@ -159,27 +169,27 @@
 /// Not to a block that takes no more work, whose holder is gone or suspect: the place is
 /// kept for the time of this round, since renting another would be more than that costs.
 pub fn assign(
-    view: &View,
-    round: &Round,
-    decisions: &Decisions,
+    view: &ClusterState,
+    round: &SchedulingRound,
+    decisions: &SchedulingDecisions,
     now: u64,
     takes_more: impl Fn(&str) -> bool,
-) -> Vec<Op> {
+) -> Vec<Mutation> {
     let mut ops = Vec::new();
     let mut blocks: BTreeMap<&str, bool> = BTreeMap::new();
-    for placed in decisions.placed.chunk_by(|a, b| a.uid == b.uid) {
-        let Some((uid, job)) = view.jobs.get_key_value(&*placed[0].uid) else {
+    for placed in decisions.placements.chunk_by(|a, b| a.job == b.job) {
+        let Some((uid, job)) = view.jobs.get_key_value(&*placed[0].job) else {
             continue;
         };
         let mut to: BTreeMap<Name, Vec<(u32, Name)>> = BTreeMap::new();
         for one in placed {
-            let slot = &round.slots[one.slot];
-            let open = blocks.entry(&slot.block);
-            if !*open.or_insert_with(|| takes_more(&slot.block)) {
+            let slot = &round.machines[one.machine];
+            let open = blocks.entry(&slot.shard);
+            if !*open.or_insert_with(|| takes_more(&slot.shard)) {
                 continue;
             }
-            let task = (one.index, slot.name.clone());
-            to.entry(slot.block.clone()).or_default().push(task);
+            let task = (one.task, slot.name.clone());
+            to.entry(slot.shard.clone()).or_default().push(task);
         }
         let whole = to.values().map(Vec::len).sum::<usize>() == placed.len();
         if to.is_empty() || (job.spec.shape == Shape::Gang && !whole) {
@@ -205,8 +215,8 @@
     shape: Shape,
     now: u64,
     to: BTreeMap<Name, Vec<(u32, Name)>>,
-) -> Vec<Op> {
-    let assign = |to| Op::Assign(uid.clone(), now, to);
+) -> Vec<Mutation> {
+    let assign = |to| Mutation::Assign(uid.clone(), now, to);
     if shape == Shape::Gang {
         let whole = to.values().map(Vec::len).sum::<usize>() <= WHOLE;
         let to = to.into_iter().map(|(block, mut tasks)| {
@@ -219,7 +229,7 @@
         return vec![assign(to.collect())];
     }
     let some = |(block, tasks): (Name, Vec<(u32, Name)>)| {
-        let parts: Vec<Op> = tasks
+        let parts: Vec<Mutation> = tasks
             .chunks(LISTED)
             .map(|part| assign(vec![(block.clone(), part.to_vec())]))
             .collect();
@@ -236,27 +246,30 @@
 /// slow machine. Each restart takes a place of its own in the plan, so that the
 /// tasks of one machine, whose times run out together, don't pile up.
 pub fn overdue(
-    view: &View,
-    memory: &mut LeaderMemory,
-    round: &mut Round,
-    types: &Types,
+    view: &ClusterState,
+    memory: &mut LeaderState,
+    round: &mut SchedulingRound,
+    types: &MachineTypes,
     now: u64,
-) -> Vec<Op> {
+) -> Vec<Mutation> {
     let mut ops = Vec::new();
     let seconds = now as f64 / 1000.0;
-    memory
-        .restarted
-        .retain(|(uid, _)| view.jobs.get(uid).is_some_and(|j| j.phase == Phase::Active));
-    for uid in &view.live {
+    memory.restarted_stragglers.retain(|(uid, _)| {
+        view.jobs
+            .get(uid)
+            .is_some_and(|j| j.phase == JobPhase::Active)
+    });
+    for uid in &view.with_tasks {
         let Some(job) = view.jobs.get(uid) else {
             continue;
         };
         let spec = &job.spec;
-        if job.phase != Phase::Active || spec.shape != Shape::Array {
+        if job.phase != JobPhase::Active || spec.shape != Shape::Array {
             continue;
         }
         for (index, t) in &job.tasks {
-            let (Some(ran), Some(machine), None) = (t.task.ran, &t.task.machine, t.task.stop)
+            let (Some(ran), Some(machine), None) =
+                (t.record.started_ms, &t.record.machine, t.record.stop_reason)
             else {
                 continue;
             };
@@ -268,23 +281,23 @@
             let Some(row) = view.machines.get(machine) else {
                 continue;
             };
-            let kind = &row.machine.kind;
-            let run = view.averages.run_time(spec, kind);
+            let kind = &row.record.machine_type;
+            let run = view.durations.run_time(spec, kind);
             if elapsed < OVERDUE * run {
                 continue;
             }
             let name = (uid.clone(), *index);
-            let known = view.averages.knows(uid, kind) || row.slow() > OVERDUE;
-            if !known || memory.restarted.contains(&name) {
+            let known = view.durations.has_run_time(uid, kind) || row.slowdown() > OVERDUE;
+            if !known || memory.restarted_stragglers.contains(&name) {
                 continue;
             }
             let mut probe = slots::waiting(view, spec, types);
-            probe.avoid.push(machine.clone());
-            let Some((i, finish)) = round.best(&probe, true) else {
+            probe.avoided_machines.push(machine.clone());
+            let Some((i, finish)) = round.best_machine(&probe, true) else {
                 continue;
             };
-            round.slots.place(i, &probe, &finish);
-            memory.restarted.insert(name);
+            round.machines.place(i, &probe, &finish);
+            memory.restarted_stragglers.insert(name);
             tracing::info!(
                 job = &**uid,
                 index,
@@ -293,7 +306,12 @@
                 run,
                 "overdue task restarted"
             );
-            let stop = Op::Stop(uid.clone(), t.task.attempt, StopWhy::Overdue, vec![*index]);
+            let stop = Mutation::Stop(
+                uid.clone(),
+                t.record.attempt,
+                StopReason::Straggler,
+                vec![*index],
+            );
             ops.push(stop);
             if ops.len() >= LISTED {
                 return ops;
@@ -326,7 +344,7 @@
         ] {
             let ops = assignments(&uid, shape, 1_700_000_000_000, to(n));
             let tasks = ops.iter().map(|op| match op {
-                Op::Assign(_, _, to) => to.iter().map(|b| b.1.len()).sum::<usize>(),
+                Mutation::Assign(_, _, to) => to.iter().map(|b| b.1.len()).sum::<usize>(),
                 _ => 0,
             });
             assert_eq!(tasks.sum::<usize>(), 3 * n as usize, "{shape:?}");
--- a/crates/rushwalk/src/gate.rs
+++ b/crates/rushwalk/src/gate.rs
@@ -11,7 +11,7 @@
 //! and the users' health probe waited behind them until its node counted as dead.
 //! Who has waited for as long as callers wait is let go.
 
-use crate::seats::{Seated, Seats};
+use crate::seats::{ConnectionTable, TrackedConnection};
 use poem::http::uri::Scheme;
 use poem::listener::{Acceptor, Listener};
 use poem::web::{LocalAddr, RemoteAddr};
@@ -28,21 +28,25 @@
 /// long a caller may wait to be served, before it has gone elsewhere, and after how
 /// much silence a worker may be gone.
 #[derive(Debug, Clone, Copy)]
-pub struct Limits {
+pub struct AdmissionLimits {
     pub pass: Duration,
     pub patience: Duration,
     pub silent: Duration,
 }
 
-pub struct Gate<L> {
+pub struct AdmissionListener<L> {
     inner: L,
-    seats: Arc<Seats>,
-    limits: Limits,
+    seats: Arc<ConnectionTable>,
+    limits: AdmissionLimits,
 }
 
-impl<L> Gate<L> {
-    pub fn new(inner: L, seats: Arc<Seats>, limits: Limits) -> Gate<L> {
-        Gate {
+impl<L> AdmissionListener<L> {
+    pub fn new(
+        inner: L,
+        seats: Arc<ConnectionTable>,
+        limits: AdmissionLimits,
+    ) -> AdmissionListener<L> {
+        AdmissionListener {
             inner,
             seats,
             limits,
@@ -50,13 +54,13 @@
     }
 }
 
-impl<L: Listener> Listener for Gate<L> {
-    type Acceptor = Gated<L::Acceptor>;
+impl<L: Listener> Listener for AdmissionListener<L> {
+    type Acceptor = AdmissionAcceptor<L::Acceptor>;
 
     async fn into_acceptor(self) -> io::Result<Self::Acceptor> {
-        Ok(Gated {
+        Ok(AdmissionAcceptor {
             inner: self.inner.into_acceptor().await?,
-            pace: Pace::new(self.limits.pass),
+            pace: AcceptPacer::new(self.limits.pass),
             seats: self.seats,
             limits: self.limits,
             waiting: VecDeque::new(),
@@ -65,21 +69,21 @@
     }
 }
 
-pub struct Gated<A: Acceptor> {
+pub struct AdmissionAcceptor<A: Acceptor> {
     inner: A,
-    pace: Pace,
-    seats: Arc<Seats>,
-    limits: Limits,
+    pace: AcceptPacer,
+    seats: Arc<ConnectionTable>,
+    limits: AdmissionLimits,
     /// Taken from the kernel, but not served yet, in the order of their coming.
-    waiting: VecDeque<(Instant, Taken<Seated<A::Io>>)>,
+    waiting: VecDeque<(Instant, AcceptedConnection<TrackedConnection<A::Io>>)>,
     /// When idle connections were last closed for want of room.
     shed: Option<Instant>,
 }
 
-type Taken<T> = (T, LocalAddr, RemoteAddr, Scheme);
+type AcceptedConnection<T> = (T, LocalAddr, RemoteAddr, Scheme);
 
-impl<A: Acceptor> Acceptor for Gated<A> {
-    type Io = Seated<A::Io>;
+impl<A: Acceptor> Acceptor for AdmissionAcceptor<A> {
+    type Io = TrackedConnection<A::Io>;
 
     fn local_addr(&self) -> Vec<LocalAddr> {
         self.inner.local_addr()
@@ -111,7 +115,7 @@
     }
 }
 
-impl<A: Acceptor> Gated<A> {
+impl<A: Acceptor> AdmissionAcceptor<A> {
     /// Takes all that wait in the kernel's queue, and gives up those that have waited
     /// here for too long; whether no more may be open.
     async fn take_waiting(&mut self) -> io::Result<bool> {
@@ -140,10 +144,10 @@
         Ok(full)
     }
 
-    async fn keep(&mut self, taken: io::Result<Taken<A::Io>>) -> io::Result<()> {
+    async fn keep(&mut self, taken: io::Result<AcceptedConnection<A::Io>>) -> io::Result<()> {
         match taken {
             Ok((io, local, remote, scheme)) => {
-                let io = Seated::new(io, &self.seats, &remote);
+                let io = TrackedConnection::new(io, &self.seats, &remote);
                 let one = (io, local, remote, scheme);
                 self.waiting.push_back((Instant::now(), one));
                 Ok(())
@@ -158,19 +162,19 @@
 }
 
 /// How many connections to take in one pass over what is ready.
-struct Pace {
+struct AcceptPacer {
     limit: Duration,
     each: usize,
     taken: usize,
 }
 
-impl Pace {
+impl AcceptPacer {
     const MOST: usize = 64;
 
-    fn new(limit: Duration) -> Pace {
-        Pace {
+    fn new(limit: Duration) -> AcceptPacer {
+        AcceptPacer {
             limit,
-            each: Pace::MOST,
+            each: AcceptPacer::MOST,
             taken: 0,
         }
     }
@@ -189,7 +193,7 @@
         self.taken = 0;
         self.each = match took > self.limit {
             true => (self.each / 2).max(1),
-            false => (self.each + 1).min(Pace::MOST),
+            false => (self.each + 1).min(AcceptPacer::MOST),
         };
     }
 }
@@ -204,8 +208,8 @@
 
     #[test]
     fn fewer_are_taken_while_passes_are_long() {
-        let mut pace = Pace::new(Duration::from_millis(50));
-        let pass = |pace: &mut Pace, took: u64| {
+        let mut pace = AcceptPacer::new(Duration::from_millis(50));
+        let pass = |pace: &mut AcceptPacer, took: u64| {
             let mut taken = 0;
             while !pace.spent() {
                 taken += 1;
@@ -224,14 +228,21 @@
         assert_eq!(pass(&mut pace, 5), 64);
     }
 
-    async fn gate(most: usize, patience: u64) -> (Gated<TcpAcceptor>, SocketAddr, Arc<Seats>) {
-        let limits = Limits {
+    async fn gate(
+        most: usize,
+        patience: u64,
+    ) -> (
+        AdmissionAcceptor<TcpAcceptor>,
+        SocketAddr,
+        Arc<ConnectionTable>,
+    ) {
+        let limits = AdmissionLimits {
             pass: Duration::from_millis(1),
             patience: Duration::from_millis(patience),
             silent: Duration::from_secs(60),
         };
-        let seats = Arc::new(Seats::new(most));
-        let gate = Gate::new(TcpListener::bind("127.0.0.1:0"), seats.clone(), limits);
+        let seats = Arc::new(ConnectionTable::new(most));
+        let gate = AdmissionListener::new(TcpListener::bind("127.0.0.1:0"), seats.clone(), limits);
         let gate = gate.into_acceptor().await.unwrap();
         let to = gate.local_addr().remove(0);
         let to = *to.as_socket_addr().unwrap();
