--- a/crates/rushwalk/src/leader.rs
+++ b/crates/rushwalk/src/leader.rs
@@ -3,18 +3,20 @@
 //! version of the leader key.
 
 use crate::fleet;
-use crate::handover::{self, Reach};
-use crate::meter::Work;
-use crate::node::{For, Node, lock, now_ms};
+use crate::handover::{self, ShardReachability};
+use crate::meter::WorkKind;
+use crate::node::{Controller, WritePriority, lock, now_ms};
 use crate::slots;
-use crate::view::{JobRow, Name, TaskRow, View};
-use rushwalk_clients::store::Outcome;
+use crate::view::{ClusterState, JobState, Name, TaskState};
+use rushwalk_clients::store::CommitOutcome;
 use rushwalk_protocol::jobs::Shape;
-use rushwalk_protocol::records::{self as rec, LEADER, Machine, Op, Phase, Stage, StopWhy};
+use rushwalk_protocol::records::{
+    self as rec, JobPhase, LEADER, MachineLifecycle, MachineRecord, Mutation, StopReason,
+};
 use rushwalk_protocol::store::Transaction;
-use rushwalk_scheduler::boot_times::{Boots, Group, Late, Seen};
-use rushwalk_scheduler::capacity::{Kind, Lack, Market};
-use rushwalk_scheduler::shards::{self, Block, Member};
+use rushwalk_scheduler::boot_times::{BootGroup, BootLateness, BootSample, BootTimeEstimator};
+use rushwalk_scheduler::capacity::{CapacityEstimator, InstanceKind, Shortfall};
+use rushwalk_scheduler::shards::{self, OwnerCandidate, ShardStatus};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -23,83 +25,83 @@
 
 /// What a leader remembers; a new one starts with nothing.
 #[derive(Default)]
-pub struct LeaderMemory {
-    pub nonce: Option<u64>,
+pub struct LeaderState {
+    pub election_id: Option<u64>,
     /// A commit of ours was not answered: it may come late, until the leader
     /// key is rewritten.
     pub uncertain: bool,
     /// What is known of what can be rented.
-    pub market: Market,
+    pub capacity: CapacityEstimator,
     /// Machines found lacking that no call was made for as yet.
-    pub lacking: BTreeMap<Kind, Lack>,
-    pub idle: HashMap<Name, Instant>,
-    pub waits: BTreeMap<String, &'static str>,
+    pub shortfall: BTreeMap<InstanceKind, Shortfall>,
+    pub idle_since: HashMap<Name, Instant>,
+    pub pending_reasons: BTreeMap<String, &'static str>,
     /// When a machine was last emptied for want of use.
-    pub gathered: Option<Instant>,
+    pub service_moved: Option<Instant>,
     /// How many machines to try to do without, and when that last failed.
-    pub shrinking: usize,
-    pub shrunk: Option<Instant>,
+    pub scale_in_batch: usize,
+    pub scale_in_failed: Option<Instant>,
     /// When the fleet was last sized.
-    pub sized: Option<Instant>,
+    pub sized_at: Option<Instant>,
     /// Expected tasks that would have to wait on the whole fleet.
-    pub late: usize,
+    pub expected_late: usize,
     /// When a block was last taken from a holder that was cut off.
-    moved: HashMap<Name, Instant>,
+    moved_for_need: HashMap<Name, Instant>,
     /// When a block was last taken from a holder to whom its machines don't come.
-    strayed: HashMap<Name, Instant>,
+    moved_to_reachable: HashMap<Name, Instant>,
     /// When a member was last found cut off from its machines.
-    cut_off: HashMap<String, Instant>,
+    owner_cut_off: HashMap<String, Instant>,
     /// When a block was last given to a member, beyond what had no holder.
-    given: HashMap<String, Instant>,
+    assigned_to: HashMap<String, Instant>,
     /// When a block was last moved for being better off elsewhere.
-    settled: Option<Instant>,
+    rebalanced: Option<Instant>,
     /// Tasks restarted once because they were overdue.
-    pub restarted: BTreeSet<(Name, u32)>,
+    pub restarted_stragglers: BTreeSet<(Name, u32)>,
     /// Rentals whose request is under way.
-    pub asking: BTreeSet<Name>,
+    pub rentals_in_flight: BTreeSet<Name>,
     /// Rentals that were never asked for, with the leader key's version under
     /// which they were written (nobody else can have asked for them either) and
     /// the time by our uptime.
-    pub unsent: BTreeMap<Name, (u64, f64)>,
+    pub unsent_rentals: BTreeMap<Name, (u64, f64)>,
     /// How machines boot, as of the latest round.
-    pub boots: Boots,
+    pub boot_times: BootTimeEstimator,
     /// Machines given up before they came, with their nominal boot time.
-    pub given_up: Vec<(Group, f64, Seen)>,
+    pub abandoned_boots: Vec<(BootGroup, f64, BootSample)>,
     /// When one of many late machines was given up to try another.
-    tried: Vec<(Group, Instant)>,
+    trial_abandonments: Vec<(BootGroup, Instant)>,
     /// Since when this process leads.
-    pub since: Option<Instant>,
+    pub leader_since: Option<Instant>,
     /// Deleted machines, which the late list still shows for a while.
-    pub gone: HashMap<Name, Instant>,
+    pub deleted_machines: HashMap<Name, Instant>,
 }
 
 /// Items of a list in one change: no change outgrows a value.
 pub const LISTED: usize = 100;
 
-pub async fn leader_loop(node: Arc<Node>) {
+pub async fn leader_loop(node: Arc<Controller>) {
     loop {
         let started = Instant::now();
         let leading = {
             let view = node.view();
             node.leadership(&view)
         };
-        let uncertain = lock(&node.leading).uncertain;
+        let uncertain = lock(&node.leader_state).uncertain;
         if let Some(version) = leading
             && !uncertain
         {
             round(&node, version).await;
-            let before = lock(&node.planned).replace(Instant::now());
+            let before = lock(&node.last_round).replace(Instant::now());
             if let Some(gap) = before.map(|at| at.elapsed()) {
-                let mut pace = lock(&node.pace);
-                *pace = (*pace * 7 + gap.min(node.times.member)) / 8;
+                let mut pace = lock(&node.round_interval);
+                *pace = (*pace * 7 + gap.min(node.timing.member_lease)) / 8;
             }
         }
         // A round each second or so; one that took long leaves as much time
         // to the others on this thread.
         let spent = started.elapsed();
-        let pause = node.times.round.saturating_sub(spent).max(spent);
+        let pause = node.timing.round.saturating_sub(spent).max(spent);
         // Who has just come to lead begins at once.
-        let _ = tokio::time::timeout(pause, node.led.notified()).await;
+        let _ = tokio::time::timeout(pause, node.leadership_acquired.notified()).await;
     }
 }
 
@@ -107,35 +109,44 @@
 /// again every second, and a controller that is busy refusing them finds no time
 /// for its rounds. That once kept blocks without a holder until all leases ran
 /// out.
-pub async fn lend_loop(node: Arc<Node>) {
+pub async fn lend_loop(node: Arc<Controller>) {
     loop {
-        sleep(node.times.round / 4).await;
+        sleep(node.timing.round / 4).await;
         let leading = {
             let view = node.view();
             node.leadership(&view)
         };
         if let Some(version) = leading
-            && !lock(&node.leading).uncertain
+            && !lock(&node.leader_state).uncertain
             && let Some((txn, needed, strayed)) = {
-                let _turn = node.meter.turn(Work::Lend);
+                let _turn = node.work_profile.start(WorkKind::AssignShards);
                 lend(&node, version)
             }
         {
-            if commit(&node, txn, For::Order).await {
-                let (now, mut memory) = (Instant::now(), lock(&node.leading));
+            if commit(&node, txn, WritePriority::Coordination).await {
+                let (now, mut memory) = (Instant::now(), lock(&node.leader_state));
                 match needed.is_empty() && strayed.is_empty() {
-                    true => memory.settled = Some(now),
-                    false => memory.moved.extend(needed.into_iter().map(|b| (b, now))),
+                    true => memory.rebalanced = Some(now),
+                    false => memory
+                        .moved_for_need
+                        .extend(needed.into_iter().map(|b| (b, now))),
                 }
-                memory.strayed.extend(strayed.into_iter().map(|b| (b, now)));
+                memory
+                    .moved_to_reachable
+                    .extend(strayed.into_iter().map(|b| (b, now)));
             }
-            node.fresh(node.times.round).await;
+            node.linearizable_read(node.timing.round).await;
         }
     }
 }
 
 /// Appends to the log under our leadership; false if it should not go on.
-pub async fn append(node: &Node, version: u64, ops: &[Op], whom: For) -> bool {
+pub async fn append(
+    node: &Controller,
+    version: u64,
+    ops: &[Mutation],
+    whom: WritePriority,
+) -> bool {
     if ops.is_empty() {
         return true;
     }
@@ -144,43 +155,43 @@
 }
 
 /// Commits under our leadership.
-pub async fn commit(node: &Node, txn: Transaction, whom: For) -> bool {
+pub async fn commit(node: &Controller, txn: Transaction, whom: WritePriority) -> bool {
     let outcome = node.commit(txn, whom).await;
     judge(node, &outcome)
 }
 
 /// Whether a commit under our leadership was taken; one of unknown fate is fenced
 /// before anything else is decided.
-pub fn judge(node: &Node, outcome: &Outcome) -> bool {
+pub fn judge(node: &Controller, outcome: &CommitOutcome) -> bool {
     match outcome {
-        Outcome::Done(_) => true,
-        Outcome::Unknown(_) => {
+        CommitOutcome::Committed(_) => true,
+        CommitOutcome::Unanswered(_) => {
             // It may come late: rewrite the leader key before all else.
-            lock(&node.leading).uncertain = true;
-            node.fresh_wanted.notify_one();
+            lock(&node.leader_state).uncertain = true;
+            node.read_requested.notify_one();
             false
         }
         _ => false,
     }
 }
 
-async fn round(node: &Arc<Node>, version: u64) {
+async fn round(node: &Arc<Controller>, version: u64) {
     let mut ops = {
-        let _turn = node.meter.turn(Work::Place);
+        let _turn = node.work_profile.start(WorkKind::Schedule);
         upkeep(node)
     };
-    let leads = |node: &Node| {
+    let leads = |node: &Controller| {
         let view = node.view();
         node.leadership(&view) == Some(version)
     };
-    if !ops.is_empty() && !append(node, version, &ops, For::Work).await {
+    if !ops.is_empty() && !append(node, version, &ops, WritePriority::WorkKind).await {
         return;
     }
     if !leads(node) {
         return;
     }
     ops = fleet::plan(node, version).await;
-    append(node, version, &ops, For::Work).await;
+    append(node, version, &ops, WritePriority::WorkKind).await;
 }
 
 /// Who left more often than this of late gets no blocks while others can have them.
@@ -189,142 +200,157 @@
 /// Lends blocks that nobody holds, or whose holder is cut off from them, and one
 /// that is better off elsewhere. With those that had a holder and needed another, and
 /// those whose machines turned up elsewhere.
-fn lend(node: &Node, version: u64) -> Option<(Transaction, Vec<Name>, Vec<Name>)> {
-    let reach = Reach::now(node);
+fn lend(node: &Controller, version: u64) -> Option<(Transaction, Vec<Name>, Vec<Name>)> {
+    let reach = ShardReachability::now(node);
     let view = node.view();
     let now = now_ms();
-    let mut memory = lock(&node.leading);
+    let mut memory = lock(&node.leader_state);
     let lately = |at: Option<&Instant>, span: Duration| at.is_some_and(|at| at.elapsed() < span);
     let detector = lock(&node.detector);
-    let uptime = node.uptime();
+    let uptime = node.uptime_s();
     // Started again and again: it may go before anybody has come to it. Not if that is
     // what most do: the others could not bear it all.
     let flighty = |name: &str| {
         let damping = &detector.damping;
-        damping.count(uptime, name) > FLIGHTY && !damping.fit(uptime, name)
+        damping.departures(uptime, name) > FLIGHTY && !damping.is_eligible(uptime, name)
     };
     let few = 2 * view.members.keys().filter(|name| flighty(name)).count() < view.members.len();
     // One that is judged has nothing, whether or not its lease lasts.
-    let there = |(name, m): &(&String, &rec::Member)| {
+    let there = |(name, m): &(&String, &rec::MemberRecord)| {
         let leaves = few && flighty(name);
-        !leaves && !detector.dead(name, m.nonce)
+        !leaves && !detector.has_lost_shards(name, m.incarnation)
     };
     let names: Vec<&String> = view.members.iter().filter(there).map(|m| m.0).collect();
     // Leading takes about as much as half a share of the machines.
     let share = view.machines.len() / names.len().max(1) / 2;
-    let members: Vec<Member> = (view.members.iter())
+    let members: Vec<OwnerCandidate> = (view.members.iter())
         .filter(there)
         .map(|(name, m)| {
             // A member that has just come back gets its zone after a while only, which
             // grows if it comes and goes.
             let pause = (detector.damping.pause_s(uptime, name) * 1000.0) as u64;
-            let slow = detector.slow(name);
-            let lag = match name == node.me() {
-                true => node.load.lag().as_secs_f64(),
+            let slow = detector.is_slow(name);
+            let lag = match name == node.member() {
+                true => node.runtime_lag.mean_lag().as_secs_f64(),
                 false => detector
-                    .hello(name, uptime)
-                    .map_or(0.0, |(_, h)| h.late_ms as f64 / 1000.0),
+                    .last_heartbeat(name, uptime)
+                    .map_or(0.0, |(_, h)| h.lag_ms as f64 / 1000.0),
             };
-            let busy = match name == node.me() {
-                true => node.busy_share.load(Ordering::Relaxed),
-                false => detector.hello(name, uptime).map_or(0, |(_, h)| h.busy),
+            let busy = match name == node.member() {
+                true => node.busy_permille.load(Ordering::Relaxed),
+                false => detector
+                    .last_heartbeat(name, uptime)
+                    .map_or(0, |(_, h)| h.busy_permille),
             };
-            let spans = detector.limits().spans();
+            let spans = detector.config().timing();
             // Step by step: the next block when it has shown that it serves the last.
-            let step = node.times.member.max(node.times.report);
-            let unproven = detector.damping.count(uptime, name) > 1
-                || lately(memory.cut_off.get(name.as_str()), node.times.lease);
-            let fit = detector.damping.fit(uptime, name);
-            let proven = !unproven || !lately(memory.given.get(name.as_str()), step);
-            Member {
+            let step = node.timing.member_lease.max(node.timing.heartbeat);
+            let unproven = detector.damping.departures(uptime, name) > 1
+                || lately(
+                    memory.owner_cut_off.get(name.as_str()),
+                    node.timing.worker_lease,
+                );
+            let fit = detector.damping.is_eligible(uptime, name);
+            let proven = !unproven || !lately(memory.assigned_to.get(name.as_str()), step);
+            OwnerCandidate {
                 name,
                 zone: &m.zone,
-                settled: now > m.since_ms + pause && fit && proven,
-                extra: if name == node.me() { share } else { 0 },
-                able: !detector.doubtful(name) && !slow,
+                eligible_for_moves: now > m.registered_ms + pause && fit && proven,
+                extra_load: if name == node.member() { share } else { 0 },
+                trusted: !detector.is_doubtful(name) && !slow,
                 slow,
-                room: spans.room(lag, f64::from(busy) / 1000.0),
+                has_headroom: spans.has_headroom(lag, f64::from(busy) / 1000.0),
             }
         })
         .collect();
     // One whose lease has ended may still live and hold its blocks, by its last read: if
     // it says so to us it is given the time to come back.
-    let grace = node.times.member.as_secs_f64() / 2.0;
-    let lingers =
-        |g: &rec::Grant| !view.held(g) && detector.lingers(&g.holder, g.nonce, uptime, grace);
+    let grace = node.timing.member_lease.as_secs_f64() / 2.0;
+    let lingers = |g: &rec::ShardLease| {
+        !view.is_owner_registered(g)
+            && detector.lingers_after_expiry(&g.owner, g.incarnation, uptime, grace)
+    };
     // Every zone has a block, before its first machine.
     let zones = node.settings.site.zones.iter().map(|z| z.as_str().into());
-    let blocks: BTreeSet<Name> = zones.chain(view.blocks.keys().cloned()).collect();
+    let blocks: BTreeSet<Name> = zones.chain(view.shards.keys().cloned()).collect();
     // One that ended is mostly back before its lease ends.
-    let busy = detector.hellos(uptime).filter(|(age, _)| *age < grace);
-    let busy = busy.map(|(_, hello)| hello.busy);
-    let own = node.busy_share.load(Ordering::Relaxed);
+    let busy = detector
+        .last_heartbeats(uptime)
+        .filter(|(age, _)| *age < grace);
+    let busy = busy.map(|(_, hello)| hello.busy_permille);
+    let own = node.busy_permille.load(Ordering::Relaxed);
     let roomy = handover::roomy(busy.chain([own]));
-    let returns = |g: &rec::Grant| !roomy && view.held(g) && detector.refuses(&g.holder, g.nonce);
+    let returns = |g: &rec::ShardLease| {
+        !roomy && view.is_owner_registered(g) && detector.failed_by_refusal(&g.owner, g.incarnation)
+    };
     let wait = |b: &Name| {
-        let grant = view.grants.get(b).map(|(_, g)| g);
+        let grant = view.shard_leases.get(b).map(|(_, g)| g);
         grant.is_some_and(|g| lingers(g) || returns(g))
     };
     let blocks: Vec<Name> = blocks.into_iter().filter(|b| !wait(b)).collect();
     drop(detector);
     let mut strayed = Vec::new();
-    let lent: Vec<Block> = (blocks.iter())
+    let lent: Vec<ShardStatus> = (blocks.iter())
         .map(|block| {
-            let grant = view.grants.get(block).map(|(_, g)| g);
-            let valid = grant.filter(|g| view.held(g));
+            let grant = view.shard_leases.get(block).map(|(_, g)| g);
+            let valid = grant.filter(|g| view.is_owner_registered(g));
             // A holder that hears nothing of most of its machines is cut off from
             // them. Only once while their leases last: if the next one hears
             // nothing either, the machines are cut off, and each new holder would
             // have to wait anew for their leases to run out, which takes so long.
-            let settle = node.times.lease + node.times.loan + node.times.silent;
-            let strayed_at = memory.strayed.get(block);
-            let moved = lately(memory.moved.get(block), settle) || lately(strayed_at, settle);
+            let settle = node.timing.worker_lease
+                + node.timing.lease_validity
+                + node.timing.unreachable_after;
+            let strayed_at = memory.moved_to_reachable.get(block);
+            let moved =
+                lately(memory.moved_for_need.get(block), settle) || lately(strayed_at, settle);
             // That they turn up at somebody else shows that they can be reached; but not
             // if they turn up at everybody in turn. Those hear nobody, and with a block
             // that went round their tasks were not known to be gone for as long as that
             // lasted.
-            let (up, silent) = view.pulse(block);
+            let (up, silent) = view.shard_counts(block);
             let again = match silent > 0 {
                 true => lately(strayed_at, settle),
-                false => lately(strayed_at, node.times.member),
+                false => lately(strayed_at, node.timing.member_lease),
             };
             let at = valid
                 .filter(|_| !again)
-                .map(|g| reach.elsewhere(block, &g.holder, up.saturating_sub(silent)));
+                .map(|g| reach.elsewhere(block, &g.owner, up.saturating_sub(silent)));
             let at = at.unwrap_or_default();
             let place = |name: &&str| names.binary_search_by(|n| n.as_str().cmp(name)).ok();
             if !at.is_empty() {
                 strayed.push(block.clone());
             }
-            Block {
+            ShardStatus {
                 zone: zone_of(block),
-                machines: view.blocks.get(block).map_or(0, BTreeSet::len),
-                holder: valid.and_then(|g| names.binary_search(&&g.holder).ok()),
-                quiet: view.pulse(block).1 > 0,
-                cut: !at.is_empty() || valid.is_some() && !moved && mostly_silent(&view, block),
-                reached: at.iter().filter_map(place).collect(),
+                machines: view.shards.get(block).map_or(0, BTreeSet::len),
+                owner: valid.and_then(|g| names.binary_search(&&g.owner).ok()),
+                has_unreachable: view.shard_counts(block).1 > 0,
+                owner_cut_off: !at.is_empty()
+                    || valid.is_some() && !moved && mostly_silent(&view, block),
+                reachable_from: at.iter().filter_map(place).collect(),
             }
         })
         .collect();
     // Each move leads a block's workers elsewhere: one at a time.
-    let more = !lately(memory.settled.as_ref(), node.times.round);
-    let mut txn = Transaction::default().when(LEADER, version);
+    let more = !lately(memory.rebalanced.as_ref(), node.timing.round);
+    let mut txn = Transaction::default().expect_version(LEADER, version);
     let mut needed = Vec::new();
     for (i, to) in shards::lend(&members, &lent, more) {
-        if txn.writes.len() >= node.settings.site.state.txn_ops {
+        if txn.writes.len() >= node.settings.site.store.txn_ops {
             break;
         }
         let (block, to) = (&blocks[i], members[to].name);
         let Some(member) = view.members.get(to) else {
             continue;
         };
-        let taken = lent[i].cut && !strayed.contains(block) || lent[i].holder.is_none();
-        if taken && view.grants.contains_key(block) {
+        let taken = lent[i].owner_cut_off && !strayed.contains(block) || lent[i].owner.is_none();
+        if taken && view.shard_leases.contains_key(block) {
             needed.push(block.clone());
         }
         let why = why(&lent[i], &members);
-        if lent[i].holder.is_some() && !lent[i].cut {
-            memory.given.insert(to.into(), Instant::now());
+        if lent[i].owner.is_some() && !lent[i].owner_cut_off {
+            memory.assigned_to.insert(to.into(), Instant::now());
         }
         tracing::info!(
             block = &**block,
@@ -333,29 +359,33 @@
             why,
             "block lent"
         );
-        if lent[i].cut
+        if lent[i].owner_cut_off
             && strayed.contains(block)
-            && let Some((_, grant)) = view.grants.get(block)
+            && let Some((_, grant)) = view.shard_leases.get(block)
         {
-            handover::lost_reach(node, &grant.holder, grant.nonce);
-            memory.cut_off.insert(grant.holder.clone(), Instant::now());
+            handover::lost_reach(node, &grant.owner, grant.incarnation);
+            memory
+                .owner_cut_off
+                .insert(grant.owner.clone(), Instant::now());
         }
         let key = rec::grant_key(block);
-        let grant = rec::Grant {
-            holder: to.into(),
-            nonce: member.nonce,
+        let grant = rec::ShardLease {
+            owner: to.into(),
+            incarnation: member.incarnation,
         };
-        txn = txn.when(&key, view.version(&key)).put(&key, &grant);
+        txn = txn
+            .expect_version(&key, view.key_version(&key))
+            .put(&key, &grant);
     }
     (!txn.writes.is_empty()).then_some((txn, needed, strayed))
 }
 
 /// Why a block is lent anew, for the log.
-fn why(block: &Block, members: &[Member]) -> &'static str {
-    match block.holder {
+fn why(block: &ShardStatus, members: &[OwnerCandidate]) -> &'static str {
+    match block.owner {
         None => "it has no holder",
-        Some(_) if !block.reached.is_empty() => "its machines come to others",
-        Some(_) if block.cut => "its machines are silent",
+        Some(_) if !block.reachable_from.is_empty() => "its machines come to others",
+        Some(_) if block.owner_cut_off => "its machines are silent",
         Some(holder) if members[holder].slow => "its holder is too slow",
         Some(_) => "balance",
     }
@@ -366,37 +396,41 @@
 const FAULTY: usize = 3;
 
 /// Broken gangs, assignments that no holder took up, machines to be given up.
-fn upkeep(node: &Node) -> Vec<Op> {
+fn upkeep(node: &Controller) -> Vec<Mutation> {
     let view = node.view();
     let now = now_ms();
-    let mut memory = lock(&node.leading);
+    let mut memory = lock(&node.leader_state);
     let late = late(node, &view, &mut memory, now);
     let mut back: BTreeMap<(Name, u64), Vec<u32>> = BTreeMap::new();
     let mut stops: BTreeMap<(Name, u64, u8), Vec<u32>> = BTreeMap::new();
     let mut ops = Vec::new();
-    let stuck = (4.0 * node.times.round.as_secs_f64() * 1000.0) as u64;
+    let stuck = (4.0 * node.timing.round.as_secs_f64() * 1000.0) as u64;
     for (uid, index) in &view.unplaced {
         let task = view.jobs.get(uid).and_then(|j| j.tasks.get(index));
         if let Some(t) = task
-            && now > t.task.at + stuck
+            && now > t.record.scheduled_ms + stuck
         {
             // Its holder found no room, or is gone: back to the waiting.
-            let key = (uid.clone(), t.task.attempt);
+            let key = (uid.clone(), t.record.attempt);
             back.entry(key).or_default().push(*index);
         }
     }
-    for uid in &view.live {
+    for uid in &view.with_tasks {
         let Some(job) = view.jobs.get(uid) else {
             continue;
         };
-        if job.spec.shape != Shape::Gang || job.phase != Phase::Active {
+        if job.spec.shape != Shape::Gang || job.phase != JobPhase::Active {
             continue;
         }
         let missing = (job.tasks.len() as u32) < job.spec.tasks;
-        let stopping = job.tasks.values().any(|t| t.task.stop.is_some());
+        let stopping = job.tasks.values().any(|t| t.record.stop_reason.is_some());
         if missing || stopping {
-            for (index, t) in job.tasks.iter().filter(|(_, t)| t.task.stop.is_none()) {
-                let key = (uid.clone(), t.task.attempt, 0);
+            for (index, t) in job
+                .tasks
+                .iter()
+                .filter(|(_, t)| t.record.stop_reason.is_none())
+            {
+                let key = (uid.clone(), t.record.attempt, 0);
                 stops.entry(key).or_default().push(*index);
             }
         }
@@ -404,52 +438,58 @@
     let mut given_up = Vec::new();
     let mut aside = Vec::new();
     for (name, row) in &view.machines {
-        if row.machine.stage == Stage::Delete {
+        if row.record.lifecycle == MachineLifecycle::Deleting {
             continue;
         }
         let why = match late.contains(name) {
             true => Some("it does not come up"),
-            false => give_up(node, &view, &row.machine, now),
+            false => give_up(node, &view, &row.record, now),
         };
         if let Some(why) = why {
             tracing::info!(machine = &**name, why, "machine given up");
             given_up.push(name.clone());
             continue;
         }
-        if row.machine.stage == Stage::Use && row.failed.len() >= FAULTY {
-            tracing::info!(machine = &**name, jobs = ?row.failed, "machine set aside");
+        if row.record.lifecycle == MachineLifecycle::Active && row.failed_jobs.len() >= FAULTY {
+            tracing::info!(machine = &**name, jobs = ?row.failed_jobs, "machine set aside");
             aside.push(name.clone());
         }
-        if row.machine.stage != Stage::Drain {
+        if row.record.lifecycle != MachineLifecycle::Draining {
             continue;
         }
         for (uid, index) in &row.tasks {
             let Some((job, t)) = view.task(uid, *index) else {
                 continue;
             };
-            let open = t.task.stop.is_none() && job.phase == Phase::Active;
+            let open = t.record.stop_reason.is_none() && job.phase == JobPhase::Active;
             if open && drains(&view, job, t, row, now) {
-                let key = (uid.clone(), t.task.attempt, 1);
+                let key = (uid.clone(), t.record.attempt, 1);
                 stops.entry(key).or_default().push(*index);
             }
         }
     }
     for ((uid, attempt), tasks) in back {
         for some in tasks.chunks(LISTED) {
-            ops.push(Op::Unassign(uid.clone(), attempt, some.to_vec()));
+            ops.push(Mutation::Unassign(uid.clone(), attempt, some.to_vec()));
         }
     }
     for ((uid, attempt, why), tasks) in stops {
-        let why = [StopWhy::Gang, StopWhy::Drain][usize::from(why.min(1))];
+        let why = [StopReason::GangBroken, StopReason::Evicted][usize::from(why.min(1))];
         for some in tasks.chunks(LISTED) {
-            ops.push(Op::Stop(uid.clone(), attempt, why, some.to_vec()));
+            ops.push(Mutation::Stop(uid.clone(), attempt, why, some.to_vec()));
         }
     }
     for some in aside.chunks(LISTED) {
-        ops.push(Op::Stage(Stage::Drain, some.to_vec()));
+        ops.push(Mutation::SetLifecycle(
+            MachineLifecycle::Draining,
+            some.to_vec(),
+        ));
     }
     for some in given_up.chunks(LISTED) {
-        ops.push(Op::Stage(Stage::Delete, some.to_vec()));
+        ops.push(Mutation::SetLifecycle(
+            MachineLifecycle::Deleting,
+            some.to_vec(),
+        ));
     }
     ops
 }
@@ -457,11 +497,17 @@
 /// Whether a task should leave its machine: a service always, others if it is
 /// being taken back and they save, or would not be finished by then. On one that
 /// is only to be given back they run to their end.
-fn drains(view: &View, job: &JobRow, t: &TaskRow, row: &crate::view::MachineRow, now: u64) -> bool {
+fn drains(
+    view: &ClusterState,
+    job: &JobState,
+    t: &TaskState,
+    row: &crate::view::MachineState,
+    now: u64,
+) -> bool {
     if job.spec.shape == Shape::Service {
         return true;
     }
-    row.machine.taken.is_some_and(|taken| {
+    row.record.reclaim_ms.is_some_and(|taken| {
         let end = slots::predicted_end(view, job, t, row, now as f64 / 1000.0);
         job.spec.checkpoint_s > 0.0 || end > taken as f64 / 1000.0
     })
@@ -473,50 +519,59 @@
 
 /// Machines to give up since others would come sooner. One that never comes holds what
 /// can be rented of its kind: 580 did for 250 s, and all others were in use.
-fn late(node: &Node, view: &View, memory: &mut LeaderMemory, now: u64) -> BTreeSet<Name> {
-    let Some(types) = view.types.clone() else {
+fn late(
+    node: &Controller,
+    view: &ClusterState,
+    memory: &mut LeaderState,
+    now: u64,
+) -> BTreeSet<Name> {
+    let Some(types) = view.machine_types.clone() else {
         return BTreeSet::new();
     };
     let zones = slots::zones(&types, &node.settings.site);
-    let report_s = node.times.report.as_secs_f64();
-    memory.boots = fleet::boots(view, memory, &types, &zones, (now, report_s));
+    let report_s = node.timing.heartbeat.as_secs_f64();
+    memory.boot_times = fleet::boots(view, memory, &types, &zones, (now, report_s));
     // Who has just come to lead does not know what the holders are about to say.
     let settled = memory
-        .since
-        .is_some_and(|at| at.elapsed() > node.times.silent);
+        .leader_since
+        .is_some_and(|at| at.elapsed() > node.timing.unreachable_after);
     if !settled {
         return BTreeSet::new();
     }
     let mut out = BTreeSet::new();
-    let mut alike: Vec<(Group, u64, &Name, f64)> = Vec::new();
+    let mut alike: Vec<(BootGroup, u64, &Name, f64)> = Vec::new();
     for (name, row) in &view.machines {
-        let m = &row.machine;
-        let held = || view.grants.get(&m.block).is_some_and(|(_, g)| view.held(g));
-        if m.up.is_some() || m.stage == Stage::Delete || !held() {
+        let m = &row.record;
+        let held = || {
+            view.shard_leases
+                .get(&m.shard)
+                .is_some_and(|(_, g)| view.is_owner_registered(g))
+        };
+        if m.ready_ms.is_some() || m.lifecycle == MachineLifecycle::Deleting || !held() {
             continue;
         }
         let Some((group, kind)) = fleet::booting(m, &types, &zones) else {
             continue;
         };
         match memory
-            .boots
-            .late(group, kind.boot_s, m.rented as f64 / 1000.0)
+            .boot_times
+            .lateness(group, kind.boot_s, m.rented_ms as f64 / 1000.0)
         {
-            Late::Not => {}
-            Late::Like => alike.push((group, m.rented, name, kind.boot_s)),
-            Late::Beyond => {
+            BootLateness::OnTime => {}
+            BootLateness::LateLikeOthers => alike.push((group, m.rented_ms, name, kind.boot_s)),
+            BootLateness::ReplaceNow => {
                 out.insert(name.clone());
             }
         }
     }
     // Are they all late still? If work waits it is worth a try now and then.
     alike.sort_by_key(|(group, rented, ..)| (*group, *rented));
-    if memory.waits.is_empty() {
+    if memory.pending_reasons.is_empty() {
         alike.clear();
     }
     for some in alike.chunk_by(|a, b| a.0 == b.0) {
         let (group, boot_s) = (some[0].0, some[0].3);
-        let tried = &mut memory.tried;
+        let tried = &mut memory.trial_abandonments;
         tried.retain(|(g, at)| *g != group || at.elapsed().as_secs_f64() < boot_s);
         let lately = tried.iter().filter(|(g, _)| *g == group).count();
         let more = (some.len() / TRIED).saturating_sub(lately);
@@ -526,42 +581,47 @@
         }
     }
     for m in out.iter().filter_map(|name| view.machines.get(name)) {
-        let m = &m.machine;
+        let m = &m.record;
         if let Some((group, kind)) = fleet::booting(m, &types, &zones) {
-            let seen = Seen {
-                rented: m.rented as f64 / 1000.0,
-                took: now.saturating_sub(m.rented) as f64 / 1000.0,
-                up: false,
+            let seen = BootSample {
+                rented_s: m.rented_ms as f64 / 1000.0,
+                elapsed_s: now.saturating_sub(m.rented_ms) as f64 / 1000.0,
+                booted: false,
             };
-            memory.given_up.push((group, kind.boot_s, seen));
+            memory.abandoned_boots.push((group, kind.boot_s, seen));
         }
     }
     out
 }
 
 /// Why a machine is to be deleted at once, whatever is on it.
-fn give_up(node: &Node, view: &View, m: &Machine, now: u64) -> Option<&'static str> {
-    if let Some(taken) = m.taken
-        && now > taken + node.times.round.as_millis() as u64 * 3
+fn give_up(
+    node: &Controller,
+    view: &ClusterState,
+    m: &MachineRecord,
+    now: u64,
+) -> Option<&'static str> {
+    if let Some(taken) = m.reclaim_ms
+        && now > taken + node.timing.round.as_millis() as u64 * 3
     {
         // Its notice has run out: it is gone, or will be in a moment.
         return Some("it was taken back");
     }
-    let silent = m.silent?;
+    let silent = m.unreachable_since_ms?;
     // Spot machines that fall silent were mostly taken without notice. Others
     // rarely die, and so do whole blocks: that is rather a cut, behind which
     // the tasks go on. Until their lease runs out they are not given up, and
     // then the machine may yet come back, empty but with its images.
-    let patience = match m.spot && !mostly_silent(view, &m.block) {
+    let patience = match m.spot && !mostly_silent(view, &m.shard) {
         true => Duration::ZERO,
-        false => 2 * node.times.lease + node.times.loan,
+        false => 2 * node.timing.worker_lease + node.timing.lease_validity,
     };
     (now >= silent + patience.as_millis() as u64).then_some("it is silent")
 }
 
 /// Whether most machines of a block are silent: its holder is cut off.
-fn mostly_silent(view: &View, block: &str) -> bool {
-    let (all, quiet) = view.pulse(block);
+fn mostly_silent(view: &ClusterState, block: &str) -> bool {
+    let (all, quiet) = view.shard_counts(block);
     quiet > 2 && quiet * 2 > all
 }
 
--- a/crates/rushwalk/src/load.rs
+++ b/crates/rushwalk/src/load.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-pub struct Load {
+pub struct RuntimeLag {
     /// How often it is looked at.
     every: Duration,
     late: Mutex<Duration>,
@@ -24,9 +24,9 @@
 /// Looks over which lateness is averaged: about a round.
 const AVERAGED: u32 = 8;
 
-impl Load {
-    pub fn new(every: Duration) -> Load {
-        Load {
+impl RuntimeLag {
+    pub fn new(every: Duration) -> RuntimeLag {
+        RuntimeLag {
             every,
             late: Mutex::default(),
             lag: Mutex::default(),
@@ -37,23 +37,23 @@
     /// How late timers are in the mean of the last round or so. A thread that has less
     /// processor than work is late again and again, with good turns in between: the
     /// mean shows it where the latest turns don't.
-    pub fn lag(&self) -> Duration {
+    pub fn mean_lag(&self) -> Duration {
         *lock(&self.lag)
     }
 
     /// How late timers are of late.
-    pub fn late(&self) -> Duration {
+    pub fn recent_lag(&self) -> Duration {
         *lock(&self.late)
     }
 
     /// Whether they are later than the time between two looks.
-    pub fn behind(&self) -> bool {
-        self.late() > self.every
+    pub fn is_lagging(&self) -> bool {
+        self.recent_lag() > self.every
     }
 
     /// A timer was so late. Rises at once, and falls by a quarter with each that was
     /// in time: one good turn doesn't end a storm.
-    fn saw(&self, late: Duration) {
+    fn record(&self, late: Duration) {
         let mut before = lock(&self.late);
         *before = late.max(*before * 3 / 4);
         // However long it was, it is one look: who stood still for seconds is not slow.
@@ -64,7 +64,7 @@
     /// Lets the others on this thread go on after a turn that took so long: while
     /// timers are late, for three times as long.
     pub async fn give_way(&self, took: Duration) {
-        match self.behind() {
+        match self.is_lagging() {
             true => sleep(3 * took).await,
             false => tokio::task::yield_now().await,
         }
@@ -72,16 +72,16 @@
 
     /// From now on each look counts as so much later: on virtual time no thread is ever
     /// late, so trials must say so.
-    pub fn pretend(&self, late: Duration) {
+    pub fn set_simulated_lag(&self, late: Duration) {
         *lock(&self.pretended) = late;
     }
 
-    pub async fn watch_loop(self: Arc<Load>) {
+    pub async fn watch_loop(self: Arc<RuntimeLag>) {
         loop {
             let due = Instant::now() + self.every;
             sleep(self.every).await;
             let pretended = *lock(&self.pretended);
-            self.saw(due.elapsed() + pretended);
+            self.record(due.elapsed() + pretended);
         }
     }
 }
@@ -92,28 +92,31 @@
 
     #[test]
     fn late_timers_are_remembered_for_some_turns() {
-        let load = Load::new(Duration::from_millis(100));
-        assert!(!load.behind());
-        load.saw(Duration::from_millis(300));
-        assert!(load.behind());
-        load.saw(Duration::from_millis(2));
-        assert!(load.behind(), "one good turn");
+        let load = RuntimeLag::new(Duration::from_millis(100));
+        assert!(!load.is_lagging());
+        load.record(Duration::from_millis(300));
+        assert!(load.is_lagging());
+        load.record(Duration::from_millis(2));
+        assert!(load.is_lagging(), "one good turn");
         for _ in 0..4 {
-            load.saw(Duration::from_millis(2));
+            load.record(Duration::from_millis(2));
         }
-        assert!(!load.behind());
+        assert!(!load.is_lagging());
     }
 
     /// A controller eight times slower was late in two looks of three, and by the
     /// latest ones in time again and again.
     #[test]
     fn lateness_that_comes_and_goes_shows_in_the_mean() {
-        let load = Load::new(Duration::from_millis(100));
-        load.saw(Duration::from_millis(30_000));
-        assert!(load.lag() <= Duration::from_millis(50), "it stood still");
-        (0..20).for_each(|i| load.saw(Duration::from_millis([2, 300, 500][i % 3])));
-        assert!(load.lag() > Duration::from_millis(200));
-        (0..40).for_each(|_| load.saw(Duration::from_millis(2)));
-        assert!(load.lag() < Duration::from_millis(10));
+        let load = RuntimeLag::new(Duration::from_millis(100));
+        load.record(Duration::from_millis(30_000));
+        assert!(
+            load.mean_lag() <= Duration::from_millis(50),
+            "it stood still"
+        );
+        (0..20).for_each(|i| load.record(Duration::from_millis([2, 300, 500][i % 3])));
+        assert!(load.mean_lag() > Duration::from_millis(200));
+        (0..40).for_each(|_| load.record(Duration::from_millis(2)));
+        assert!(load.mean_lag() < Duration::from_millis(10));
     }
 }
--- a/crates/rushwalk/src/log/tests.rs
+++ b/crates/rushwalk/src/log/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
-use rushwalk_scheduler::durations::Averages;
+use rushwalk_scheduler::durations::DurationEstimator;
 
 #[test]
 fn changes_are_packed_into_few_values_of_the_allowed_size() {
-    let ops: Vec<Op> = (0..1000)
-        .map(|n| Op::Ran(format!("j-{n:06}").into(), n, 1000, (0..20).collect()))
+    let ops: Vec<Mutation> = (0..1000)
+        .map(|n| Mutation::Started(format!("j-{n:06}").into(), n, 1000, (0..20).collect()))
         .collect();
     let packed = pack(&ops, 16_000);
     assert!(packed.iter().all(|p| p.len() <= 16_000));
@@ -13,9 +13,9 @@
         .iter()
         .map(|p| {
             let value = value(3, p).unwrap();
-            let entry: rushwalk_protocol::records::Entry =
+            let entry: rushwalk_protocol::records::LogEntry =
                 serde_json::from_str(value.get()).unwrap();
-            entry.ops.len()
+            entry.mutations.len()
         })
         .sum();
     assert_eq!(all, 1000);
@@ -24,13 +24,13 @@
 /// A key in use, or of unknown fate, must not be given out again.
 #[test]
 fn a_key_is_used_again_only_behind_a_snapshot() {
-    let mut view = View::new(Averages::new(1, 0.0));
-    let mut slots = Slots::default();
+    let mut view = ClusterState::new(DurationEstimator::new(1, 0.0));
+    let mut slots = EntryKeyAllocator::default();
     assert_eq!(slots.take(&view, "a"), (0, 0));
     assert_eq!(slots.take(&view, "a"), (1, 0));
-    view.log.insert(entry_key("a", 0), 10);
-    view.log.insert(entry_key("ab", 7), 12);
-    view.base.at = 11;
+    view.log_versions.insert(entry_key("a", 0), 10);
+    view.log_versions.insert(entry_key("ab", 7), 12);
+    view.snapshot.revision = 11;
     // 1 may still be written, late.
     assert_eq!(slots.take(&view, "a"), (0, 10));
     assert_eq!(slots.take(&view, "a"), (2, 0));
@@ -39,7 +39,7 @@
     // A commit of the process before came late, into a key that looked free: it
     // was overwritten, and who listed then had never heard of a job accepted in it.
     slots.put_back(2);
-    view.log.insert(entry_key("a", 2), 14);
-    view.log.insert(entry_key("a", 3), 15);
+    view.log_versions.insert(entry_key("a", 2), 14);
+    view.log_versions.insert(entry_key("a", 3), 15);
     assert_eq!(slots.take(&view, "a"), (4, 0));
 }
--- a/crates/rushwalk/src/main.rs
+++ b/crates/rushwalk/src/main.rs
@@ -2,10 +2,10 @@
 
 use clap::{Parser, Subcommand};
 use poem::listener::TcpListener;
-use rushwalk::gate::{Gate, Limits};
-use rushwalk::node::{self, Node};
+use rushwalk::gate::{AdmissionLimits, AdmissionListener};
+use rushwalk::node::{self, Controller};
 use rushwalk::{admin, api, mesh};
-use rushwalk_clients::Http;
+use rushwalk_clients::HttpClient;
 use rushwalk_protocol::settings::Settings;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -128,9 +128,9 @@
 async fn serve(settings: Settings) -> Result<(), String> {
     let public = settings.public_addr.clone();
     let mesh = settings.mesh_addr.clone();
-    let http = Http::new(node::kept(settings.site.limits.fd_limit));
-    let node = Node::new(settings, http).map_err(|e| e.to_string())?;
-    tracing::info!(member = node.me(), nonce = node.nonce, "started");
+    let http = HttpClient::new(node::kept(settings.site.limits.fd_limit));
+    let node = Controller::new(settings, http).map_err(|e| e.to_string())?;
+    tracing::info!(member = node.member(), nonce = node.incarnation, "started");
     let _loops = node::start(&node);
     let mesh = poem::Server::new(TcpListener::bind(mesh)).run(mesh::routes(node.clone()));
     let public = async {
@@ -140,13 +140,14 @@
         // Nor while its blocks belong to the process before: after an end
         // of all, refusing two thousand workers a second left no time to elect a
         // leader and to lend the blocks, for up to 14 s.
-        let _ = tokio::time::timeout(node.times.member, node.settled()).await;
-        let limits = Limits {
-            pass: node.times.round / 16,
-            patience: node.times.round * 3,
-            silent: node.times.silent,
+        let _ = tokio::time::timeout(node.timing.member_lease, node.wait_until_registered()).await;
+        let limits = AdmissionLimits {
+            pass: node.timing.round / 16,
+            patience: node.timing.round * 3,
+            silent: node.timing.unreachable_after,
         };
-        let listener = Gate::new(TcpListener::bind(public), node.seats.clone(), limits);
+        let listener =
+            AdmissionListener::new(TcpListener::bind(public), node.connections.clone(), limits);
         poem::Server::new(listener)
             .run(api::routes(node.clone()))
             .await
--- a/crates/rushwalk/src/meter.rs
+++ b/crates/rushwalk/src/meter.rs
@@ -8,39 +8,39 @@
 
 /// Kinds of work that are done in one go.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Work {
+pub enum WorkKind {
     /// Workers' reports: read, and answered.
-    Report,
+    Heartbeat,
     /// Users' submissions, read and checked, and answers to their questions.
-    User,
+    UserRequest,
     /// Reading and applying what the state service says has changed.
     Watch,
     /// Reading everything: at a start, or after a change was missed.
     List,
     /// A holder's ticks: outcomes, placements, and what workers are sent.
-    Hold,
-    Lend,
+    Reconcile,
+    AssignShards,
     /// The leader's round: upkeep, and placing what waits.
-    Place,
+    Schedule,
     /// Sizing the fleet by what is expected.
-    Size,
+    ScaleOut,
     Snapshot,
 }
 
-const KINDS: [(Work, &str); 9] = [
-    (Work::Report, "report"),
-    (Work::User, "user"),
-    (Work::Watch, "watch"),
-    (Work::List, "list"),
-    (Work::Hold, "hold"),
-    (Work::Lend, "lend"),
-    (Work::Place, "place"),
-    (Work::Size, "size"),
-    (Work::Snapshot, "snapshot"),
+const KINDS: [(WorkKind, &str); 9] = [
+    (WorkKind::Heartbeat, "report"),
+    (WorkKind::UserRequest, "user"),
+    (WorkKind::Watch, "watch"),
+    (WorkKind::List, "list"),
+    (WorkKind::Reconcile, "hold"),
+    (WorkKind::AssignShards, "lend"),
+    (WorkKind::Schedule, "place"),
+    (WorkKind::ScaleOut, "size"),
+    (WorkKind::Snapshot, "snapshot"),
 ];
 
 #[derive(Debug, Clone, Copy, Default)]
-struct Spent {
+struct WorkTotals {
     turns: u64,
     /// What was looked at: machines by a holder, places by the leader, entries.
     items: u64,
@@ -49,28 +49,28 @@
 }
 
 #[derive(Default)]
-pub struct Meter {
-    spent: Mutex<[Spent; KINDS.len()]>,
+pub struct WorkProfile {
+    spent: Mutex<[WorkTotals; KINDS.len()]>,
 }
 
 /// Counts from its making until it is dropped; it must not outlive a turn.
-pub struct Turn<'a> {
-    meter: &'a Meter,
-    work: Work,
+pub struct WorkTimer<'a> {
+    meter: &'a WorkProfile,
+    work: WorkKind,
     items: u64,
     since: Instant,
 }
 
-impl Turn<'_> {
+impl WorkTimer<'_> {
     /// So much was looked at in it.
-    pub fn looked_at(&mut self, items: usize) {
+    pub fn add_items(&mut self, items: usize) {
         self.items += items as u64;
     }
 }
 
-impl Meter {
-    pub fn turn(&self, work: Work) -> Turn<'_> {
-        Turn {
+impl WorkProfile {
+    pub fn start(&self, work: WorkKind) -> WorkTimer<'_> {
+        WorkTimer {
             meter: self,
             work,
             items: 0,
@@ -79,13 +79,13 @@
     }
 
     /// How many things were looked at in one kind of work so far.
-    pub fn items(&self, work: Work) -> u64 {
+    pub fn items(&self, work: WorkKind) -> u64 {
         let spent = lock(&self.spent);
         spent[work as usize].items
     }
 
     /// Turns, things looked at, milliseconds and the longest turn of each kind of work so far.
-    pub fn told(&self) -> Value {
+    pub fn summary(&self) -> Value {
         let spent = lock(&self.spent);
         let ms = |d: Duration| (d.as_secs_f64() * 1e4).round() / 10.0;
         let kinds = KINDS.iter().zip(spent.iter());
@@ -99,7 +99,7 @@
     }
 }
 
-impl Drop for Turn<'_> {
+impl Drop for WorkTimer<'_> {
     fn drop(&mut self) {
         let time = self.since.elapsed();
         let mut spent = lock(&self.meter.spent);
--- a/crates/rushwalk/src/node.rs
+++ b/crates/rushwalk/src/node.rs
@@ -1,25 +1,25 @@
 //! What all loops of one controller share.
 
 use crate::chance;
-use crate::leader::LeaderMemory;
-use crate::load::Load;
+use crate::leader::LeaderState;
+use crate::load::RuntimeLag;
 pub use crate::lock::lock;
-use crate::log::{Asked, Slots};
-use crate::meter::Meter;
-use crate::recovery::Recovery;
-use crate::reports::Reports;
-use crate::seats::Seats;
-use crate::signal::Signal;
-use crate::view::View;
-use crate::view::served::Count;
-use rushwalk_clients::rate_limiter::Budget;
-use rushwalk_clients::store::{Outcome, State};
-use rushwalk_clients::{Http, cloud::Cloud, peers::Mesh, workers::Workers};
-use rushwalk_failure_detector::reachability::Strays;
-use rushwalk_failure_detector::{Detector, Limits};
+use crate::log::{EntryKeyAllocator, PendingWrite};
+use crate::meter::WorkProfile;
+use crate::recovery::IncidentRecorder;
+use crate::reports::WorkerRegistry;
+use crate::seats::ConnectionTable;
+use crate::signal::Observable;
+use crate::view::ClusterState;
+use crate::view::served::JobCounts;
+use rushwalk_clients::rate_limiter::RateLimiter;
+use rushwalk_clients::store::{CommitOutcome, StoreClient};
+use rushwalk_clients::{HttpClient, cloud::CloudClient, peers::PeerClient, workers::WorkerClient};
+use rushwalk_failure_detector::reachability::MisroutedWorkers;
+use rushwalk_failure_detector::{DetectorConfig, FailureDetector};
 use rushwalk_protocol::settings::Settings;
 use rushwalk_protocol::store::Transaction;
-use rushwalk_scheduler::durations::Averages;
+use rushwalk_scheduler::durations::DurationEstimator;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU16, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -29,93 +29,93 @@
 
 /// Spans that follow from the platform's figures.
 #[derive(Debug, Clone)]
-pub struct Times {
+pub struct Timing {
     /// How long a block is lent without the holder reading the state service.
     /// A cancellation told elsewhere must reach a task within `cancel_s`: an
     /// unaware holder renews the worker's lease for at most this long.
-    pub loan: Duration,
+    pub lease_validity: Duration,
     /// The member lease: its end shows the others that this node is gone.
-    pub member: Duration,
+    pub member_lease: Duration,
     pub round: Duration,
     /// Between two greetings of the same peer.
-    pub greet: Duration,
-    pub report: Duration,
-    pub lease: Duration,
+    pub peer_heartbeat: Duration,
+    pub heartbeat: Duration,
+    pub worker_lease: Duration,
     /// A machine silent for this long is suspect.
-    pub silent: Duration,
+    pub unreachable_after: Duration,
     /// Finishes closer than this count as equal.
     pub tie: Duration,
 }
 
-impl Times {
-    pub fn new(settings: &Settings) -> Times {
+impl Timing {
+    pub fn new(settings: &Settings) -> Timing {
         let w = &settings.site.workers;
         let secs = Duration::from_secs_f64;
-        let round = (w.report_s / 3.0).min(w.lease_s / 40.0);
+        let round = (w.heartbeat_s / 3.0).min(w.lease_s / 40.0);
         // With many peers each is greeted less often: others tell of them too.
         let many = (settings.peers.len() as f64 / 4.0).max(1.0);
-        Times {
-            loan: secs(0.8 * (w.cancel_s - w.lease_s)),
-            member: secs((2.0 * w.report_s).min(w.lease_s / 7.0).max(1.0)),
+        Timing {
+            lease_validity: secs(0.8 * (w.cancel_s - w.lease_s)),
+            member_lease: secs((2.0 * w.heartbeat_s).min(w.lease_s / 7.0).max(1.0)),
             round: secs(round),
-            greet: secs(round / 3.0 * many),
-            report: secs(w.report_s),
-            lease: secs(w.lease_s),
-            silent: secs((3.0 * w.report_s).min(w.lease_s / 3.0)),
-            tie: secs(w.report_s.min(w.lease_s / 14.0)),
+            peer_heartbeat: secs(round / 3.0 * many),
+            heartbeat: secs(w.heartbeat_s),
+            worker_lease: secs(w.lease_s),
+            unreachable_after: secs((3.0 * w.heartbeat_s).min(w.lease_s / 3.0)),
+            tie: secs(w.heartbeat_s.min(w.lease_s / 14.0)),
         }
     }
 }
 
-pub struct Node {
+pub struct Controller {
     pub settings: Settings,
-    pub times: Times,
+    pub timing: Timing,
     /// One per process: a restarted controller inherits nothing by its name.
-    pub nonce: u64,
-    pub state: State,
-    pub cloud: Cloud,
-    pub workers: Workers,
-    pub mesh: Mesh,
-    pub view: Mutex<View>,
-    pub reports: Mutex<Reports>,
-    pub leading: Mutex<LeaderMemory>,
+    pub incarnation: u64,
+    pub store: StoreClient,
+    pub cloud: CloudClient,
+    pub workers: WorkerClient,
+    pub peers: PeerClient,
+    pub view: Mutex<ClusterState>,
+    pub workers_seen: Mutex<WorkerRegistry>,
+    pub leader_state: Mutex<LeaderState>,
     /// What this controller thinks of the others.
-    pub detector: Mutex<Detector>,
+    pub detector: Mutex<FailureDetector>,
     /// Workers of others' blocks that turned up here.
-    pub strays: Mutex<Strays>,
+    pub misrouted: Mutex<MisroutedWorkers>,
     /// When the latest planning round was finished, or the lead was taken.
-    pub planned: Mutex<Option<Instant>>,
+    pub last_round: Mutex<Option<Instant>>,
     /// The share of time in which the thread was busy of late, in thousandths.
-    pub busy_share: AtomicU16,
+    pub busy_permille: AtomicU16,
     /// When the lead last passed from one who lives to another.
-    pub passed: Mutex<Option<Instant>>,
+    pub leadership_moved: Mutex<Option<Instant>>,
     /// How far this leader's rounds are apart in the mean.
-    pub pace: Mutex<Duration>,
+    pub round_interval: Mutex<Duration>,
     /// The process before this one ended within a member lease of its beginning: this one
     /// may, too.
-    pub comes_and_goes: AtomicBool,
+    pub crash_looping: AtomicBool,
     /// The lead was taken: the first round need not wait for its turn.
-    pub led: Notify,
-    pub write_budget: Mutex<Budget>,
-    pub slots: Mutex<Slots>,
+    pub leadership_acquired: Notify,
+    pub write_budget: Mutex<RateLimiter>,
+    pub entry_keys: Mutex<EntryKeyAllocator>,
     /// Users' changes on their way into the log.
-    pub users: mpsc::Sender<Asked>,
-    users_queue: Mutex<Option<mpsc::Receiver<Asked>>>,
+    pub user_writes: mpsc::Sender<PendingWrite>,
+    user_write_queue: Mutex<Option<mpsc::Receiver<PendingWrite>>>,
     /// The newest of our own commits: nothing is decided before it is seen.
     committed: AtomicU64,
     /// Rises with every change of the view.
-    pub changed: Signal<u64>,
+    pub changed: Observable<u64>,
     /// When the newest successful read of the state service was sent.
-    pub synced: Signal<Option<Instant>>,
-    pub fresh_wanted: Notify,
+    pub last_read_sent: Observable<Option<Instant>>,
+    pub read_requested: Notify,
     pub member_lease: Mutex<Option<u64>>,
-    pub meter: Meter,
-    pub load: Arc<Load>,
-    pub recovery: Mutex<Recovery>,
+    pub work_profile: WorkProfile,
+    pub runtime_lag: Arc<RuntimeLag>,
+    pub incidents: Mutex<IncidentRecorder>,
     /// Answers 429 and 503 to users since somebody looked.
-    pub refused: AtomicU64,
+    pub rejected_requests: AtomicU64,
     /// Connections at the public address.
-    pub seats: Arc<Seats>,
+    pub connections: Arc<ConnectionTable>,
     started: Instant,
 }
 
@@ -160,16 +160,16 @@
 
 /// Whom a write serves: users' requests go before housekeeping.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum For {
+pub enum WritePriority {
     /// Who is a member, leads, or holds a block: without that nothing goes on.
-    Order,
-    Users,
-    Work,
-    Upkeep,
+    Coordination,
+    UserRequest,
+    WorkKind,
+    Maintenance,
 }
 
 /// Starts all loops of a controller.
-pub fn start(node: &Arc<Node>) -> Vec<tokio::task::JoinHandle<()>> {
+pub fn start(node: &Arc<Controller>) -> Vec<tokio::task::JoinHandle<()>> {
     let mut loops = vec![
         tokio::spawn(crate::sync::watch_loop(node.clone())),
         tokio::spawn(crate::sync::fresh_loop(node.clone())),
@@ -186,29 +186,33 @@
         tokio::spawn(crate::handover::standing_loop(node.clone())),
         tokio::spawn(crate::handover::lead_loop(node.clone())),
         tokio::spawn(tell_loop(node.clone())),
-        tokio::spawn(node.load.clone().watch_loop()),
-        tokio::spawn(node.seats.clone().sweep_loop(node.times.lease)),
+        tokio::spawn(node.runtime_lag.clone().watch_loop()),
+        tokio::spawn(
+            node.connections
+                .clone()
+                .sweep_loop(node.timing.worker_lease),
+        ),
         tokio::spawn(crate::recovery::recovery_loop(node.clone())),
     ];
-    if let Some(queue) = lock(&node.users_queue).take() {
+    if let Some(queue) = lock(&node.user_write_queue).take() {
         loops.push(tokio::spawn(crate::log::users_loop(node.clone(), queue)));
     }
     loops
 }
 
 /// Says once in a lease where the time went, for whoever follows the log.
-async fn tell_loop(node: Arc<Node>) {
+async fn tell_loop(node: Arc<Controller>) {
     loop {
-        tokio::time::sleep(node.times.lease).await;
-        let (up_s, busy_s) = node.busy();
-        let (connections, workers) = node.seats.count();
-        let late_ms = node.load.late().as_millis() as u64;
-        let lag_ms = node.load.lag().as_millis() as u64;
-        let work = node.meter.told();
+        tokio::time::sleep(node.timing.worker_lease).await;
+        let (up_s, busy_s) = node.busy_seconds();
+        let (connections, workers) = node.connections.count();
+        let late_ms = node.runtime_lag.recent_lag().as_millis() as u64;
+        let lag_ms = node.runtime_lag.mean_lag().as_millis() as u64;
+        let work = node.work_profile.summary();
         tracing::info!(up_s, busy_s, late_ms, lag_ms, connections, workers, %work, "time spent");
         let view = node.view();
-        let [class, team] = view.served.least();
-        let share = |c: Count| (c.share() * 1000.0).round() / 1000.0;
+        let [class, team] = view.service_counts.least_served();
+        let share = |c: JobCounts| (c.started_share() * 1000.0).round() / 1000.0;
         if let (Some((class, c)), Some((team, t))) = (class, team) {
             let (started, of_team) = (share(c), share(t));
             tracing::info!(class, started, ?c, team, of_team, ?t, "served least");
@@ -216,75 +220,78 @@
     }
 }
 
-impl Node {
-    pub fn new(settings: Settings, http: Http) -> Result<Arc<Node>, rushwalk_clients::Error> {
-        let state: SocketAddr = rushwalk_clients::http::address(&settings.services.state)?;
-        let cloud: SocketAddr = rushwalk_clients::http::address(&settings.services.cloud)?;
-        let times = Times::new(&settings);
+impl Controller {
+    pub fn new(
+        settings: Settings,
+        http: HttpClient,
+    ) -> Result<Arc<Controller>, rushwalk_clients::Error> {
+        let state: SocketAddr = rushwalk_clients::http::address(&settings.endpoints.store)?;
+        let cloud: SocketAddr = rushwalk_clients::http::address(&settings.endpoints.cloud)?;
+        let times = Timing::new(&settings);
         let now = Instant::now();
         // All controllers share the limit; a tenth is left for misjudgement.
-        let writes = 0.9 * settings.site.state.write_rps;
+        let writes = 0.9 * settings.site.store.write_rps;
         let share = writes / (1.0 + settings.peers.len() as f64);
-        let averages = Averages::new(10, 0.25 * settings.site.workers.report_s);
+        let averages = DurationEstimator::new(10, 0.25 * settings.site.workers.heartbeat_s);
         let (users, queue) = mpsc::channel(1024);
-        let limits = Limits {
-            every_s: times.greet.as_secs_f64(),
+        let limits = DetectorConfig {
+            heartbeat_s: times.peer_heartbeat.as_secs_f64(),
             round_s: times.round.as_secs_f64(),
-            member_s: times.member.as_secs_f64(),
-            lease_s: times.lease.as_secs_f64(),
-            phi: 8.0,
-            refusals: 2,
+            member_lease_s: times.member_lease.as_secs_f64(),
+            worker_lease_s: times.worker_lease.as_secs_f64(),
+            phi_threshold: 8.0,
+            refusal_threshold: 2,
         };
         let peers = settings.peers.iter().map(|p| p.member.as_str());
-        let detector = Detector::new(limits, peers, 0.0);
-        Ok(Arc::new(Node {
-            nonce: chance::nonce(),
-            state: State::new(http.clone(), state),
-            cloud: Cloud::new(http.clone(), cloud, settings.site.cloud.rps),
-            workers: Workers::new(http.clone(), kept(settings.site.limits.fd_limit)),
-            mesh: Mesh::new(http),
-            view: Mutex::new(View::new(averages)),
-            reports: Mutex::default(),
-            leading: Mutex::default(),
+        let detector = FailureDetector::new(limits, peers, 0.0);
+        Ok(Arc::new(Controller {
+            incarnation: chance::nonce(),
+            store: StoreClient::new(http.clone(), state),
+            cloud: CloudClient::new(http.clone(), cloud, settings.site.cloud.rps),
+            workers: WorkerClient::new(http.clone(), kept(settings.site.limits.fd_limit)),
+            peers: PeerClient::new(http),
+            view: Mutex::new(ClusterState::new(averages)),
+            workers_seen: Mutex::default(),
+            leader_state: Mutex::default(),
             detector: Mutex::new(detector),
-            strays: Mutex::default(),
-            planned: Mutex::default(),
-            passed: Mutex::default(),
-            pace: Mutex::new(times.round),
+            misrouted: Mutex::default(),
+            last_round: Mutex::default(),
+            leadership_moved: Mutex::default(),
+            round_interval: Mutex::new(times.round),
             // Until more is known there is no room for others' work.
-            busy_share: AtomicU16::new(1000),
-            comes_and_goes: AtomicBool::new(false),
-            led: Notify::new(),
-            write_budget: Mutex::new(Budget::shared(share, writes, now)),
-            slots: Mutex::default(),
-            users,
-            users_queue: Mutex::new(Some(queue)),
+            busy_permille: AtomicU16::new(1000),
+            crash_looping: AtomicBool::new(false),
+            leadership_acquired: Notify::new(),
+            write_budget: Mutex::new(RateLimiter::with_share(share, writes, now)),
+            entry_keys: Mutex::default(),
+            user_writes: users,
+            user_write_queue: Mutex::new(Some(queue)),
             committed: AtomicU64::new(0),
-            changed: Signal::default(),
-            synced: Signal::default(),
-            fresh_wanted: Notify::new(),
+            changed: Observable::default(),
+            last_read_sent: Observable::default(),
+            read_requested: Notify::new(),
             member_lease: Mutex::default(),
-            meter: Meter::default(),
-            seats: Arc::new(Seats::new(taken(settings.site.limits.fd_limit))),
-            recovery: Mutex::default(),
-            refused: AtomicU64::new(0),
-            load: Arc::new(Load::new(times.round / 8)),
+            work_profile: WorkProfile::default(),
+            connections: Arc::new(ConnectionTable::new(taken(settings.site.limits.fd_limit))),
+            incidents: Mutex::default(),
+            rejected_requests: AtomicU64::new(0),
+            runtime_lag: Arc::new(RuntimeLag::new(times.round / 8)),
             started: now,
             settings,
-            times,
+            timing: times,
         }))
     }
 
-    pub fn me(&self) -> &str {
+    pub fn member(&self) -> &str {
         &self.settings.member
     }
 
-    pub fn view(&self) -> MutexGuard<'_, View> {
+    pub fn view(&self) -> MutexGuard<'_, ClusterState> {
         lock(&self.view)
     }
 
     /// Seconds since the start, and how many of them its thread was busy.
-    pub fn busy(&self) -> (f64, f64) {
+    pub fn busy_seconds(&self) -> (f64, f64) {
         let metrics = tokio::runtime::Handle::current().metrics();
         // Virtual time stands still while the thread works.
         let busy = match VIRTUAL.get() {
@@ -297,67 +304,75 @@
 
     /// Whether this process has not yet lived for longer than the one before it, which
     /// ended soon.
-    pub fn unsteady(&self) -> bool {
-        self.comes_and_goes.load(Ordering::Relaxed) && self.started.elapsed() < self.times.member
+    pub fn is_crash_looping(&self) -> bool {
+        self.crash_looping.load(Ordering::Relaxed)
+            && self.started.elapsed() < self.timing.member_lease
     }
 
     /// Seconds since the start, by the steady clock.
-    pub fn uptime(&self) -> f64 {
+    pub fn uptime_s(&self) -> f64 {
         self.started.elapsed().as_secs_f64()
     }
 
-    pub fn poke(&self) {
-        self.changed.modify(|n| *n += 1);
+    pub fn notify_changed(&self) {
+        self.changed.update(|n| *n += 1);
     }
 
     /// How long ago the state service last answered a read, from its sending.
-    pub fn state_age(&self) -> Duration {
-        self.synced.get().map_or(Duration::MAX, |at| at.elapsed())
+    pub fn staleness(&self) -> Duration {
+        self.last_read_sent
+            .get()
+            .map_or(Duration::MAX, |at| at.elapsed())
     }
 
-    pub fn loan_valid(&self) -> bool {
-        self.state_age() < self.times.loan
+    pub fn shard_leases_valid(&self) -> bool {
+        self.staleness() < self.timing.lease_validity
     }
 
     /// Whether the view holds all that this node ever saw or did.
-    fn whole(&self, view: &View) -> bool {
-        let known = view.unreadable.is_none() && !view.missed;
+    fn is_complete(&self, view: &ClusterState) -> bool {
+        let known = view.unreadable.is_none() && !view.has_gap;
         known && view.revision >= self.committed.load(Ordering::Relaxed)
     }
 
     /// The token under which this process holds `block`, if it does.
-    pub fn token(&self, view: &View, block: &str) -> Option<u64> {
-        let (version, grant) = view.grants.get(block)?;
-        let known = view.unreadable.is_none() && !view.missed;
-        (grant.holder == self.me() && grant.nonce == self.nonce && known && self.loan_valid())
-            .then_some(*version)
+    pub fn fencing_token(&self, view: &ClusterState, block: &str) -> Option<u64> {
+        let (version, grant) = view.shard_leases.get(block)?;
+        let known = view.unreadable.is_none() && !view.has_gap;
+        (grant.owner == self.member()
+            && grant.incarnation == self.incarnation
+            && known
+            && self.shard_leases_valid())
+        .then_some(*version)
     }
 
     /// The version of our leader key, if we lead.
-    pub fn leadership(&self, view: &View) -> Option<u64> {
+    pub fn leadership(&self, view: &ClusterState) -> Option<u64> {
         let (version, leader) = view.leader.as_ref()?;
-        let nonce = lock(&self.leading).nonce;
+        let nonce = lock(&self.leader_state).election_id;
         // Changes come in their order, so a leader that sees its key has seen
         // all that its predecessor committed; its own commits must be in too,
         // or it would count too little against the teams' limits.
-        let all_seen = self.whole(view);
-        (leader.member == self.me() && Some(leader.nonce) == nonce && all_seen).then_some(*version)
+        let all_seen = self.is_complete(view);
+        (leader.member == self.member() && Some(leader.election_id) == nonce && all_seen)
+            .then_some(*version)
     }
 
     /// Whether the others know of this process.
-    pub fn registered(&self) -> bool {
+    pub fn is_registered(&self) -> bool {
         let view = self.view();
-        let there = view.members.get(self.me());
-        there.is_some_and(|m| m.nonce == self.nonce)
+        let there = view.members.get(self.member());
+        there.is_some_and(|m| m.incarnation == self.incarnation)
     }
 
     /// Waits for a view in which this process is known, and no block belongs to
     /// its predecessor. Not for others' blocks: workers are sent to their holders,
     /// and behind closed ports would come back each second.
-    pub async fn settled(&self) {
+    pub async fn wait_until_registered(&self) {
         loop {
             let seen = self.changed.get();
-            if self.registered() && !self.view().left_over(self.me(), self.nonce) {
+            if self.is_registered() && !self.view().has_stale_lease(self.member(), self.incarnation)
+            {
                 return;
             }
             self.changed.wait_for(|n| n != seen).await;
@@ -365,18 +380,18 @@
     }
 
     /// Waits until the view has reached a revision.
-    pub async fn reached(&self, revision: u64, patience: Duration) -> bool {
+    pub async fn wait_for_revision(&self, revision: u64, patience: Duration) -> bool {
         let until = Instant::now() + patience;
         loop {
-            let seen = self.synced.get();
+            let seen = self.last_read_sent.get();
             if self.view().revision >= revision {
                 return true;
             }
             // The watch brings it at once, unless its answer is late.
             let step = (patience / 40).min(until.saturating_duration_since(Instant::now()));
-            let synced = self.synced.wait_for(|at| at != seen);
+            let synced = self.last_read_sent.wait_for(|at| at != seen);
             if tokio::time::timeout(step, synced).await.is_err() {
-                self.fresh_wanted.notify_one();
+                self.read_requested.notify_one();
             }
             if Instant::now() >= until {
                 return self.view().revision >= revision;
@@ -385,18 +400,20 @@
     }
 
     /// Waits for a view at least as new as this call; false if none came.
-    pub async fn fresh(&self, patience: Duration) -> bool {
+    pub async fn linearizable_read(&self, patience: Duration) -> bool {
         let asked = Instant::now();
-        self.fresh_wanted.notify_one();
-        let newer = self.synced.wait_for(|at| at.is_some_and(|at| at >= asked));
+        self.read_requested.notify_one();
+        let newer = self
+            .last_read_sent
+            .wait_for(|at| at.is_some_and(|at| at >= asked));
         tokio::time::timeout(patience, newer).await.is_ok()
     }
 
     /// Commits within the write budget. The watch brings the result.
-    pub async fn commit(&self, txn: Transaction, whom: For) -> Outcome {
+    pub async fn commit(&self, txn: Transaction, whom: WritePriority) -> CommitOutcome {
         let cost = txn.writes.len() as f64;
         let patience = match whom {
-            For::Users => Duration::from_millis(400),
+            WritePriority::UserRequest => Duration::from_millis(400),
             _ => Duration::from_secs(3),
         };
         let started = Instant::now();
@@ -406,34 +423,36 @@
                 let now = Instant::now();
                 // Upkeep leaves a part of the burst for users and placements.
                 let reserve = match whom {
-                    For::Order | For::Users => 0.0,
-                    For::Work => 2.0,
-                    For::Upkeep => 4.0,
+                    WritePriority::Coordination | WritePriority::UserRequest => 0.0,
+                    WritePriority::WorkKind => 2.0,
+                    WritePriority::Maintenance => 4.0,
                 };
-                if budget.take(cost, reserve, now) {
+                if budget.try_take(cost, reserve, now) {
                     break;
                 }
-                budget.wait(cost, reserve, now)
+                budget.time_until(cost, reserve, now)
             };
             if started.elapsed() + wait > patience {
-                return Outcome::Refused(rushwalk_clients::Error::Status(429));
+                return CommitOutcome::Rejected(rushwalk_clients::Error::Status(429));
             }
             tokio::time::sleep(wait.max(Duration::from_millis(5))).await;
         }
-        let outcome = self.state.commit(&txn, Duration::from_secs(2)).await;
+        let outcome = self.store.commit(&txn, Duration::from_secs(2)).await;
         match &outcome {
-            Outcome::Done(revision) => {
+            CommitOutcome::Committed(revision) => {
                 self.committed.fetch_max(*revision, Ordering::Relaxed);
-                lock(&self.write_budget).served();
+                lock(&self.write_budget).on_success();
             }
-            Outcome::Refused(error) => {
+            CommitOutcome::Rejected(error) => {
                 if error.status() == Some(429) {
-                    lock(&self.write_budget).drain(Instant::now());
+                    lock(&self.write_budget).on_throttled(Instant::now());
                 }
                 tracing::debug!(%error, "commit refused");
             }
-            Outcome::Unknown(error) => tracing::info!(%error, "commit unanswered"),
-            Outcome::Conflict | Outcome::NoLease => self.fresh_wanted.notify_one(),
+            CommitOutcome::Unanswered(error) => tracing::info!(%error, "commit unanswered"),
+            CommitOutcome::Conflict | CommitOutcome::LeaseExpired => {
+                self.read_requested.notify_one()
+            }
         }
         outcome
     }
--- a/crates/rushwalk/src/seats.rs
+++ b/crates/rushwalk/src/seats.rs
@@ -22,7 +22,7 @@
 use tokio::time::{Instant, sleep};
 
 /// One connection.
-struct Seat {
+struct Connection {
     /// When something last went through it, in milliseconds since the start.
     used: AtomicU64,
     worker: AtomicBool,
@@ -30,18 +30,18 @@
     reader: Mutex<Option<Waker>>,
 }
 
-pub struct Seats {
+pub struct ConnectionTable {
     most: usize,
     began: Instant,
-    all: Mutex<HashMap<SocketAddr, Arc<Seat>>>,
+    all: Mutex<HashMap<SocketAddr, Arc<Connection>>>,
 }
 
 /// When all are taken, one in so many is freed at once, at most.
 const FREED: usize = 64;
 
-impl Seats {
-    pub fn new(most: usize) -> Seats {
-        Seats {
+impl ConnectionTable {
+    pub fn new(most: usize) -> ConnectionTable {
+        ConnectionTable {
             most,
             began: Instant::now(),
             all: Mutex::default(),
@@ -74,7 +74,7 @@
     /// anybody's unused for `silent`.
     pub fn shed(&self, unused: Duration, silent: Duration) {
         let now = self.now();
-        let mut may_go: Vec<(bool, u64, Arc<Seat>)> = Vec::new();
+        let mut may_go: Vec<(bool, u64, Arc<Connection>)> = Vec::new();
         for seat in lock(&self.all).values() {
             let used = seat.used.load(Ordering::Relaxed);
             let worker = seat.worker.load(Ordering::Relaxed);
@@ -99,7 +99,7 @@
         }
     }
 
-    pub async fn sweep_loop(self: Arc<Seats>, silent: Duration) {
+    pub async fn sweep_loop(self: Arc<ConnectionTable>, silent: Duration) {
         loop {
             sleep(silent / 4).await;
             self.sweep(silent);
@@ -112,7 +112,7 @@
     from.as_socket_addr().copied().unwrap_or(unknown)
 }
 
-impl Seat {
+impl Connection {
     fn unused(&self, now: u64) -> Duration {
         Duration::from_millis(now.saturating_sub(self.used.load(Ordering::Relaxed)))
     }
@@ -127,16 +127,16 @@
 }
 
 /// A connection with its seat, which is free once it is dropped.
-pub struct Seated<T> {
+pub struct TrackedConnection<T> {
     io: T,
     from: SocketAddr,
-    seat: Arc<Seat>,
-    seats: Arc<Seats>,
+    seat: Arc<Connection>,
+    seats: Arc<ConnectionTable>,
 }
 
-impl<T> Seated<T> {
-    pub fn new(io: T, seats: &Arc<Seats>, from: &RemoteAddr) -> Seated<T> {
-        let seat = Arc::new(Seat {
+impl<T> TrackedConnection<T> {
+    pub fn new(io: T, seats: &Arc<ConnectionTable>, from: &RemoteAddr) -> TrackedConnection<T> {
+        let seat = Arc::new(Connection {
             used: AtomicU64::new(seats.now()),
             worker: AtomicBool::new(false),
             closed: AtomicBool::new(false),
@@ -144,7 +144,7 @@
         });
         let from = key(from);
         lock(&seats.all).insert(from, seat.clone());
-        Seated {
+        TrackedConnection {
             io,
             from,
             seat,
@@ -157,7 +157,7 @@
     }
 }
 
-impl<T> Drop for Seated<T> {
+impl<T> Drop for TrackedConnection<T> {
     fn drop(&mut self) {
         let mut all = lock(&self.seats.all);
         // Its caller may have come again from the same port.
@@ -170,7 +170,7 @@
     }
 }
 
-impl<T: AsyncRead + Unpin> AsyncRead for Seated<T> {
+impl<T: AsyncRead + Unpin> AsyncRead for TrackedConnection<T> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -193,7 +193,7 @@
     }
 }
 
-impl<T: AsyncWrite + Unpin> AsyncWrite for Seated<T> {
+impl<T: AsyncWrite + Unpin> AsyncWrite for TrackedConnection<T> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -240,12 +240,12 @@
     #[tokio::test(start_paused = true)]
     async fn idle_users_give_way_first_and_then_the_silent() {
         let (unused, silent) = (Duration::from_secs(3), Duration::from_secs(12));
-        let seats = Arc::new(Seats::new(4));
+        let seats = Arc::new(ConnectionTable::new(4));
         let mut ios = Vec::new();
         let mut others = Vec::new();
         for port in 1..=4 {
             let (io, other) = tokio::io::duplex(64);
-            ios.push(Seated::new(io, &seats, &from(port)));
+            ios.push(TrackedConnection::new(io, &seats, &from(port)));
             others.push(other);
             advance(Duration::from_millis(10)).await;
         }
@@ -253,8 +253,8 @@
         seats.worker(&from(2));
         assert!(seats.full());
         assert_eq!(seats.count(), (4, 2));
-        let closed = |ios: &[Seated<_>]| -> Vec<bool> {
-            let closed = |io: &Seated<_>| io.seat.closed.load(Ordering::Relaxed);
+        let closed = |ios: &[TrackedConnection<_>]| -> Vec<bool> {
+            let closed = |io: &TrackedConnection<_>| io.seat.closed.load(Ordering::Relaxed);
             ios.iter().map(closed).collect()
         };
         seats.shed(unused, silent);
@@ -281,9 +281,9 @@
     /// A connection whose other side died is closed by nobody else.
     #[tokio::test(start_paused = true)]
     async fn a_connection_without_life_is_closed() {
-        let seats = Arc::new(Seats::new(4));
+        let seats = Arc::new(ConnectionTable::new(4));
         let (io, _other) = tokio::io::duplex(64);
-        let mut io = Seated::new(io, &seats, &from(1));
+        let mut io = TrackedConnection::new(io, &seats, &from(1));
         let lease = Duration::from_secs(36);
         let sweep = tokio::spawn(seats.clone().sweep_loop(lease));
         let began = Instant::now();
--- a/crates/rushwalk/src/signal.rs
+++ b/crates/rushwalk/src/signal.rs
@@ -6,17 +6,17 @@
 use tokio::sync::Notify;
 
 #[derive(Default)]
-pub struct Signal<T> {
+pub struct Observable<T> {
     value: Mutex<T>,
     moved: Notify,
 }
 
-impl<T: Copy> Signal<T> {
+impl<T: Copy> Observable<T> {
     pub fn get(&self) -> T {
         *lock(&self.value)
     }
 
-    pub fn modify(&self, change: impl FnOnce(&mut T)) {
+    pub fn update(&self, change: impl FnOnce(&mut T)) {
         change(&mut lock(&self.value));
         self.moved.notify_waiters();
     }
--- a/crates/rushwalk/src/size.rs
+++ b/crates/rushwalk/src/size.rs
@@ -1,11 +1,13 @@
 //! What a controller holds at full size, by counted allocations.
 
 use crate::log;
-use crate::view::{Name, View};
+use crate::view::{ClusterState, Name};
 use rushwalk_protocol::jobs::JobSpec;
-use rushwalk_protocol::records::{self as rec, Base, Machine, Op, Phase, Stage};
-use rushwalk_protocol::store::Item;
-use rushwalk_scheduler::durations::Averages;
+use rushwalk_protocol::records::{
+    self as rec, JobPhase, MachineLifecycle, MachineRecord, Mutation, SnapshotManifest,
+};
+use rushwalk_protocol::store::KeyValue;
+use rushwalk_scheduler::durations::DurationEstimator;
 use std::sync::Arc;
 
 const MACHINES: usize = 2100;
@@ -24,59 +26,63 @@
 }
 
 /// A full fleet under a thousand jobs, and twenty thousand that are over.
-fn full() -> View {
-    let mut view = View::new(Averages::new(10, 1.0));
+fn full() -> ClusterState {
+    let mut view = ClusterState::new(DurationEstimator::new(10, 1.0));
     let name = |i: usize| Name::from(format!("i-{i:06}"));
     for i in 0..MACHINES {
-        let machine = Machine {
-            kind: "wheatbox".into(),
+        let machine = MachineRecord {
+            machine_type: "wheatbox".into(),
             zone: "east".into(),
             spot: false,
-            block: format!("east#{}", i / 256).into(),
-            stage: Stage::Use,
-            rented: 5,
-            up: Some(7),
+            shard: format!("east#{}", i / 256).into(),
+            lifecycle: MachineLifecycle::Active,
+            rented_ms: 5,
+            ready_ms: Some(7),
             address: format!("10.1.{}.{}:9000", i / 250, i % 250).into(),
             images: (0..4)
                 .map(|k| (format!("img-{k:02}").into(), 6.0))
                 .collect(),
-            taken: None,
-            silent: None,
+            reclaim_ms: None,
+            unreachable_since_ms: None,
         };
-        view.apply(Op::Found(name(i), machine), 1, 10);
+        view.apply(Mutation::MachineAdopted(name(i), machine), 1, 10);
     }
     for n in 0..JOBS {
         let uid = Name::from(format!("j-{n:06}"));
         let on: Vec<_> = (0..TASKS)
             .map(|t| (t as u32, name((n * TASKS + t) % MACHINES)))
             .collect();
-        view.apply(Op::Submit(spec(n), 10), 2, 20);
+        view.apply(Mutation::Submit(spec(n), 10), 2, 20);
         for (task, machine) in &on {
-            let block = view.machines[machine].machine.block.clone();
+            let block = view.machines[machine].record.shard.clone();
             let to = vec![(block, vec![(*task, machine.clone())])];
-            view.apply(Op::Assign(uid.clone(), 20, to), 3, 20);
+            view.apply(Mutation::Assign(uid.clone(), 20, to), 3, 20);
         }
-        view.apply(Op::Place(uid, 3, 30, on), 4, 30);
+        view.apply(Mutation::Place(uid, 3, 30, on), 4, 30);
     }
     let over = (0..20_000).map(|n| (Name::from(format!("j-9{n:05}")), 4));
-    view.apply(Op::Over(Phase::Done, over.collect()), 5, 30);
+    view.apply(
+        Mutation::RestoreFinished(JobPhase::Done, over.collect()),
+        5,
+        30,
+    );
     view
 }
 
 /// The same records as the state service would list them.
-fn listing(view: &View) -> Vec<Item> {
-    let packed = log::pack(&view.dump(), 16_000);
-    let base = Base {
-        at: 9,
+fn listing(view: &ClusterState) -> Vec<KeyValue> {
+    let packed = log::pack(&view.to_mutations(), 16_000);
+    let base = SnapshotManifest {
+        revision: 9,
         generation: 1,
         chunks: packed.len(),
     };
-    let head = Item {
+    let head = KeyValue {
         key: rec::BASE.into(),
         value: serde_json::value::to_raw_value(&base).unwrap(),
         version: 10,
     };
-    let chunks = packed.iter().enumerate().map(|(i, text)| Item {
+    let chunks = packed.iter().enumerate().map(|(i, text)| KeyValue {
         key: rec::chunk_key(1, i),
         value: log::value(9, text).unwrap(),
         version: 10,
@@ -100,7 +106,7 @@
     assert!(dumped.bytes_max < 14 * MB, "{dumped:?}");
     let mut again = None;
     let items = items.unwrap();
-    let listed = allocation_counter::measure(|| again = View::listed(items, 10, 40));
+    let listed = allocation_counter::measure(|| again = ClusterState::from_listing(items, 10, 40));
     assert!(listed.bytes_max < 16 * MB, "{listed:?}");
     assert_eq!(again.unwrap().machines.len(), MACHINES);
 }
--- a/crates/rushwalk/src/view.rs
+++ b/crates/rushwalk/src/view.rs
@@ -12,127 +12,128 @@
 #[cfg(test)]
 mod tests;
 
-use crate::chance::Map;
-use rushwalk_protocol::jobs::{JobSpec, JobState, Priority, Stance};
+use crate::chance::SeededMap;
+use rushwalk_protocol::jobs::{JobSpec, JobStatus, Priority, StatusPhase};
 use rushwalk_protocol::records::{
-    self as rec, Base, Bits, Entry, Machine, Phase, Rental, Task, Trouble,
+    self as rec, FailureHistory, JobPhase, LogEntry, MachineRecord, RentalRequest,
+    SnapshotManifest, TaskBitmap, TaskRecord,
 };
-use rushwalk_protocol::store::{Changes, Event, Item, Value};
-use rushwalk_scheduler::capacity::Kind;
-use rushwalk_scheduler::durations::{Averages, Rolling};
+use rushwalk_protocol::store::{KeyValue, Value, WatchEvent, WatchResponse};
+use rushwalk_scheduler::capacity::InstanceKind;
+use rushwalk_scheduler::durations::{DurationEstimator, RollingMean};
 use rushwalk_scheduler::timeline::ImageId;
 use serde::de::DeserializeOwned;
-use served::Served;
+use served::ServiceCounts;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
 
 pub type Name = Arc<str>;
 
-pub struct JobRow {
+pub struct JobState {
     pub spec: Arc<JobSpec>,
-    pub phase: Phase,
+    pub phase: JobPhase,
     /// Time of day of its acceptance, in milliseconds.
-    pub at: u64,
+    pub accepted_ms: u64,
     /// Live tasks: assigned, and not yet surely gone.
-    pub tasks: BTreeMap<u32, TaskRow>,
-    pub done: Bits,
-    pub trouble: Trouble,
+    pub tasks: BTreeMap<u32, TaskState>,
+    pub completed: TaskBitmap,
+    pub failures: FailureHistory,
     /// A task of it was seen running.
     pub started: bool,
     /// All tasks below are live or done.
-    open: u32,
+    first_open: u32,
 }
 
-pub struct TaskRow {
-    pub task: Task,
+pub struct TaskState {
+    pub record: TaskRecord,
     /// Whether its fetch, alone on its machine, says something of the rate.
-    cold: Option<bool>,
+    cold_start: Option<bool>,
 }
 
-pub struct MachineRow {
-    pub machine: Machine,
+pub struct MachineState {
+    pub record: MachineRecord,
     pub tasks: BTreeSet<(Name, u32)>,
     /// By how much the prediction missed its latest finished task.
-    pub miss_s: f64,
+    pub prediction_error_s: f64,
     /// Run times over predicted ones, of its latest finished tasks.
-    ratios: Rolling,
+    run_time_ratios: RollingMean,
     /// Jobs that failed on it lately, each once.
-    pub failed: BTreeSet<Name>,
+    pub failed_jobs: BTreeSet<Name>,
     /// The images of its record, by their numbers.
-    pub images: Vec<ImageId>,
+    pub image_ids: Vec<ImageId>,
 }
 
-impl MachineRow {
-    fn new(machine: Machine) -> MachineRow {
-        MachineRow {
-            machine,
-            images: Vec::new(),
+impl MachineState {
+    fn new(machine: MachineRecord) -> MachineState {
+        MachineState {
+            record: machine,
+            image_ids: Vec::new(),
             tasks: BTreeSet::new(),
-            miss_s: 0.0,
-            ratios: Rolling::default(),
-            failed: BTreeSet::new(),
+            prediction_error_s: 0.0,
+            run_time_ratios: RollingMean::default(),
+            failed_jobs: BTreeSet::new(),
         }
     }
 
-    pub fn has(&self, image: &str) -> bool {
-        self.machine.images.iter().any(|(i, _)| &**i == image)
+    pub fn has_image(&self, image: &str) -> bool {
+        self.record.images.iter().any(|(i, _)| &**i == image)
     }
 
     /// By how much it is slower than its group. Guesses miss, so less than
     /// half as slow again says nothing.
-    pub fn slow(&self) -> f64 {
-        match self.ratios.mean() {
+    pub fn slowdown(&self) -> f64 {
+        match self.run_time_ratios.mean() {
             Some(ratio) if ratio > 1.5 => ratio,
             _ => 1.0,
         }
     }
 }
 
-pub struct View {
+pub struct ClusterState {
     /// All changes up to this revision are in.
     pub revision: u64,
-    pub base: Base,
+    pub snapshot: SnapshotManifest,
     /// A change was missed: everything must be listed again.
-    pub missed: bool,
+    pub has_gap: bool,
     /// A record that this program can't read. Nothing is decided on a view
     /// that lacks a part: neither guessing nor wiping would be safe.
     pub unreadable: Option<String>,
     /// Entries since the base.
-    pub entries: usize,
-    pub averages: Averages,
-    pub leader: Option<(u64, rec::Leader)>,
-    pub members: BTreeMap<String, rec::Member>,
-    pub grants: BTreeMap<Name, (u64, rec::Grant)>,
+    pub entries_since_snapshot: usize,
+    pub durations: DurationEstimator,
+    pub leader: Option<(u64, rec::LeaderRecord)>,
+    pub members: BTreeMap<String, rec::MemberRecord>,
+    pub shard_leases: BTreeMap<Name, (u64, rec::ShardLease)>,
     /// The newest revision at which each controller was seen to write: an entry, or
     /// its member key.
-    pub wrote: BTreeMap<String, u64>,
+    pub last_writes: BTreeMap<String, u64>,
     /// Versions of the keys that are not in the log.
-    versions: HashMap<String, u64>,
+    key_versions: HashMap<String, u64>,
     /// Versions of the log's keys.
-    pub log: HashMap<String, u64>,
-    pub types: Option<Arc<rec::Types>>,
-    pub machines: BTreeMap<Name, MachineRow>,
-    pub blocks: BTreeMap<Name, BTreeSet<Name>>,
+    pub log_versions: HashMap<String, u64>,
+    pub machine_types: Option<Arc<rec::MachineTypes>>,
+    pub machines: BTreeMap<Name, MachineState>,
+    pub shards: BTreeMap<Name, BTreeSet<Name>>,
     /// Of each block's machines, how many are up, and how many of those silent.
-    pulse: HashMap<Name, (usize, usize)>,
-    pub rentals: BTreeMap<Name, Rental>,
-    pub jobs: Map<Name, JobRow>,
+    shard_counts: HashMap<Name, (usize, usize)>,
+    pub rentals: BTreeMap<Name, RentalRequest>,
+    pub jobs: SeededMap<Name, JobState>,
     /// Jobs that are over and have no task left.
-    over: Map<Name, (Phase, u32)>,
+    finished: SeededMap<Name, (JobPhase, u32)>,
     /// Jobs that are not over, by priority and arrival.
     pub active: BTreeSet<(Priority, u64, Name)>,
     /// Jobs that have live tasks.
-    pub live: BTreeSet<Name>,
+    pub with_tasks: BTreeSet<Name>,
     /// Live tasks that their holder has not placed.
     pub unplaced: BTreeSet<(Name, u32)>,
     /// Machines whose tasks have changed since somebody looked.
-    pub dirty: BTreeSet<Name>,
+    pub changed_machines: BTreeSet<Name>,
     /// Latest arrivals per class (time of day in ms), in their order.
-    pub arrivals: Map<String, VecDeque<(u64, Arc<JobSpec>)>>,
+    pub arrivals: SeededMap<String, VecDeque<(u64, Arc<JobSpec>)>>,
     /// Numbers of images. They are this process's own.
-    images: HashMap<Name, ImageId>,
+    image_ids: HashMap<Name, ImageId>,
     /// Who is served, since this process first listed everything.
-    pub served: Served,
+    pub service_counts: ServiceCounts,
 }
 
 /// Arrivals kept per class.
@@ -145,9 +146,9 @@
 }
 
 /// What a machine adds to the counts of its block: up, and silent.
-fn pulse(machine: &Machine) -> (usize, usize) {
-    let up = machine.up.is_some();
-    let silent = up && machine.silent.is_some();
+fn pulse(machine: &MachineRecord) -> (usize, usize) {
+    let up = machine.ready_ms.is_some();
+    let silent = up && machine.unreachable_since_ms.is_some();
     (usize::from(up), usize::from(silent))
 }
 
@@ -161,55 +162,55 @@
     next
 }
 
-impl View {
-    pub fn new(averages: Averages) -> Self {
-        View {
+impl ClusterState {
+    pub fn new(averages: DurationEstimator) -> Self {
+        ClusterState {
             revision: 0,
-            base: Base::default(),
-            missed: false,
+            snapshot: SnapshotManifest::default(),
+            has_gap: false,
             unreadable: None,
-            entries: 0,
-            averages,
+            entries_since_snapshot: 0,
+            durations: averages,
             leader: None,
             members: BTreeMap::new(),
-            grants: BTreeMap::new(),
-            wrote: BTreeMap::new(),
-            versions: HashMap::new(),
-            log: HashMap::new(),
-            types: None,
+            shard_leases: BTreeMap::new(),
+            last_writes: BTreeMap::new(),
+            key_versions: HashMap::new(),
+            log_versions: HashMap::new(),
+            machine_types: None,
             machines: BTreeMap::new(),
-            blocks: BTreeMap::new(),
-            pulse: HashMap::new(),
+            shards: BTreeMap::new(),
+            shard_counts: HashMap::new(),
             rentals: BTreeMap::new(),
-            jobs: Map::default(),
-            over: Map::default(),
+            jobs: SeededMap::default(),
+            finished: SeededMap::default(),
             active: BTreeSet::new(),
-            live: BTreeSet::new(),
+            with_tasks: BTreeSet::new(),
             unplaced: BTreeSet::new(),
-            dirty: BTreeSet::new(),
-            arrivals: Map::default(),
-            images: HashMap::new(),
-            served: Served::default(),
+            changed_machines: BTreeSet::new(),
+            arrivals: SeededMap::default(),
+            image_ids: HashMap::new(),
+            service_counts: ServiceCounts::default(),
         }
     }
 
     /// An image's number; jobs' and machines' images all have one, and one that
     /// is unknown gets the next: numbers index tables, so none is far off.
-    pub fn image(&self, name: &str) -> ImageId {
-        let next = self.images.len() as ImageId;
-        self.images.get(name).copied().unwrap_or(next)
+    pub fn image_id(&self, name: &str) -> ImageId {
+        let next = self.image_ids.len() as ImageId;
+        self.image_ids.get(name).copied().unwrap_or(next)
     }
 
     /// Version of a key that is not in the log.
-    pub fn version(&self, key: &str) -> u64 {
-        self.versions.get(key).copied().unwrap_or(0)
+    pub fn key_version(&self, key: &str) -> u64 {
+        self.key_versions.get(key).copied().unwrap_or(0)
     }
 
     /// A view made of a listing whose first page had `revision`. What is newer
     /// comes with the watch from there. `None` if the snapshot in it is not
     /// whole, having been replaced meanwhile.
-    pub fn listed(items: Vec<Item>, revision: u64, now_ms: u64) -> Option<View> {
-        let mut view = View::new(Averages::new(10, 0.0));
+    pub fn from_listing(items: Vec<KeyValue>, revision: u64, now_ms: u64) -> Option<ClusterState> {
+        let mut view = ClusterState::new(DurationEstimator::new(10, 0.0));
         let mut chunks: BTreeMap<String, Value> = BTreeMap::new();
         let mut entries: Vec<(u64, String, Value)> = Vec::new();
         for item in items {
@@ -224,26 +225,26 @@
                 _ => view.put(item.key, &item.value, item.version),
             }
         }
-        let base = view.base;
+        let base = view.snapshot;
         for i in 0..base.chunks {
             let key = rec::chunk_key(base.generation, i);
-            let Some(chunk) = read::<Entry>(chunks.get(&key)?) else {
+            let Some(chunk) = read::<LogEntry>(chunks.get(&key)?) else {
                 view.fail(&key);
                 break;
             };
-            if chunk.before != base.at {
+            if chunk.previous_version != base.revision {
                 return None;
             }
-            for op in chunk.ops {
-                view.apply(op, base.at, now_ms);
+            for op in chunk.mutations {
+                view.apply(op, base.revision, now_ms);
             }
         }
         entries.sort_by(|a, b| (a.0, &a.1).cmp(&(b.0, &b.1)));
         for (version, key, value) in entries {
-            if version > base.at {
+            if version > base.revision {
                 view.entry(&key, &value, version, now_ms, true);
             }
-            view.log.insert(key, version);
+            view.log_versions.insert(key, version);
         }
         view.revision = revision;
         Some(view)
@@ -252,27 +253,27 @@
     /// Puts a newly listed view in this one's place; what was learnt stays. Not one that
     /// is older, which comes back: a read that was sent meanwhile brings only what is
     /// newer than this one, and what lies between would be in neither.
-    pub fn replace(&mut self, mut view: View) -> Result<(), Box<View>> {
+    pub fn replace_with(&mut self, mut view: ClusterState) -> Result<(), Box<ClusterState>> {
         if view.revision < self.revision {
             return Err(Box::new(view));
         }
-        std::mem::swap(&mut self.averages, &mut view.averages);
-        if !self.served.classes.is_empty() {
+        std::mem::swap(&mut self.durations, &mut view.durations);
+        if !self.service_counts.classes.is_empty() {
             // What was counted goes on; what was missed meanwhile is not in it.
-            std::mem::swap(&mut self.served, &mut view.served);
+            std::mem::swap(&mut self.service_counts, &mut view.service_counts);
         }
-        view.dirty = view.machines.keys().cloned().collect();
+        view.changed_machines = view.machines.keys().cloned().collect();
         *self = view;
         Ok(())
     }
 
     /// Takes in the changes after a revision; false if this view does not reach up to it,
     /// and would have a gap.
-    pub fn watch(&mut self, since: u64, answer: Changes, now_ms: u64) -> bool {
+    pub fn apply_watch(&mut self, since: u64, answer: WatchResponse, now_ms: u64) -> bool {
         if since > self.revision {
             return false;
         }
-        let mut events: Vec<Event> = answer.events;
+        let mut events: Vec<WatchEvent> = answer.events;
         events.sort_by(|a, b| (a.version, a.key()).cmp(&(b.version, b.key())));
         let known = self.revision;
         for event in events {
@@ -287,7 +288,7 @@
                             self.wrote_at(member, event.version);
                         }
                         self.entry(&key, &value, event.version, now_ms, false);
-                        self.log.insert(key, event.version);
+                        self.log_versions.insert(key, event.version);
                     } else {
                         self.put(key, &value, event.version);
                     }
@@ -301,10 +302,10 @@
     }
 
     fn wrote_at(&mut self, member: &str, revision: u64) {
-        match self.wrote.get_mut(member) {
+        match self.last_writes.get_mut(member) {
             Some(at) => *at = revision,
             None => {
-                self.wrote.insert(member.to_string(), revision);
+                self.last_writes.insert(member.to_string(), revision);
             }
         }
     }
@@ -317,15 +318,15 @@
     }
 
     fn entry(&mut self, key: &str, value: &Value, version: u64, now_ms: u64, listed: bool) {
-        let Some(entry) = read::<Entry>(value) else {
+        let Some(entry) = read::<LogEntry>(value) else {
             return self.fail(key);
         };
         // Its key was used in between, by an entry that we never saw.
-        if !listed && entry.before != self.log.get(key).copied().unwrap_or(0) {
-            self.missed = true;
+        if !listed && entry.previous_version != self.log_versions.get(key).copied().unwrap_or(0) {
+            self.has_gap = true;
         }
-        self.entries += 1;
-        for op in entry.ops {
+        self.entries_since_snapshot += 1;
+        for op in entry.mutations {
             self.apply(op, version, now_ms);
         }
     }
@@ -336,7 +337,7 @@
         };
         let known = match path.split_once('/') {
             Some(("g", block)) => read(value).map(|grant| {
-                self.grants.insert(block.into(), (version, grant));
+                self.shard_leases.insert(block.into(), (version, grant));
             }),
             Some(("m", member)) => read(value).map(|record| {
                 self.members.insert(member.into(), record);
@@ -348,25 +349,29 @@
                 self.leader = Some((version, leader));
             }),
             _ if key == rec::TYPES => read(value).map(|types| {
-                self.types = Some(Arc::new(types));
+                self.machine_types = Some(Arc::new(types));
             }),
-            _ if key == rec::BASE => read(value).map(|base: Base| {
-                self.base = base;
-                self.entries = self.log.values().filter(|v| **v > base.at).count();
+            _ if key == rec::BASE => read(value).map(|base: SnapshotManifest| {
+                self.snapshot = base;
+                self.entries_since_snapshot = self
+                    .log_versions
+                    .values()
+                    .filter(|v| **v > base.revision)
+                    .count();
             }),
             _ => None,
         };
         if known.is_none() {
             self.fail(&key);
         }
-        self.versions.insert(key, version);
+        self.key_versions.insert(key, version);
     }
 
     fn dropped(&mut self, key: &str) {
-        self.versions.remove(key);
+        self.key_versions.remove(key);
         match key.strip_prefix(rec::ROOT).and_then(|p| p.split_once('/')) {
             Some(("g", block)) => {
-                self.grants.remove(block);
+                self.shard_leases.remove(block);
             }
             Some(("m", member)) => {
                 self.members.remove(member);
@@ -377,91 +382,106 @@
     }
 
     /// Whether a grant's holder is a controller that lives, as far as is known.
-    pub fn held(&self, grant: &rec::Grant) -> bool {
-        let member = self.members.get(&grant.holder);
-        member.is_some_and(|m| m.nonce == grant.nonce)
+    pub fn is_owner_registered(&self, grant: &rec::ShardLease) -> bool {
+        let member = self.members.get(&grant.owner);
+        member.is_some_and(|m| m.incarnation == grant.incarnation)
     }
 
     /// Whether a block still belongs to an earlier process of a controller.
-    pub fn left_over(&self, member: &str, nonce: u64) -> bool {
-        let mut grants = self.grants.values().map(|(_, grant)| grant);
-        grants.any(|g| g.holder == member && g.nonce != nonce)
+    pub fn has_stale_lease(&self, member: &str, nonce: u64) -> bool {
+        let mut grants = self.shard_leases.values().map(|(_, grant)| grant);
+        grants.any(|g| g.owner == member && g.incarnation != nonce)
     }
 
     /// A live task, with its job.
-    pub fn task(&self, uid: &str, index: u32) -> Option<(&JobRow, &TaskRow)> {
+    pub fn task(&self, uid: &str, index: u32) -> Option<(&JobState, &TaskState)> {
         let job = self.jobs.get(uid)?;
         Some((job, job.tasks.get(&index)?))
     }
 
-    fn current(&self, uid: &str, attempt: u64, index: u32) -> Option<&TaskRow> {
+    fn current(&self, uid: &str, attempt: u64, index: u32) -> Option<&TaskState> {
         let task = self.jobs.get(uid)?.tasks.get(&index)?;
-        (task.task.attempt == attempt).then_some(task)
+        (task.record.attempt == attempt).then_some(task)
     }
 
     /// How many machines of each kind there are.
-    pub fn by_kind(&self) -> BTreeMap<Kind, u32> {
+    pub fn machines_by_kind(&self) -> BTreeMap<InstanceKind, u32> {
         let mut out = BTreeMap::new();
         for row in self.machines.values() {
-            let m = &row.machine;
-            let kind = Kind::new(m.kind.clone(), m.zone.clone(), m.spot);
+            let m = &row.record;
+            let kind = InstanceKind::new(m.machine_type.clone(), m.zone.clone(), m.spot);
             *out.entry(kind).or_default() += 1;
         }
         out
     }
 
     /// How many machines of one kind there are.
-    pub fn of_kind(&self, kind: &Kind) -> u32 {
-        let same = |m: &Machine| m.spot == kind.spot && m.kind == kind.name && m.zone == kind.zone;
-        let same = self.machines.values().filter(|row| same(&row.machine));
+    pub fn count_of_kind(&self, kind: &InstanceKind) -> u32 {
+        let same = |m: &MachineRecord| {
+            m.spot == kind.spot && m.machine_type == kind.machine_type && m.zone == kind.zone
+        };
+        let same = self.machines.values().filter(|row| same(&row.record));
         same.count() as u32
     }
 
     /// Of a block's machines, how many are up, and how many of those silent.
-    pub fn pulse(&self, block: &str) -> (usize, usize) {
-        self.pulse.get(block).copied().unwrap_or_default()
+    pub fn shard_counts(&self, block: &str) -> (usize, usize) {
+        self.shard_counts.get(block).copied().unwrap_or_default()
     }
 
-    pub fn is_over(&self, uid: &str) -> bool {
-        self.over.contains_key(uid) || self.jobs.get(uid).is_some_and(|j| j.phase != Phase::Active)
+    pub fn is_finished(&self, uid: &str) -> bool {
+        self.finished.contains_key(uid)
+            || self
+                .jobs
+                .get(uid)
+                .is_some_and(|j| j.phase != JobPhase::Active)
     }
 
     pub fn knows(&self, uid: &str) -> bool {
-        self.over.contains_key(uid) || self.jobs.contains_key(uid)
+        self.finished.contains_key(uid) || self.jobs.contains_key(uid)
     }
 
-    pub fn state_of(&self, uid: &str) -> Option<JobState> {
+    pub fn job_status(&self, uid: &str) -> Option<JobStatus> {
         let (phase, tasks, done, running) = match self.jobs.get(uid) {
             Some(job) => {
-                let running = job.tasks.values().filter(|t| t.task.ran.is_some()).count();
-                (job.phase, job.spec.tasks, job.done.count(), running as u32)
+                let running = job
+                    .tasks
+                    .values()
+                    .filter(|t| t.record.started_ms.is_some())
+                    .count();
+                (
+                    job.phase,
+                    job.spec.tasks,
+                    job.completed.count(),
+                    running as u32,
+                )
             }
             None => {
-                let (phase, tasks) = *self.over.get(uid)?;
+                let (phase, tasks) = *self.finished.get(uid)?;
                 (phase, tasks, 0, 0)
             }
         };
         let (state, done, running) = match phase {
-            Phase::Done => (Stance::Done, tasks, 0),
-            Phase::Cancelled => (Stance::Cancelled, 0, 0),
-            Phase::Active if running > 0 => (Stance::Running, done, running),
-            Phase::Active => (Stance::Queued, done, 0),
+            JobPhase::Done => (StatusPhase::Done, tasks, 0),
+            JobPhase::Cancelled => (StatusPhase::Cancelled, 0, 0),
+            JobPhase::Active if running > 0 => (StatusPhase::Running, done, running),
+            JobPhase::Active => (StatusPhase::Queued, done, 0),
         };
-        Some(JobState {
-            uid: uid.into(),
-            state,
+        Some(JobStatus {
+            job: uid.into(),
+            phase: state,
             done,
             running,
         })
     }
 
     /// Tasks that are neither live nor done, at most `most`.
-    pub fn waiting(&mut self, uid: &str, most: usize) -> Vec<u32> {
+    pub fn unassigned_tasks(&mut self, uid: &str, most: usize) -> Vec<u32> {
         let Some(job) = self.jobs.get_mut(uid) else {
             return Vec::new();
         };
-        let taken = |i: &u32| job.tasks.contains_key(i) || job.done.get(*i);
-        let mut open = job.open;
+        let taken = |i: &u32| job.tasks.contains_key(i) || job.completed.contains(*i);
+        let mut open = job.first_open;
         while open < job.spec.tasks && taken(&open) {
             open += 1;
         }
@@ -469,7 +489,7 @@
             .filter(|i| !taken(i))
             .take(most)
             .collect();
-        job.open = open;
+        job.first_open = open;
         out
     }
 }
--- a/crates/rushwalk/src/view/served.rs
+++ b/crates/rushwalk/src/view/served.rs
@@ -6,19 +6,20 @@
 use std::collections::BTreeMap;
 
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
-pub struct Count {
+pub struct JobCounts {
     pub accepted: u32,
     /// Of which a task was seen running.
     pub started: u32,
-    pub done: u32,
+    #[serde(rename = "done")]
+    pub completed: u32,
     pub cancelled: u32,
     /// Cancelled before a task was seen running: nobody's fault.
     pub withdrawn: u32,
 }
 
-impl Count {
+impl JobCounts {
     /// Of the jobs that wanted to start, those that did.
-    pub fn share(&self) -> f64 {
+    pub fn started_share(&self) -> f64 {
         match self.accepted.saturating_sub(self.withdrawn) {
             0 => 1.0,
             wanted => f64::from(self.started) / f64::from(wanted),
@@ -27,14 +28,14 @@
 }
 
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
-pub struct Served {
-    pub classes: BTreeMap<String, Count>,
-    pub teams: BTreeMap<String, Count>,
+pub struct ServiceCounts {
+    pub classes: BTreeMap<String, JobCounts>,
+    pub teams: BTreeMap<String, JobCounts>,
 }
 
-impl Served {
+impl ServiceCounts {
     /// What came of a job counts for its class and for its team.
-    pub fn count(&mut self, spec: &JobSpec, add: impl Fn(&mut Count)) {
+    pub fn count(&mut self, spec: &JobSpec, add: impl Fn(&mut JobCounts)) {
         for (counts, name) in [
             (&mut self.classes, &spec.class),
             (&mut self.teams, &spec.team),
@@ -47,11 +48,11 @@
     }
 
     /// The class and the team of whose jobs the least share has started.
-    pub fn least(&self) -> [Option<(&str, Count)>; 2] {
+    pub fn least_served(&self) -> [Option<(&str, JobCounts)>; 2] {
         [&self.classes, &self.teams].map(|counts| {
             let least = counts
                 .iter()
-                .min_by(|a, b| a.1.share().total_cmp(&b.1.share()));
+                .min_by(|a, b| a.1.started_share().total_cmp(&b.1.started_share()));
             least.map(|(name, count)| (name.as_str(), *count))
         })
     }
--- a/crates/scheduler/src/boot_times.rs
+++ b/crates/scheduler/src/boot_times.rs
@@ -11,35 +11,35 @@
 
 /// A machine that was rented.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Seen {
+pub struct BootSample {
     /// When, in seconds.
-    pub rented: f64,
+    pub rented_s: f64,
     /// How long it took to come up; if it has not, for how long it was waited for.
-    pub took: f64,
-    pub up: bool,
+    pub elapsed_s: f64,
+    pub booted: bool,
 }
 
 /// Which machines boot alike: a type, by its place among the types, in a zone.
-pub type Group = (usize, usize);
+pub type BootGroup = (usize, usize);
 
 #[derive(Debug, Clone, Default)]
-struct Known {
+struct ObservedBoots {
     nominal: f64,
     /// In the order of their rentals.
-    seen: Vec<Seen>,
+    seen: Vec<BootSample>,
     /// How long one that is rented now should take.
     fresh: f64,
 }
 
 /// Boots of one moment.
 #[derive(Debug, Clone, Default)]
-pub struct Boots {
+pub struct BootTimeEstimator {
     now: f64,
     /// For so long one may be up before it is seen to be.
     unseen: f64,
-    known: BTreeMap<Group, Known>,
+    known: BTreeMap<BootGroup, ObservedBoots>,
     /// Machines are rented many at a time: what was worked out for one holds for them.
-    left: RefCell<BTreeMap<(Group, u64), f64>>,
+    left: RefCell<BTreeMap<(BootGroup, u64), f64>>,
 }
 
 /// What is usual, in nominal boot times: from when on machines come, by when nearly
@@ -86,10 +86,10 @@
 }
 
 /// The ratio by which half of those are up that are not after `age`.
-fn half(seen: &[Seen], nominal: f64, age: f64) -> f64 {
-    let ratios = |up: bool| seen.iter().filter(move |s| s.up == up);
-    let came: Vec<f64> = ratios(true).map(|s| s.took / nominal).collect();
-    let waited: Vec<f64> = ratios(false).map(|s| s.took / nominal).collect();
+fn half(seen: &[BootSample], nominal: f64, age: f64) -> f64 {
+    let ratios = |up: bool| seen.iter().filter(move |s| s.booted == up);
+    let came: Vec<f64> = ratios(true).map(|s| s.elapsed_s / nominal).collect();
+    let waited: Vec<f64> = ratios(false).map(|s| s.elapsed_s / nominal).collect();
     let mut out = 1.0;
     for step in 0..STEPS {
         let (from, to) = (edge(step).max(age), edge(step + 1));
@@ -113,33 +113,33 @@
 
 /// What to do about a machine that is not up yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Late {
+pub enum BootLateness {
     /// It is waited for.
-    Not,
+    OnTime,
     /// So are those rented now, as far as is known: one of many may be tried anew.
-    Like,
+    LateLikeOthers,
     /// One rented now would come sooner.
-    Beyond,
+    ReplaceNow,
 }
 
-impl Boots {
-    pub fn new(now: f64, unseen: f64) -> Boots {
-        Boots {
+impl BootTimeEstimator {
+    pub fn new(now: f64, unseen: f64) -> BootTimeEstimator {
+        BootTimeEstimator {
             now,
             unseen,
-            ..Boots::default()
+            ..BootTimeEstimator::default()
         }
     }
 
     /// A machine of a group whose boots nominally take `nominal` seconds.
-    pub fn seen(&mut self, group: Group, nominal: f64, mut seen: Seen) {
+    pub fn add_sample(&mut self, group: BootGroup, nominal: f64, mut seen: BootSample) {
         let nominal = nominal.max(1.0);
-        if !seen.up {
-            seen.took -= self.unseen;
+        if !seen.booted {
+            seen.elapsed_s -= self.unseen;
         }
         // One that is not late as yet says nothing.
-        let tells = seen.up || seen.took > MOSTLY * nominal;
-        let recent = self.now - seen.rented < (STALE + LONGEST) * nominal;
+        let tells = seen.booted || seen.elapsed_s > MOSTLY * nominal;
+        let recent = self.now - seen.rented_s < (STALE + LONGEST) * nominal;
         if tells && recent {
             let known = self.known.entry(group).or_default();
             known.nominal = nominal;
@@ -148,13 +148,13 @@
     }
 
     /// To be called when all were seen.
-    pub fn settle(&mut self) {
+    pub fn finish_sampling(&mut self) {
         for known in self.known.values_mut() {
-            known.seen.sort_by(|a, b| a.rented.total_cmp(&b.rented));
+            known.seen.sort_by(|a, b| a.rented_s.total_cmp(&b.rented_s));
             let latest = known.seen.len().saturating_sub(COHORT);
             let oldest = self.now - STALE * known.nominal;
-            let latest: Vec<Seen> = (known.seen[latest..].iter().copied())
-                .filter(|s| s.rented > oldest)
+            let latest: Vec<BootSample> = (known.seen[latest..].iter().copied())
+                .filter(|s| s.rented_s > oldest)
                 .collect();
             let half = half(&latest, known.nominal, 0.0);
             // Within what is usual it stays at that: a plan that follows each sample
@@ -165,7 +165,7 @@
     }
 
     /// Seconds that a machine rented now should take.
-    pub fn fresh(&self, group: Group, nominal: f64) -> f64 {
+    pub fn expected_boot_s(&self, group: BootGroup, nominal: f64) -> f64 {
         match self.known.get(&group) {
             Some(known) => known.fresh,
             None => USUALLY * nominal.max(1.0),
@@ -173,21 +173,21 @@
     }
 
     /// Seconds until one that was rented at a time, and is not up, should be.
-    pub fn left(&self, group: Group, nominal: f64, rented: f64) -> f64 {
+    pub fn remaining_s(&self, group: BootGroup, nominal: f64, rented: f64) -> f64 {
         let key = (group, (rented * 1000.0) as u64);
         if let Some(left) = self.left.borrow().get(&key) {
             return *left;
         }
         let nominal = nominal.max(1.0);
         let age = ((self.now - rented - self.unseen) / nominal).max(0.0);
-        let fresh = self.fresh(group, nominal) / nominal;
+        let fresh = self.expected_boot_s(group, nominal) / nominal;
         if age < MOSTLY && fresh <= USUALLY {
             let due = rented + fresh * nominal - self.now;
             return due.max(SOON * nominal);
         }
         let around = self.known.get(&group).map_or(&[][..], |known| {
             // Those rented about when it was.
-            let at = known.seen.partition_point(|s| s.rented < rented);
+            let at = known.seen.partition_point(|s| s.rented_s < rented);
             let from = at.saturating_sub(COHORT / 2);
             let to = (from + COHORT).min(known.seen.len());
             &known.seen[to.saturating_sub(COHORT)..to]
@@ -199,15 +199,16 @@
     }
 
     /// Whether one that is not up should be given up for another.
-    pub fn late(&self, group: Group, nominal: f64, rented: f64) -> Late {
+    pub fn lateness(&self, group: BootGroup, nominal: f64, rented: f64) -> BootLateness {
         if self.now - rented - self.unseen < MOSTLY * nominal.max(1.0) {
-            return Late::Not;
+            return BootLateness::OnTime;
         }
         // What it has cost so far is lost, and where a fifth of them took two and a half
         // times as long those given up for a little less were missed: not for a little.
-        match self.left(group, nominal, rented) > GAIN * self.fresh(group, nominal) {
-            true => Late::Beyond,
-            false => Late::Like,
+        match self.remaining_s(group, nominal, rented) > GAIN * self.expected_boot_s(group, nominal)
+        {
+            true => BootLateness::ReplaceNow,
+            false => BootLateness::LateLikeOthers,
         }
     }
 }
@@ -217,41 +218,41 @@
     use super::*;
 
     const BOOT: f64 = 40.0;
-    const HERE: Group = (0, 0);
+    const HERE: BootGroup = (0, 0);
 
     /// Boots at 1000 s, of machines rented so long ago that came after so long, or not.
-    fn boots(seen: &[(f64, Option<f64>)]) -> Boots {
-        let mut boots = Boots::new(1000.0, 0.0);
+    fn boots(seen: &[(f64, Option<f64>)]) -> BootTimeEstimator {
+        let mut boots = BootTimeEstimator::new(1000.0, 0.0);
         for (ago, took) in seen {
-            let seen = Seen {
-                rented: 1000.0 - ago,
-                took: took.unwrap_or(*ago),
-                up: took.is_some(),
+            let seen = BootSample {
+                rented_s: 1000.0 - ago,
+                elapsed_s: took.unwrap_or(*ago),
+                booted: took.is_some(),
             };
-            boots.seen(HERE, BOOT, seen);
+            boots.add_sample(HERE, BOOT, seen);
         }
-        boots.settle();
+        boots.finish_sampling();
         boots
     }
 
-    fn fresh(boots: &Boots) -> f64 {
-        boots.fresh(HERE, BOOT) / BOOT
+    fn fresh(boots: &BootTimeEstimator) -> f64 {
+        boots.expected_boot_s(HERE, BOOT) / BOOT
     }
 
-    fn late(boots: &Boots, ago: f64) -> Late {
-        boots.late(HERE, BOOT, 1000.0 - ago)
+    fn late(boots: &BootTimeEstimator, ago: f64) -> BootLateness {
+        boots.lateness(HERE, BOOT, 1000.0 - ago)
     }
 
     #[test]
     fn what_is_usual_counts_until_something_was_seen() {
         let none = boots(&[]);
         assert_eq!(fresh(&none), 1.1);
-        let left = |ago: f64| none.left(HERE, BOOT, 1000.0 - ago * BOOT) / BOOT;
+        let left = |ago: f64| none.remaining_s(HERE, BOOT, 1000.0 - ago * BOOT) / BOOT;
         assert!((left(0.2) - 0.9).abs() < 1e-9 && left(1.2) == 0.2);
         assert!((1.2..1.6).contains(&left(1.6)), "{}", left(1.6));
-        assert_eq!(late(&none, 1.4 * BOOT), Late::Not);
-        assert_eq!(late(&none, 2.0 * BOOT), Late::Like);
-        assert_eq!(late(&none, 2.6 * BOOT), Late::Beyond);
+        assert_eq!(late(&none, 1.4 * BOOT), BootLateness::OnTime);
+        assert_eq!(late(&none, 2.0 * BOOT), BootLateness::LateLikeOthers);
+        assert_eq!(late(&none, 2.6 * BOOT), BootLateness::ReplaceNow);
     }
 
     #[test]
@@ -270,20 +271,20 @@
         seen.extend(vec![(110.0, None); 4]);
         let some = boots(&seen);
         assert!((0.9..1.2).contains(&fresh(&some)), "{}", fresh(&some));
-        assert_eq!(late(&some, 110.0), Late::Beyond);
+        assert_eq!(late(&some, 110.0), BootLateness::ReplaceNow);
     }
 
     #[test]
     fn when_all_are_late_none_is_replaced_but_to_try() {
         let all = boots(&vec![(100.0, None); 300]);
         assert!(fresh(&all) > 3.0, "{}", fresh(&all));
-        assert_eq!(late(&all, 100.0), Late::Like);
+        assert_eq!(late(&all, 100.0), BootLateness::LateLikeOthers);
         // Those that were tried came at once: the others are replaced too.
         let mut seen = vec![(180.0, None); 300];
         seen.extend(vec![(60.0, Some(BOOT)); 16]);
         let over = boots(&seen);
         assert!(fresh(&over) < 1.2, "{}", fresh(&over));
-        assert_eq!(late(&over, 180.0), Late::Beyond);
+        assert_eq!(late(&over, 180.0), BootLateness::ReplaceNow);
         // Long after, what was seen says nothing any more.
         let stale = boots(&vec![(500.0, Some(5.0 * BOOT)); 50]);
         assert!(fresh(&stale) < 1.2);
@@ -294,22 +295,22 @@
         let mut seen = vec![(220.0, Some(4.0 * BOOT)); 8];
         seen.extend(vec![(150.0, None); 8]);
         let slow = boots(&seen);
-        let left = slow.left(HERE, BOOT, 1000.0 - 150.0);
+        let left = slow.remaining_s(HERE, BOOT, 1000.0 - 150.0);
         assert!((5.0..40.0).contains(&left), "{left}");
-        assert_eq!(late(&slow, 150.0), Late::Like);
+        assert_eq!(late(&slow, 150.0), BootLateness::LateLikeOthers);
     }
 
     #[test]
     fn instant_ones_are_expected_at_once() {
         let instant = boots(&[(30.0, Some(1.5)); 16]);
-        assert!(instant.fresh(HERE, BOOT) < 4.0);
+        assert!(instant.expected_boot_s(HERE, BOOT) < 4.0);
         assert!(
-            instant.left(HERE, BOOT, 995.0) >= 0.2 * BOOT,
+            instant.remaining_s(HERE, BOOT, 995.0) >= 0.2 * BOOT,
             "one that is not up"
         );
         assert_eq!(
-            instant.fresh((0, 1), BOOT),
-            boots(&[]).fresh((0, 1), BOOT),
+            instant.expected_boot_s((0, 1), BOOT),
+            boots(&[]).expected_boot_s((0, 1), BOOT),
             "another zone"
         );
     }
--- a/crates/scheduler/src/capacity.rs
+++ b/crates/scheduler/src/capacity.rs
@@ -10,16 +10,16 @@
 
 /// Something that can be rented: a type of machine, in a zone, spot or ordinary.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Kind {
-    pub name: Arc<str>,
+pub struct InstanceKind {
+    pub machine_type: Arc<str>,
     pub zone: Arc<str>,
     pub spot: bool,
 }
 
-impl Kind {
-    pub fn new(name: impl Into<Arc<str>>, zone: impl Into<Arc<str>>, spot: bool) -> Kind {
-        Kind {
-            name: name.into(),
+impl InstanceKind {
+    pub fn new(name: impl Into<Arc<str>>, zone: impl Into<Arc<str>>, spot: bool) -> InstanceKind {
+        InstanceKind {
+            machine_type: name.into(),
             zone: zone.into(),
             spot,
         }
@@ -27,7 +27,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct Known {
+struct ObservedCapacity {
     /// So many there are for us.
     most: u32,
     /// When that last showed.
@@ -38,19 +38,19 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Market {
-    known: BTreeMap<Kind, Known>,
+pub struct CapacityEstimator {
+    known: BTreeMap<InstanceKind, ObservedCapacity>,
 }
 
 /// The pause after a refusal doubles so often at most.
 const DOUBLED: u32 = 3;
 
-impl Market {
+impl CapacityEstimator {
     /// A call was answered: `got` of `asked`. `ours` are the machines we had, and
     /// `pause_s` is how long to wait before the first probe.
-    pub fn answered(
+    pub fn record_response(
         &mut self,
-        kind: &Kind,
+        kind: &InstanceKind,
         asked: u32,
         got: u32,
         ours: u32,
@@ -77,7 +77,7 @@
             }
         };
         let most = ours + got;
-        let known = Known {
+        let known = ObservedCapacity {
             most,
             at: now,
             probe,
@@ -87,19 +87,19 @@
     }
 
     /// Whether a kind ran out after a time.
-    pub fn ran_out_since(&self, kind: &Kind, time: f64) -> bool {
+    pub fn exhausted_since(&self, kind: &InstanceKind, time: f64) -> bool {
         self.known.get(kind).is_some_and(|k| k.at > time)
     }
 
     /// We have so many of a kind, so there are as many.
-    pub fn seen(&mut self, kind: &Kind, ours: u32) {
+    pub fn record_owned(&mut self, kind: &InstanceKind, ours: u32) {
         if let Some(known) = self.known.get_mut(kind) {
             known.most = known.most.max(ours);
         }
     }
 
     /// How many more may be asked for; `ours` includes those being asked for.
-    pub fn room(&self, kind: &Kind, ours: u32, now: f64, probe: u32) -> u32 {
+    pub fn headroom(&self, kind: &InstanceKind, ours: u32, now: f64, probe: u32) -> u32 {
         let Some(known) = self.known.get(kind) else {
             return u32::MAX;
         };
@@ -111,36 +111,40 @@
     }
 
     /// Whether all there is of a kind is ours, as far as is known.
-    pub fn scarce(&self, kind: &Kind) -> bool {
+    pub fn is_exhausted(&self, kind: &InstanceKind) -> bool {
         self.known.contains_key(kind)
     }
 }
 
 /// How many machines of a kind are lacking: for what waits, and in all.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Lack {
-    pub waiting: u32,
-    pub all: u32,
+pub struct Shortfall {
+    pub pending: u32,
+    pub total: u32,
 }
 
 /// The calls to make next, at most `calls` of at most `each` machines: those that
 /// bring most for what waits, then for what is expected. What they bring is taken
 /// from `lacking`.
-pub fn calls(lacking: &mut BTreeMap<Kind, Lack>, mut calls: usize, each: u32) -> Vec<(Kind, u32)> {
+pub fn calls(
+    lacking: &mut BTreeMap<InstanceKind, Shortfall>,
+    mut calls: usize,
+    each: u32,
+) -> Vec<(InstanceKind, u32)> {
     let mut out = Vec::new();
     while calls > 0 {
-        let worth = |lack: &Lack| (lack.waiting.min(each), lack.all.min(each));
+        let worth = |lack: &Shortfall| (lack.pending.min(each), lack.total.min(each));
         let most = lacking.iter_mut().max_by_key(|(_, lack)| worth(lack));
-        let Some((kind, lack)) = most.filter(|(_, lack)| lack.all > 0) else {
+        let Some((kind, lack)) = most.filter(|(_, lack)| lack.total > 0) else {
             break;
         };
-        let count = lack.all.min(each);
+        let count = lack.total.min(each);
         out.push((kind.clone(), count));
-        lack.all -= count;
-        lack.waiting = lack.waiting.saturating_sub(count);
+        lack.total -= count;
+        lack.pending = lack.pending.saturating_sub(count);
         calls -= 1;
     }
-    lacking.retain(|_, lack| lack.all > 0);
+    lacking.retain(|_, lack| lack.total > 0);
     out
 }
 
@@ -148,8 +152,8 @@
 mod tests {
     use super::*;
 
-    fn kind(name: &str, spot: bool) -> Kind {
-        Kind::new(name, "east", spot)
+    fn kind(name: &str, spot: bool) -> InstanceKind {
+        InstanceKind::new(name, "east", spot)
     }
 
     /// On a fleet twice as large each refused kind was asked for again, call
@@ -157,26 +161,38 @@
     /// were refused, and the machines that were there came 150 s late.
     #[test]
     fn what_was_refused_is_asked_for_only_as_far_as_it_went_back() {
-        let mut market = Market::default();
+        let mut market = CapacityEstimator::default();
         let small = kind("small", true);
-        assert_eq!(market.room(&small, 0, 0.0, 50), u32::MAX);
-        market.answered(&small, 50, 50, 100, 1.0, 6.0);
-        assert_eq!(market.room(&small, 150, 1.0, 50), u32::MAX);
-        market.answered(&small, 50, 20, 150, 2.0, 6.0);
-        assert_eq!(market.room(&small, 170, 3.0, 50), 0);
-        assert!(market.scarce(&small));
-        assert!(market.ran_out_since(&small, 1.5) && !market.ran_out_since(&small, 2.0));
+        assert_eq!(market.headroom(&small, 0, 0.0, 50), u32::MAX);
+        market.record_response(&small, 50, 50, 100, 1.0, 6.0);
+        assert_eq!(market.headroom(&small, 150, 1.0, 50), u32::MAX);
+        market.record_response(&small, 50, 20, 150, 2.0, 6.0);
+        assert_eq!(market.headroom(&small, 170, 3.0, 50), 0);
+        assert!(market.is_exhausted(&small));
+        assert!(market.exhausted_since(&small, 1.5) && !market.exhausted_since(&small, 2.0));
         // A second refusal on its heels is no second pause.
-        market.answered(&small, 50, 0, 170, 3.0, 6.0);
-        assert_eq!(market.room(&small, 130, 4.0, 50), 40, "some went back");
-        assert_eq!(market.room(&small, 170, 8.0, 50), 50, "a probe of one call");
-        assert_eq!(market.room(&small, 220, 8.0, 50), 0, "which is under way");
-        market.answered(&small, 50, 0, 170, 8.5, 6.0);
-        assert_eq!(market.room(&small, 170, 20.0, 50), 0, "the pause doubles");
-        assert_eq!(market.room(&small, 170, 20.6, 50), 50);
-        market.answered(&small, 50, 50, 170, 21.0, 6.0);
+        market.record_response(&small, 50, 0, 170, 3.0, 6.0);
+        assert_eq!(market.headroom(&small, 130, 4.0, 50), 40, "some went back");
         assert_eq!(
-            market.room(&small, 220, 21.0, 50),
+            market.headroom(&small, 170, 8.0, 50),
+            50,
+            "a probe of one call"
+        );
+        assert_eq!(
+            market.headroom(&small, 220, 8.0, 50),
+            0,
+            "which is under way"
+        );
+        market.record_response(&small, 50, 0, 170, 8.5, 6.0);
+        assert_eq!(
+            market.headroom(&small, 170, 20.0, 50),
+            0,
+            "the pause doubles"
+        );
+        assert_eq!(market.headroom(&small, 170, 20.6, 50), 50);
+        market.record_response(&small, 50, 50, 170, 21.0, 6.0);
+        assert_eq!(
+            market.headroom(&small, 220, 21.0, 50),
             u32::MAX,
             "there is more"
         );
@@ -184,14 +200,20 @@
 
     #[test]
     fn full_calls_for_what_waits_go_first() {
-        let lack = |waiting, all| Lack { waiting, all };
+        let lack = |waiting, all| Shortfall {
+            pending: waiting,
+            total: all,
+        };
         let mut lacking = BTreeMap::from([
             (kind("large", false), lack(3, 3)),
             (kind("small", false), lack(0, 500)),
             (kind("small", true), lack(80, 90)),
         ]);
         let made = calls(&mut lacking, 4, 50);
-        let named: Vec<_> = made.iter().map(|(k, n)| (&*k.name, k.spot, *n)).collect();
+        let named: Vec<_> = made
+            .iter()
+            .map(|(k, n)| (&*k.machine_type, k.spot, *n))
+            .collect();
         let first = [
             ("small", true, 50),
             ("small", true, 40),
--- a/crates/scheduler/src/deadlines.rs
+++ b/crates/scheduler/src/deadlines.rs
@@ -11,7 +11,7 @@
 
 /// What a job needs before it runs, and how long it then runs.
 #[derive(Debug, Clone, Copy)]
-pub struct Needs {
+pub struct TaskDurations {
     pub fetch_s: f64,
     pub run_s: f64,
     /// It fits into its team's guarantee.
@@ -19,7 +19,13 @@
 }
 
 /// The time by which the job should start; the least goes first.
-pub fn start_by(spec: &JobSpec, at: f64, now: f64, needs: Needs, aims: &[Objective]) -> f64 {
+pub fn start_by(
+    spec: &JobSpec,
+    at: f64,
+    now: f64,
+    needs: TaskDurations,
+    aims: &[Objective],
+) -> f64 {
     let mut widest: f64 = 0.0;
     let mut best: Option<f64> = None;
     for aim in aims {
@@ -66,7 +72,7 @@
             share: 0.9,
         };
         let aims = [aim("finished", "scan", 120.0), aim("wait", "sim", 60.0)];
-        let needs = Needs {
+        let needs = TaskDurations {
             fetch_s: 10.0,
             run_s: 60.0,
             guaranteed: false,
--- a/crates/scheduler/src/durations.rs
+++ b/crates/scheduler/src/durations.rs
@@ -5,14 +5,14 @@
 
 /// Rolling average over the latest samples (the paper's Rolling-Average).
 #[derive(Debug, Clone, Default)]
-pub struct Rolling {
+pub struct RollingMean {
     samples: VecDeque<f64>,
     /// Asked for far more often than a sample comes.
     mean: Option<f64>,
 }
 
-impl Rolling {
-    pub fn add(&mut self, sample: f64, window: usize) {
+impl RollingMean {
+    pub fn push(&mut self, sample: f64, window: usize) {
         self.samples.push_back(sample);
         while self.samples.len() > window.max(1) {
             self.samples.pop_front();
@@ -30,61 +30,61 @@
 const JOBS_KEPT: usize = 2_000;
 
 #[derive(Debug, Clone)]
-pub struct Averages {
+pub struct DurationEstimator {
     window: usize,
     /// Run time per job and group (machine type).
-    jobs: HashMap<String, HashMap<String, Rolling>>,
+    jobs: HashMap<String, HashMap<String, RollingMean>>,
     order: VecDeque<String>,
     /// Run time over the owner's guess, per class and group.
-    classes: HashMap<String, HashMap<String, Rolling>>,
+    classes: HashMap<String, HashMap<String, RollingMean>>,
     /// Observed fetch rate in GB a second, per group.
-    fetch: HashMap<String, Rolling>,
+    fetch: HashMap<String, RollingMean>,
     /// From a placement to the start where no image had to be fetched.
-    overhead: Rolling,
+    overhead: RollingMean,
     default_overhead: f64,
 }
 
-impl Averages {
+impl DurationEstimator {
     pub fn new(window: usize, default_overhead: f64) -> Self {
-        Averages {
+        DurationEstimator {
             window,
             jobs: HashMap::new(),
             order: VecDeque::new(),
             classes: HashMap::new(),
             fetch: HashMap::new(),
-            overhead: Rolling::default(),
+            overhead: RollingMean::default(),
             default_overhead,
         }
     }
 
-    pub fn finished(&mut self, spec: &JobSpec, group: &str, seconds: f64) {
-        if !self.jobs.contains_key(&spec.uid) {
-            self.order.push_back(spec.uid.clone());
+    pub fn record_run(&mut self, spec: &JobSpec, group: &str, seconds: f64) {
+        if !self.jobs.contains_key(&spec.id) {
+            self.order.push_back(spec.id.clone());
             if self.order.len() > JOBS_KEPT
                 && let Some(oldest) = self.order.pop_front()
             {
                 self.jobs.remove(&oldest);
             }
         }
-        let groups = self.jobs.entry(spec.uid.clone()).or_default();
+        let groups = self.jobs.entry(spec.id.clone()).or_default();
         let rolling = groups.entry(group.to_string()).or_default();
-        rolling.add(seconds, self.window);
+        rolling.push(seconds, self.window);
         if spec.estimate_s > 0.0 {
             // One wild guess must not bend the class: a miss counts up to tenfold.
             let ratio = (seconds / spec.estimate_s).clamp(0.1, 10.0);
             let window = 4 * self.window;
             let groups = self.classes.entry(spec.class.clone()).or_default();
             let rolling = groups.entry(group.to_string()).or_default();
-            rolling.add(ratio, window);
+            rolling.push(ratio, window);
         }
     }
 
-    pub fn started(&mut self, group: &str, image_gb: f64, fetched: bool, seconds: f64) {
+    pub fn record_start(&mut self, group: &str, image_gb: f64, fetched: bool, seconds: f64) {
         if !fetched {
-            self.overhead.add(seconds, 4 * self.window);
+            self.overhead.push(seconds, 4 * self.window);
         } else if seconds > 0.0 && image_gb > 0.0 {
             let rolling = self.fetch.entry(group.to_string()).or_default();
-            rolling.add(image_gb / seconds, 4 * self.window);
+            rolling.push(image_gb / seconds, 4 * self.window);
         }
     }
 
@@ -95,9 +95,9 @@
         }
         if let Some(mean) = self
             .jobs
-            .get(&spec.uid)
+            .get(&spec.id)
             .and_then(|groups| groups.get(group))
-            .and_then(Rolling::mean)
+            .and_then(RollingMean::mean)
         {
             return mean;
         }
@@ -105,18 +105,18 @@
             .classes
             .get(&spec.class)
             .and_then(|groups| groups.get(group))
-            .and_then(Rolling::mean)
+            .and_then(RollingMean::mean)
             .unwrap_or(1.0);
         (spec.estimate_s * ratio).max(1.0)
     }
 
     /// True once the job itself has been seen to finish on this group.
-    pub fn knows(&self, uid: &str, group: &str) -> bool {
+    pub fn has_run_time(&self, uid: &str, group: &str) -> bool {
         self.jobs.get(uid).is_some_and(|g| g.contains_key(group))
     }
 
     pub fn fetch_time(&self, image_gb: f64, group: &str, nominal: f64) -> f64 {
-        let rate = self.fetch.get(group).and_then(Rolling::mean);
+        let rate = self.fetch.get(group).and_then(RollingMean::mean);
         let rate = rate.unwrap_or(nominal);
         match rate > 0.0 {
             true => image_gb / rate,
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -13,4 +13,4 @@
 pub mod timeline;
 pub mod timeline_index;
 
-pub use resources::Amount;
+pub use resources::Resources;
--- a/crates/scheduler/src/quota.rs
+++ b/crates/scheduler/src/quota.rs
@@ -1,6 +1,6 @@
 //! Teams' limits and guarantees, and where a job's tasks may be.
 
-use crate::Amount;
+use crate::Resources;
 use rushwalk_protocol::jobs::{JobSpec, Shape};
 use rushwalk_protocol::settings::Team;
 use std::collections::{BTreeSet, HashMap};
@@ -8,20 +8,20 @@
 
 /// What teams use: tasks count until they are surely gone.
 #[derive(Debug, Clone, Default)]
-pub struct Usage(HashMap<String, Amount>);
+pub struct QuotaUsage(HashMap<String, Resources>);
 
-impl Usage {
-    pub fn add(&mut self, team: &str, amount: Amount) {
+impl QuotaUsage {
+    pub fn add(&mut self, team: &str, amount: Resources) {
         let used = self.0.entry(team.to_string()).or_default();
         *used = *used + amount;
     }
 
-    pub fn of(&self, team: &str) -> Amount {
+    pub fn of(&self, team: &str) -> Resources {
         self.0.get(team).copied().unwrap_or_default()
     }
 
     /// How many of `n` tasks stay within the team's limit.
-    pub fn room(&self, team: &Team, amount: Amount, n: usize) -> usize {
+    pub fn tasks_within_limit(&self, team: &Team, amount: Resources, n: usize) -> usize {
         let used = self.of(&team.name);
         let fit = |used: f64, each: f64, limit: f64| match limit > 0.0 && each > 0.0 {
             true => ((limit + 1e-6 - used) / each).max(0.0) as usize,
@@ -35,13 +35,13 @@
     }
 
     /// Whether `amount` more stays within what the team is guaranteed.
-    pub fn guaranteed(&self, team: &Team, amount: Amount) -> bool {
+    pub fn is_within_guarantee(&self, team: &Team, amount: Resources) -> bool {
         let used = self.of(&team.name) + amount;
         (team.cpus > 0.0 || team.gpus > 0.0) && within(used, team.cpus, team.gpus)
     }
 }
 
-fn within(used: Amount, cpus: f64, gpus: f64) -> bool {
+fn within(used: Resources, cpus: f64, gpus: f64) -> bool {
     let ok = |used: f64, limit: f64| limit <= 0.0 || used <= limit + 1e-6;
     ok(used.cpus, cpus) && ok(used.gpus, gpus)
 }
@@ -61,10 +61,10 @@
     {
         return Err(format!("unknown zone {zone}"));
     }
-    let amount = Amount::of_task(spec);
+    let amount = Resources::of_task(spec);
     let fit = types.iter().filter(|t| {
         let names = spec.types.as_ref();
-        names.is_none_or(|names| names.contains(&t.name)) && amount.fits(&Amount::of_type(t))
+        names.is_none_or(|names| names.contains(&t.name)) && amount.fits_in(&Resources::of_type(t))
     });
     let allowed = |z: &&String| spec.zone.as_ref().is_none_or(|only| only == *z);
     let open: BTreeSet<&String> = fit.flat_map(|t| t.zones.iter().filter(allowed)).collect();
@@ -81,7 +81,7 @@
         _ => f64::from(spec.tasks),
     };
     if !within(
-        Amount {
+        Resources {
             cpus: amount.cpus * n,
             gpus: amount.gpus * n,
             memory_gb: 0.0,
@@ -96,9 +96,9 @@
 
 /// The zones in which a job's tasks are, lingering ones included.
 #[derive(Debug, Clone, Default)]
-pub struct Places(Vec<(Arc<str>, u32)>);
+pub struct TasksPerZone(Vec<(Arc<str>, u32)>);
 
-impl Places {
+impl TasksPerZone {
     pub fn add(&mut self, zone: &str) {
         match self.0.iter_mut().find(|(z, _)| **z == *zone) {
             Some((_, n)) => *n += 1,
--- a/crates/scheduler/src/resources.rs
+++ b/crates/scheduler/src/resources.rs
@@ -4,7 +4,7 @@
 use std::ops::{Add, Sub};
 
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Amount {
+pub struct Resources {
     pub cpus: f64,
     pub gpus: f64,
     pub memory_gb: f64,
@@ -13,31 +13,31 @@
 /// Sums of decimal amounts miss by a little; this much is forgiven.
 const SLACK: f64 = 1e-6;
 
-impl Amount {
-    pub fn of_task(spec: &JobSpec) -> Amount {
-        Amount {
+impl Resources {
+    pub fn of_task(spec: &JobSpec) -> Resources {
+        Resources {
             cpus: spec.cpus,
             gpus: spec.gpus,
             memory_gb: spec.memory_gb,
         }
     }
 
-    pub fn of_type(kind: &MachineType) -> Amount {
-        Amount {
+    pub fn of_type(kind: &MachineType) -> Resources {
+        Resources {
             cpus: kind.cpus,
             gpus: kind.gpus,
             memory_gb: kind.memory_gb,
         }
     }
 
-    pub fn fits(&self, room: &Amount) -> bool {
+    pub fn fits_in(&self, room: &Resources) -> bool {
         self.cpus <= room.cpus + SLACK
             && self.gpus <= room.gpus + SLACK
             && self.memory_gb <= room.memory_gb + SLACK
     }
 
     /// The largest share that this takes of any resource of `whole`.
-    pub fn share_of(&self, whole: &Amount) -> f64 {
+    pub fn dominant_share_of(&self, whole: &Resources) -> f64 {
         [
             (self.cpus, whole.cpus),
             (self.gpus, whole.gpus),
@@ -50,7 +50,7 @@
     }
 
     /// The least share that is left of any resource of `whole`.
-    pub fn least_share_of(&self, whole: &Amount) -> f64 {
+    pub fn least_share_of(&self, whole: &Resources) -> f64 {
         [
             (self.cpus, whole.cpus),
             (self.gpus, whole.gpus),
@@ -63,8 +63,8 @@
     }
 
     /// How many of this fit into `room`, at most `most`.
-    pub fn times_in(&self, room: &Amount, most: u32) -> u32 {
-        let share = self.share_of(room);
+    pub fn count_in(&self, room: &Resources, most: u32) -> u32 {
+        let share = self.dominant_share_of(room);
         match share > 0.0 {
             true => ((1.0 / share + SLACK) as u32).min(most),
             false => most,
@@ -72,10 +72,10 @@
     }
 }
 
-impl Add for Amount {
-    type Output = Amount;
-    fn add(self, other: Amount) -> Amount {
-        Amount {
+impl Add for Resources {
+    type Output = Resources;
+    fn add(self, other: Resources) -> Resources {
+        Resources {
             cpus: self.cpus + other.cpus,
             gpus: self.gpus + other.gpus,
             memory_gb: self.memory_gb + other.memory_gb,
@@ -83,10 +83,10 @@
     }
 }
 
-impl Sub for Amount {
-    type Output = Amount;
-    fn sub(self, other: Amount) -> Amount {
-        Amount {
+impl Sub for Resources {
+    type Output = Resources;
+    fn sub(self, other: Resources) -> Resources {
+        Resources {
             cpus: self.cpus - other.cpus,
             gpus: self.gpus - other.gpus,
             memory_gb: self.memory_gb - other.memory_gb,
--- a/crates/scheduler/src/retry.rs
+++ b/crates/scheduler/src/retry.rs
@@ -6,25 +6,25 @@
 
 /// What is known of a job's failures.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Failures {
+pub struct FailureSummary {
     /// Different machines on which its tasks failed.
     pub machines: usize,
     /// Whether a task of it finished, or is seen running.
-    pub works: bool,
+    pub succeeded_somewhere: bool,
     /// Seconds since the latest failure.
     pub since_s: f64,
 }
 
 /// How a job with failures is planned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Retry {
+pub enum RetryDecision {
     /// As any other.
-    All,
+    Normal,
     /// One task, or one gang, where there is room now: nothing is rented for it, and no
     /// place is kept.
-    One,
+    SingleProbe,
     /// Not yet.
-    Later,
+    BackOff,
 }
 
 /// On so many machines a job may fail by chance.
@@ -33,17 +33,17 @@
 const DOUBLED: u32 = 6;
 
 /// `step_s` is the pause after a failure on one machine, halved.
-pub fn retry(failures: Failures, step_s: f64) -> Retry {
-    if failures.works || failures.machines <= 1 {
-        return Retry::All;
+pub fn retry(failures: FailureSummary, step_s: f64) -> RetryDecision {
+    if failures.succeeded_somewhere || failures.machines <= 1 {
+        return RetryDecision::Normal;
     }
     let doubled = (failures.machines as u32).min(DOUBLED);
     if failures.since_s < step_s * f64::from(1u32 << doubled) {
-        return Retry::Later;
+        return RetryDecision::BackOff;
     }
     match failures.machines > CHANCE {
-        true => Retry::One,
-        false => Retry::All,
+        true => RetryDecision::SingleProbe,
+        false => RetryDecision::Normal,
     }
 }
 
@@ -56,20 +56,32 @@
     #[test]
     fn machines_are_counted_not_tasks() {
         let retry = |machines, works, since_s| {
-            let failures = Failures {
+            let failures = FailureSummary {
                 machines,
-                works,
+                succeeded_somewhere: works,
                 since_s,
             };
             retry(failures, 1.0)
         };
-        assert_eq!(retry(1, false, 0.0), Retry::All, "a faulty machine");
-        assert_eq!(retry(2, false, 1.0), Retry::Later);
-        assert_eq!(retry(2, false, 5.0), Retry::All);
-        assert_eq!(retry(3, false, 7.0), Retry::Later);
-        assert_eq!(retry(3, false, 9.0), Retry::One);
-        assert_eq!(retry(8, false, 60.0), Retry::Later);
-        assert_eq!(retry(8, false, 65.0), Retry::One, "the pause has an end");
-        assert_eq!(retry(8, true, 0.0), Retry::All, "it works elsewhere");
+        assert_eq!(
+            retry(1, false, 0.0),
+            RetryDecision::Normal,
+            "a faulty machine"
+        );
+        assert_eq!(retry(2, false, 1.0), RetryDecision::BackOff);
+        assert_eq!(retry(2, false, 5.0), RetryDecision::Normal);
+        assert_eq!(retry(3, false, 7.0), RetryDecision::BackOff);
+        assert_eq!(retry(3, false, 9.0), RetryDecision::SingleProbe);
+        assert_eq!(retry(8, false, 60.0), RetryDecision::BackOff);
+        assert_eq!(
+            retry(8, false, 65.0),
+            RetryDecision::SingleProbe,
+            "the pause has an end"
+        );
+        assert_eq!(
+            retry(8, true, 0.0),
+            RetryDecision::Normal,
+            "it works elsewhere"
+        );
     }
 }
--- a/crates/scheduler/src/round/tests.rs
+++ b/crates/scheduler/src/round/tests.rs
@@ -27,7 +27,7 @@
     }
 }
 
-fn job(n: u32, gpus: f64, run_s: f64, spread: bool) -> Waiting {
+fn job(n: u32, gpus: f64, run_s: f64, spread: bool) -> PendingJob {
     let text = format!(
         r#"{{"uid":"j-{n}","lane":"a","crew":"red","shape":"sweep","rank":"normal",
         "pieces":40,"cpus":{gpus},"gpus":{gpus},"memoryGb":1,"kit":"i-{}","sizeGb":4,
@@ -36,10 +36,10 @@
         n % 3
     );
     let spec = Arc::new(JobSpec::parse(text.as_bytes()).unwrap());
-    Waiting {
-        amount: Amount::of_task(&spec),
+    PendingJob {
+        resources: Resources::of_task(&spec),
         estimates: vec![
-            Estimate {
+            TaskEstimate {
                 run_s,
                 fetch_s: 8.0,
                 boot_s: 30.0,
@@ -48,29 +48,29 @@
             2
         ],
         overhead_s: 1.0,
-        indexes: (0..20).collect(),
-        places: Places::default(),
-        avoid: Vec::new(),
-        bias: Vec::new(),
-        probe: false,
+        tasks: (0..20).collect(),
+        tasks_per_zone: TasksPerZone::default(),
+        avoided_machines: Vec::new(),
+        price_bias: Vec::new(),
+        single_probe: false,
         image: n % 3,
         spec,
     }
 }
 
-fn round<'a>(teams: &'a [Team], seed: &mut u64) -> Round<'a> {
+fn round<'a>(teams: &'a [Team], seed: &mut u64) -> SchedulingRound<'a> {
     let mut random = move |n: u64| {
         *seed = seed.wrapping_mul(6364136223846793005).wrapping_add(1);
         (*seed >> 33) % n
     };
     let types = types();
-    let mut slots = Slots::new(100.0, 40);
+    let mut slots = TimelineIndex::new(100.0, 40);
     for i in 0..40 {
         let group = random(2) as usize;
         let zone = random(2) as usize;
         let ready = if random(4) == 0 { 110.0 } else { 100.0 };
         let name = format!("m-{i}");
-        let mut slot = Slot::new(
+        let mut slot = MachineTimeline::new(
             name.as_str().into(),
             group,
             &types[group],
@@ -80,29 +80,29 @@
         );
         slot.up = ready == 100.0;
         for _ in 0..random(3) {
-            let amount = Amount {
+            let amount = Resources {
                 cpus: 1.0,
                 gpus: 1.0,
                 memory_gb: 1.0,
             };
-            slot.take(amount, ready, ready + 5.0 + random(60) as f64);
+            slot.reserve(amount, ready, ready + 5.0 + random(60) as f64);
         }
         if random(2) == 0 {
-            slot.fetches(1, 100.0 + random(20) as f64);
+            slot.record_fetch(1, 100.0 + random(20) as f64);
         }
         slots.push(slot);
     }
-    Round {
-        now: 100.0,
-        clock: 100.0,
-        rent_from: slots.len(),
+    SchedulingRound {
+        planned_time: 100.0,
+        current_time: 100.0,
+        first_rental: slots.len(),
         zones: vec!["east".into(), "west".into()],
-        slots,
-        offers: Vec::new(),
+        machines: slots,
+        rentable: Vec::new(),
         teams,
-        usage: Usage::default(),
+        usage: QuotaUsage::default(),
         tie_s: 3.0,
-        looked: Cell::default(),
+        evaluations: Cell::default(),
     }
 }
 
@@ -113,24 +113,25 @@
     let teams = [unlimited()];
     let mut full = round(&teams, &mut 7);
     let kinds = types();
-    let mut slots = Slots::new(100.0, 2000);
+    let mut slots = TimelineIndex::new(100.0, 2000);
     for i in 0..2000 {
         let name = format!("m-{i:04}");
-        let mut slot = Slot::new(name.as_str().into(), i % 2, &kinds[i % 2], 0, false, 100.0);
+        let mut slot =
+            MachineTimeline::new(name.as_str().into(), i % 2, &kinds[i % 2], 0, false, 100.0);
         slot.up = true;
-        let whole = slot.whole;
-        slot.take(whole, 100.0, 110.0 + i as f64);
+        let whole = slot.capacity;
+        slot.reserve(whole, 100.0, 110.0 + i as f64);
         slots.push(slot);
     }
-    full.rent_from = slots.len();
-    full.slots = slots;
-    let one = Waiting {
-        indexes: vec![0],
+    full.first_rental = slots.len();
+    full.machines = slots;
+    let one = PendingJob {
+        tasks: vec![0],
         ..job(1, 1.0, 60.0, false)
     };
-    let decisions = full.run(std::slice::from_ref(&one));
-    assert_eq!(decisions.waits.len(), 1, "its machine is busy");
-    let looked = full.worked_out();
+    let decisions = full.schedule(std::slice::from_ref(&one));
+    assert_eq!(decisions.pending_reasons.len(), 1, "its machine is busy");
+    let looked = full.take_evaluations();
     assert!((1..100).contains(&looked), "{looked} of 2000 machines");
 }
 
@@ -141,19 +142,19 @@
     let kinds = types();
     for (shape, probe) in [("gang", true), ("gang", false), ("sweep", true)] {
         let mut round = round(&teams, &mut 3);
-        round.slots = Slots::new(100.0, 1);
-        let mut slot = Slot::new("m".into(), 0, &kinds[0], 0, false, 100.0);
+        round.machines = TimelineIndex::new(100.0, 1);
+        let mut slot = MachineTimeline::new("m".into(), 0, &kinds[0], 0, false, 100.0);
         slot.up = true;
-        let whole = slot.whole;
-        slot.take(whole, 100.0, 120.0);
-        round.slots.push(slot);
-        round.rent_from = 1;
-        let offer = Slot::new("".into(), 0, &kinds[0], 0, false, 130.0);
-        round.offers = vec![Offer {
-            slot: offer,
-            ours: 0,
-            left: 9,
-            taken: 0,
+        let whole = slot.capacity;
+        slot.reserve(whole, 100.0, 120.0);
+        round.machines.push(slot);
+        round.first_rental = 1;
+        let offer = MachineTimeline::new("".into(), 0, &kinds[0], 0, false, 130.0);
+        round.rentable = vec![RentableCapacity {
+            machine: offer,
+            owned_in_zone: 0,
+            available: 9,
+            used: 0,
         }];
         let mut one = job(1, 1.0, 60.0, false);
         let mut spec = (*one.spec).clone();
@@ -162,12 +163,12 @@
         } else {
             Shape::Array
         };
-        (one.spec, one.probe, one.indexes) = (Arc::new(spec), probe, vec![0, 1]);
-        let decisions = round.run(std::slice::from_ref(&one));
-        assert!(decisions.placed.is_empty() && decisions.waits.len() == 1);
-        let kept = round.slots.iter().map(|s| s.tasks).sum::<usize>();
+        (one.spec, one.single_probe, one.tasks) = (Arc::new(spec), probe, vec![0, 1]);
+        let decisions = round.schedule(std::slice::from_ref(&one));
+        assert!(decisions.placements.is_empty() && decisions.pending_reasons.len() == 1);
+        let kept = round.machines.iter().map(|s| s.tasks).sum::<usize>();
         assert_eq!(kept, if probe { 1 } else { 3 }, "{shape}");
-        assert_eq!(round.slots.len(), 1);
+        assert_eq!(round.machines.len(), 1);
     }
 }
 
@@ -180,32 +181,35 @@
     let kinds = types();
     for (boots_s, run_s) in [(30.0, 60.0), (300.0, 20.0)] {
         let mut round = round(&teams, &mut 3);
-        round.slots = Slots::new(100.0, 4);
+        round.machines = TimelineIndex::new(100.0, 4);
         for name in ["m-1", "m-2"] {
-            let mut slot = Slot::new(name.into(), 0, &kinds[0], 0, false, 100.0);
+            let mut slot = MachineTimeline::new(name.into(), 0, &kinds[0], 0, false, 100.0);
             slot.up = true;
-            round.slots.push(slot);
+            round.machines.push(slot);
         }
-        round.rent_from = 2;
-        round.offers = vec![Offer {
-            slot: Slot::new("".into(), 0, &kinds[0], 0, false, 100.0 + boots_s),
-            ours: 2,
-            left: 9,
-            taken: 0,
+        round.first_rental = 2;
+        round.rentable = vec![RentableCapacity {
+            machine: MachineTimeline::new("".into(), 0, &kinds[0], 0, false, 100.0 + boots_s),
+            owned_in_zone: 2,
+            available: 9,
+            used: 0,
         }];
         let mut gang = job(1, 2.0, run_s, false);
         let mut spec = (*gang.spec).clone();
         (spec.shape, spec.tasks) = (Shape::Gang, 3);
-        (gang.spec, gang.indexes) = (Arc::new(spec), vec![0, 1, 2]);
-        let decisions = round.run(std::slice::from_ref(&gang));
-        assert!(decisions.placed.is_empty() && decisions.waits.len() == 1);
-        assert_eq!(round.slots.len(), 3, "boots in {boots_s} s");
-        let each = round.slots.iter().map(|s| s.tasks);
+        (gang.spec, gang.tasks) = (Arc::new(spec), vec![0, 1, 2]);
+        let decisions = round.schedule(std::slice::from_ref(&gang));
+        assert!(decisions.placements.is_empty() && decisions.pending_reasons.len() == 1);
+        assert_eq!(round.machines.len(), 3, "boots in {boots_s} s");
+        let each = round.machines.iter().map(|s| s.tasks);
         assert_eq!(each.collect::<Vec<_>>(), [1, 1, 1]);
         // The places are kept until it has run, and no longer.
         let after = 100.0 + boots_s + run_s + 60.0;
-        let whole = round.slots.iter().all(|s| s.free_at(after) == s.whole);
-        assert!(whole, "{:?}", round.slots[0].free_at(after));
+        let whole = round
+            .machines
+            .iter()
+            .all(|s| s.free_at(after) == s.capacity);
+        assert!(whole, "{:?}", round.machines[0].free_at(after));
     }
 }
 
@@ -225,18 +229,18 @@
             let mut slow = Vec::new();
             let mut one = job.clone();
             for _ in 0..20 {
-                let all = 0..plain.slots.len();
-                let open = |i: &usize| one.open(&plain.zones[plain.slots[*i].zone]);
-                let all = all.filter(open).filter(|i| one.allows(&plain.slots[*i]));
+                let all = 0..plain.machines.len();
+                let open = |i: &usize| one.open(&plain.zones[plain.machines[*i].zone]);
+                let all = all.filter(open).filter(|i| one.allows(&plain.machines[*i]));
                 let all = all.filter_map(|i| plain.candidate(i, &one, false));
-                let Some(Candidate {
+                let Some(MachineCandidate {
                     slot: i, finish, ..
                 }) = all.min()
                 else {
                     break;
                 };
-                plain.slots.place(i, &one, &finish);
-                one.places.add(&plain.zones[plain.slots[i].zone]);
+                plain.machines.place(i, &one, &finish);
+                one.tasks_per_zone.add(&plain.zones[plain.machines[i].zone]);
                 slow.push((i, finish));
             }
             assert_eq!(fast, slow, "trace {trace}, job {n}");
--- a/crates/scheduler/src/shards.rs
+++ b/crates/scheduler/src/shards.rs
@@ -7,35 +7,35 @@
 
 /// A controller that lives.
 #[derive(Debug, Clone)]
-pub struct Member<'a> {
+pub struct OwnerCandidate<'a> {
     pub name: &'a str,
     pub zone: &'a str,
     /// It has been here for a while: one that has just come back may go again.
-    pub settled: bool,
+    pub eligible_for_moves: bool,
     /// What it does beside holding blocks, in machines held.
-    pub extra: usize,
+    pub extra_load: usize,
     /// Neither suspect nor too slow: who is not gets nothing new while others are.
-    pub able: bool,
+    pub trusted: bool,
     /// Too slow for what it has: it leaves its blocks, one at a time, to others who have
     /// room.
     pub slow: bool,
-    pub room: bool,
+    pub has_headroom: bool,
 }
 
 #[derive(Debug, Clone)]
-pub struct Block<'a> {
+pub struct ShardStatus<'a> {
     pub zone: &'a str,
     pub machines: usize,
     /// Its holder, by its place among the members; none if that is gone.
-    pub holder: Option<usize>,
+    pub owner: Option<usize>,
     /// Some of its machines are silent: a new holder would have to wait anew for
     /// their leases to run out, so only need moves it.
-    pub quiet: bool,
+    pub has_unreachable: bool,
     /// Its holder hears nothing of most of its machines, for the first time while
     /// their leases last: another may reach them.
-    pub cut: bool,
+    pub owner_cut_off: bool,
     /// Members at whom its machines turned up, by their places.
-    pub reached: Vec<usize>,
+    pub reachable_from: Vec<usize>,
 }
 
 /// A block goes to its own zone if that leaves a controller at most so many times
@@ -45,31 +45,32 @@
 
 /// Blocks to lend, by their places, and to whom: those that nobody holds or whose
 /// holder is cut off from them, and if `more` one that is better off elsewhere.
-pub fn lend(members: &[Member], blocks: &[Block], more: bool) -> Vec<(usize, usize)> {
+pub fn lend(members: &[OwnerCandidate], blocks: &[ShardStatus], more: bool) -> Vec<(usize, usize)> {
     if members.is_empty() {
         return Vec::new();
     }
-    let mut load: Vec<usize> = members.iter().map(|m| m.extra).collect();
+    let mut load: Vec<usize> = members.iter().map(|m| m.extra_load).collect();
     for block in blocks {
-        if let Some(holder) = block.holder {
+        if let Some(holder) = block.owner {
             load[holder] += block.machines;
         }
     }
     let all: usize = blocks.iter().map(|b| b.machines).sum();
-    let extra: usize = members.iter().map(|m| m.extra).sum();
+    let extra: usize = members.iter().map(|m| m.extra_load).sum();
     let mean = (all + extra) as f64 / members.len() as f64;
     let mut out = Vec::new();
-    let any_able = members.iter().any(|m| m.able);
-    let able = |m: usize| members[m].able || !any_able;
+    let any_able = members.iter().any(|m| m.trusted);
+    let able = |m: usize| members[m].trusted || !any_able;
     // Large ones first: small ones fill the gaps.
     let mut order: Vec<usize> = (0..blocks.len()).collect();
     order.sort_by_key(|i| (std::cmp::Reverse(blocks[*i].machines), *i));
     for &i in &order {
         let block = &blocks[i];
-        let to = match block.holder {
+        let to = match block.owner {
             // Those who are known to reach it first.
-            Some(holder) if block.cut => {
-                let reaches = |m: usize| m != holder && able(m) && block.reached.contains(&m);
+            Some(holder) if block.owner_cut_off => {
+                let reaches =
+                    |m: usize| m != holder && able(m) && block.reachable_from.contains(&m);
                 least(&load, reaches).or_else(|| least(&load, |m| m != holder && able(m)))
             }
             Some(_) => continue,
@@ -88,7 +89,7 @@
             }
         };
         let Some(to) = to else { continue };
-        if let Some(holder) = block.holder {
+        if let Some(holder) = block.owner {
             load[holder] -= block.machines;
         }
         load[to] += block.machines;
@@ -108,18 +109,18 @@
 /// One block that is better off elsewhere: away from a controller with too much,
 /// or back to its own zone where there is room.
 fn better(
-    members: &[Member],
-    blocks: &[Block],
+    members: &[OwnerCandidate],
+    blocks: &[ShardStatus],
     order: &[usize],
     load: &[usize],
     mean: f64,
 ) -> Option<(usize, usize)> {
-    let settled = |m: usize| members[m].settled && members[m].able;
+    let settled = |m: usize| members[m].eligible_for_moves && members[m].trusted;
     // Away from one that is too slow, to whoever has least, whatever is silent: what it
     // can't answer seems silent to it.
     let slow = order.iter().find_map(|&i| {
-        let from = blocks[i].holder.filter(|m| members[*m].slow)?;
-        let to = least(load, |m| m != from && settled(m) && members[m].room)?;
+        let from = blocks[i].owner.filter(|m| members[*m].slow)?;
+        let to = least(load, |m| m != from && settled(m) && members[m].has_headroom)?;
         (blocks[i].machines > 0).then_some((i, to))
     });
     if slow.is_some() {
@@ -128,7 +129,8 @@
     let mut best: Option<(usize, usize, usize)> = None;
     for &i in order {
         let block = &blocks[i];
-        let (Some(from), false) = (block.holder, block.quiet || block.machines == 0) else {
+        let (Some(from), false) = (block.owner, block.has_unreachable || block.machines == 0)
+        else {
             continue;
         };
         if load[from] as f64 <= OVER * mean {
@@ -153,14 +155,14 @@
     }
     order.iter().find_map(|&i| {
         let block = &blocks[i];
-        let from = block.holder?;
-        if members[from].zone == block.zone || block.quiet {
+        let from = block.owner?;
+        if members[from].zone == block.zone || block.has_unreachable {
             return None;
         }
         let at_home = |m: usize| members[m].zone == block.zone && settled(m);
         let to = least(load, at_home)?;
         let after = (load[to] + block.machines) as f64;
-        (after <= HOME * mean || load[to] <= members[to].extra).then_some((i, to))
+        (after <= HOME * mean || load[to] <= members[to].extra_load).then_some((i, to))
     })
 }
 
@@ -170,46 +172,46 @@
 
     const ZONES: [&str; 3] = ["east", "west", "north"];
 
-    fn member(name: &'static str, zone: usize) -> Member<'static> {
-        Member {
+    fn member(name: &'static str, zone: usize) -> OwnerCandidate<'static> {
+        OwnerCandidate {
             name,
             zone: ZONES[zone],
-            settled: true,
-            extra: 0,
-            able: true,
+            eligible_for_moves: true,
+            extra_load: 0,
+            trusted: true,
             slow: false,
-            room: true,
+            has_headroom: true,
         }
     }
 
-    fn block(zone: usize, machines: usize, holder: Option<usize>) -> Block<'static> {
-        Block {
+    fn block(zone: usize, machines: usize, holder: Option<usize>) -> ShardStatus<'static> {
+        ShardStatus {
             zone: ZONES[zone],
             machines,
-            holder,
-            quiet: false,
-            cut: false,
-            reached: Vec::new(),
+            owner: holder,
+            has_unreachable: false,
+            owner_cut_off: false,
+            reachable_from: Vec::new(),
         }
     }
 
     /// Lends until nothing changes; how many moves that took after the first.
-    fn settle(members: &[Member], blocks: &mut [Block]) -> usize {
+    fn settle(members: &[OwnerCandidate], blocks: &mut [ShardStatus]) -> usize {
         for moves in 0..100 {
             let lent = lend(members, blocks, true);
             if lent.is_empty() {
                 return moves;
             }
             for (i, to) in lent {
-                blocks[i].holder = Some(to);
+                blocks[i].owner = Some(to);
             }
         }
         panic!("it never settles: {blocks:?}");
     }
 
-    fn loads(members: &[Member], blocks: &[Block]) -> Vec<usize> {
-        let of = |m: usize| blocks.iter().filter(move |b| b.holder == Some(m));
-        let sum = |m: usize| of(m).map(|b| b.machines).sum::<usize>() + members[m].extra;
+    fn loads(members: &[OwnerCandidate], blocks: &[ShardStatus]) -> Vec<usize> {
+        let of = |m: usize| blocks.iter().filter(move |b| b.owner == Some(m));
+        let sum = |m: usize| of(m).map(|b| b.machines).sum::<usize>() + members[m].extra_load;
         (0..members.len()).map(sum).collect()
     }
 
@@ -218,7 +220,7 @@
     #[test]
     fn seven_controllers_in_three_zones_share_the_load() {
         let mut members: Vec<_> = (0..7).map(|n| member("m", n % 3)).collect();
-        members[4].extra = 200;
+        members[4].extra_load = 200;
         let zones = [596, 1312, 2267];
         let mut blocks = Vec::new();
         for (zone, all) in zones.into_iter().enumerate() {
@@ -245,7 +247,7 @@
         assert_eq!(settle(&members, &mut blocks), 1);
         let home = blocks
             .iter()
-            .all(|b| members[b.holder.unwrap()].zone == b.zone);
+            .all(|b| members[b.owner.unwrap()].zone == b.zone);
         assert!(home, "{blocks:?}");
     }
 
@@ -257,17 +259,17 @@
             block(1, 100, Some(1)),
             block(2, 100, Some(2)),
         ];
-        members[0].settled = false;
+        members[0].eligible_for_moves = false;
         assert!(lend(&members, &blocks, true).is_empty());
-        members[0].settled = true;
-        (blocks[0].quiet, blocks[1].quiet) = (true, true);
+        members[0].eligible_for_moves = true;
+        (blocks[0].has_unreachable, blocks[1].has_unreachable) = (true, true);
         assert!(lend(&members, &blocks, true).is_empty());
-        (blocks[0].quiet, blocks[1].quiet) = (false, false);
+        (blocks[0].has_unreachable, blocks[1].has_unreachable) = (false, false);
         assert!(lend(&members, &blocks, false).is_empty(), "not so soon");
         assert_eq!(lend(&members, &blocks, true), [(0, 0)]);
         // Need goes before order: to whoever has least, wherever it is.
-        blocks[2].cut = true;
-        members[0].settled = false;
+        blocks[2].owner_cut_off = true;
+        members[0].eligible_for_moves = false;
         assert_eq!(lend(&members, &blocks, true), [(2, 0)]);
     }
 
@@ -276,38 +278,38 @@
     #[test]
     fn who_is_slow_leaves_its_blocks_and_who_is_suspect_gets_none() {
         let mut members: Vec<_> = (0..3).map(|n| member("m", n)).collect();
-        (members[1].able, members[1].slow) = (false, true);
+        (members[1].trusted, members[1].slow) = (false, true);
         let mut blocks = vec![
             block(0, 100, Some(0)),
             block(1, 60, Some(1)),
             block(1, 50, Some(1)),
             block(2, 100, None),
         ];
-        blocks[1].quiet = true;
+        blocks[1].has_unreachable = true;
         // Who could have it at home is suspect; the other would have too much.
-        members[2].able = false;
+        members[2].trusted = false;
         assert_eq!(lend(&members, &blocks, true), [(3, 2)]);
         blocks[0].machines = 0;
         assert_eq!(lend(&members, &blocks, true), [(3, 0)]);
-        (blocks[0].machines, members[2].able) = (100, true);
-        blocks[3].holder = Some(2);
+        (blocks[0].machines, members[2].trusted) = (100, true);
+        blocks[3].owner = Some(2);
         assert_eq!(settle(&members, &mut blocks), 2);
-        assert!(blocks.iter().all(|b| b.holder != Some(1)), "{blocks:?}");
+        assert!(blocks.iter().all(|b| b.owner != Some(1)), "{blocks:?}");
         // Not to one that has no room.
-        blocks[1].holder = Some(1);
-        members.iter_mut().for_each(|m| m.room = false);
+        blocks[1].owner = Some(1);
+        members.iter_mut().for_each(|m| m.has_headroom = false);
         assert_eq!(lend(&members, &blocks, true), []);
-        members.iter_mut().for_each(|m| m.room = true);
+        members.iter_mut().for_each(|m| m.has_headroom = true);
         // If all are, somebody must.
-        members.iter_mut().for_each(|m| m.able = false);
-        blocks[3].holder = None;
+        members.iter_mut().for_each(|m| m.trusted = false);
+        blocks[3].owner = None;
         assert_eq!(lend(&members, &blocks, true).len(), 1);
         // A block that is cut off goes to one who is known to reach it.
         members
             .iter_mut()
-            .for_each(|m| (m.able, m.slow) = (true, false));
+            .for_each(|m| (m.trusted, m.slow) = (true, false));
         blocks[3] = block(2, 100, Some(2));
-        (blocks[3].cut, blocks[3].reached) = (true, vec![0]);
+        (blocks[3].owner_cut_off, blocks[3].reachable_from) = (true, vec![0]);
         assert_eq!(lend(&members, &blocks, true), [(3, 0)]);
     }
 
@@ -316,7 +318,7 @@
     #[test]
     fn a_zone_with_more_than_its_share_lends_some_away() {
         let mut members: Vec<_> = (0..3).map(|n| member("m", n)).collect();
-        members[2].extra = 280;
+        members[2].extra_load = 280;
         let mut blocks = vec![
             block(0, 238, None),
             block(1, 256, None),
--- a/crates/scheduler/src/timeline.rs
+++ b/crates/scheduler/src/timeline.rs
@@ -1,26 +1,26 @@
 //! A machine as the planner sees it: what is free on it from when on.
 
-use crate::Amount;
-use crate::round::{Estimate, Waiting};
+use crate::Resources;
+use crate::round::{PendingJob, TaskEstimate};
 use rushwalk_protocol::cloud::MachineType;
 use std::sync::Arc;
 
 #[derive(Debug, Clone)]
-pub struct Slot {
+pub struct MachineTimeline {
     pub name: Arc<str>,
     /// Its type, by its place among the round's types: the paper's group.
     pub group: usize,
     /// Its zone, by its place among the round's.
     pub zone: usize,
-    pub block: Arc<str>,
+    pub shard: Arc<str>,
     pub spot: bool,
     /// When it can take tasks: in the past for a machine that is up.
-    pub ready: f64,
+    pub ready_s: f64,
     /// False for a machine that boots, or is only about to be rented.
     pub up: bool,
     /// It takes nothing more in this plan.
     pub closed: bool,
-    pub whole: Amount,
+    pub capacity: Resources,
     /// Images it has or fetches, and from when on each is there. Treating one
     /// under way as there made tasks wait for machines that still booted.
     pub images: Vec<(ImageId, f64)>,
@@ -28,11 +28,11 @@
     /// Miss of the prediction for its latest finished task.
     pub pending_error: f64,
     /// How many times longer than its group it takes, as far as is known.
-    pub slow: f64,
+    pub slowdown: f64,
     /// Tasks on it, planned ones included.
     pub tasks: usize,
     /// What is free from each time on; times rise, the first is the ready time.
-    free: Vec<(f64, Amount)>,
+    free: Vec<(f64, Resources)>,
 }
 
 /// An image by its number: names are compared once, not for each machine.
@@ -40,11 +40,11 @@
 
 /// When a task would start and finish on a machine.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Finish {
-    pub start: f64,
+pub struct PredictedFinish {
+    pub start_s: f64,
     /// With the image there.
-    pub runs: f64,
-    pub finish: f64,
+    pub running_s: f64,
+    pub finish_s: f64,
 }
 
 /// By how much of a boot a predicted wait for other tasks' ends may count more.
@@ -55,7 +55,13 @@
 /// others' ends is not known like a fetch: ends that come early help little, late
 /// ones add up. So it counts twice, up to what another machine would boot: a long
 /// queue is worked off meanwhile.
-pub fn doubted(start: f64, now: f64, pending_error: f64, times: &Estimate, job: &Waiting) -> f64 {
+pub fn doubted(
+    start: f64,
+    now: f64,
+    pending_error: f64,
+    times: &TaskEstimate,
+    job: &PendingJob,
+) -> f64 {
     if start <= now {
         return start;
     }
@@ -64,7 +70,7 @@
     now + (wait + doubt + pending_error).max(job.overhead_s)
 }
 
-impl Slot {
+impl MachineTimeline {
     pub fn new(
         name: Arc<str>,
         group: usize,
@@ -72,37 +78,37 @@
         zone: usize,
         spot: bool,
         ready: f64,
-    ) -> Slot {
-        Slot {
-            block: name.clone(),
+    ) -> MachineTimeline {
+        MachineTimeline {
+            shard: name.clone(),
             name,
             group,
             zone,
             spot,
-            ready,
+            ready_s: ready,
             up: false,
             closed: false,
-            whole: Amount::of_type(kind),
+            capacity: Resources::of_type(kind),
             images: Vec::new(),
             price: match spot {
                 true => kind.spot_price.unwrap_or(kind.price),
                 false => kind.price,
             },
             pending_error: 0.0,
-            slow: 1.0,
+            slowdown: 1.0,
             tasks: 0,
-            free: vec![(ready, Amount::of_type(kind))],
+            free: vec![(ready, Resources::of_type(kind))],
         }
     }
 
-    pub fn free_at(&self, time: f64) -> Amount {
+    pub fn free_at(&self, time: f64) -> Resources {
         let step = self.free.iter().rev().find(|(from, _)| *from <= time);
         step.or(self.free.first())
-            .map_or(Amount::default(), |s| s.1)
+            .map_or(Resources::default(), |s| s.1)
     }
 
     /// Takes `amount` from `start` until `finish`.
-    pub fn take(&mut self, amount: Amount, start: f64, finish: f64) {
+    pub fn reserve(&mut self, amount: Resources, start: f64, finish: f64) {
         let start = start.max(self.free[0].0);
         self.split(start);
         if finish.is_finite() {
@@ -125,10 +131,10 @@
     }
 
     /// A time before which `amount` is not free: cheaper than `earliest`.
-    pub fn not_before(&self, amount: &Amount, now: f64) -> Option<f64> {
+    pub fn not_before(&self, amount: &Resources, now: f64) -> Option<f64> {
         // Steps that are past are few: a plan begins at the present.
         let (from, free, next) = self.step(now);
-        match amount.fits(&free) {
+        match amount.fits_in(&free) {
             true => Some(from.max(now)),
             false => next.is_finite().then_some(next),
         }
@@ -136,7 +142,7 @@
 
     /// What is free at a time, or as soon as it is ready: since when, and until
     /// when.
-    pub fn step(&self, time: f64) -> (f64, Amount, f64) {
+    pub fn step(&self, time: f64) -> (f64, Resources, f64) {
         let after = self.free.iter().position(|(from, _)| *from > time);
         let at = after.unwrap_or(self.free.len()).saturating_sub(1);
         let next = self.free.get(at + 1).map_or(f64::INFINITY, |s| s.0);
@@ -145,14 +151,14 @@
     }
 
     /// The earliest time from which `amount` is free for `seconds`.
-    fn earliest(&self, amount: &Amount, now: f64, seconds: f64) -> Option<f64> {
+    fn earliest(&self, amount: &Resources, now: f64, seconds: f64) -> Option<f64> {
         let mut start: Option<f64> = None;
         for (i, (from, free)) in self.free.iter().enumerate() {
             let until = self.free.get(i + 1).map_or(f64::INFINITY, |s| s.0);
             if until <= now {
                 continue;
             }
-            if !amount.fits(free) {
+            if !amount.fits_in(free) {
                 start = None;
                 continue;
             }
@@ -165,17 +171,17 @@
     }
 
     /// Overhead, fetch, pending time with its error, and run time (§4.3.5-6).
-    pub fn finish(&self, job: &Waiting, now: f64) -> Option<Finish> {
-        if !job.amount.fits(&self.whole) {
+    pub fn predict(&self, job: &PendingJob, now: f64) -> Option<PredictedFinish> {
+        if !job.resources.fits_in(&self.capacity) {
             return None;
         }
         let times = job.estimates.get(self.group)?;
-        let run = times.run_s * self.slow;
-        let from = now.max(self.ready);
+        let run = times.run_s * self.slowdown;
+        let from = now.max(self.ready_s);
         let there = self.image(job.image);
         let image = there.unwrap_or_else(|| self.fetched(times.fetch_s, from));
         let fetch = (image - from).max(0.0);
-        let mut start = self.earliest(&job.amount, now, job.overhead_s + fetch + run)?;
+        let mut start = self.earliest(&job.resources, now, job.overhead_s + fetch + run)?;
         if self.up {
             start = doubted(start, now, self.pending_error, times, job);
         }
@@ -185,10 +191,10 @@
             Some(_) => (start + job.overhead_s).max(image),
             None => start + job.overhead_s + fetch,
         };
-        Some(Finish {
-            start,
-            runs,
-            finish: runs + run,
+        Some(PredictedFinish {
+            start_s: start,
+            running_s: runs,
+            finish_s: runs + run,
         })
     }
 
@@ -204,13 +210,13 @@
     }
 
     /// Plans a task on this machine, with the fetch of its image.
-    pub fn place(&mut self, job: &Waiting, finish: &Finish) {
-        self.take(job.amount, finish.start, finish.finish);
-        self.fetches(job.image, finish.runs);
+    pub fn place(&mut self, job: &PendingJob, finish: &PredictedFinish) {
+        self.reserve(job.resources, finish.start_s, finish.finish_s);
+        self.record_fetch(job.image, finish.running_s);
     }
 
     /// An image is or will be there from a time on.
-    pub fn fetches(&mut self, image: ImageId, at: f64) {
+    pub fn record_fetch(&mut self, image: ImageId, at: f64) {
         if self.image(image).is_none() {
             self.images.push((image, at));
         }
--- a/crates/scheduler/src/timeline_index.rs
+++ b/crates/scheduler/src/timeline_index.rs
@@ -1,41 +1,41 @@
 //! All machines of a plan, with what is needed to see at a glance which of them
 //! can't be the best for a task.
 
-use crate::Amount;
-use crate::round::Waiting;
-use crate::timeline::{Finish, ImageId, Slot};
+use crate::Resources;
+use crate::round::PendingJob;
+use crate::timeline::{ImageId, MachineTimeline, PredictedFinish};
 use std::ops::Deref;
 
 /// What a bound on a machine's finish is found from, in one place: most machines
 /// are only glanced at. Made anew whenever the machine's plan changes.
 #[derive(Debug, Clone)]
-struct Glance {
+struct TimelineSummary {
     slot: u32,
     closed: bool,
     empty: bool,
     /// What is free from a time on until the next change.
     from: f64,
     next: f64,
-    free: Amount,
+    free: Resources,
     slow: f64,
     pending_error: f64,
 }
 
 /// Machines that a job either may use or not, all of them.
 #[derive(Debug, Clone)]
-struct Class {
+struct MachineClass {
     group: usize,
     zone: usize,
     spot: bool,
     up: bool,
-    glances: Vec<Glance>,
+    glances: Vec<TimelineSummary>,
 }
 
 /// The machines of a round, in their order.
 #[derive(Debug, Clone, Default)]
-pub struct Slots {
-    slots: Vec<Slot>,
-    classes: Vec<Class>,
+pub struct TimelineIndex {
+    slots: Vec<MachineTimeline>,
+    classes: Vec<MachineClass>,
     /// Where each machine's glance is: its class, and its place there.
     at: Vec<(u32, u32)>,
     /// Machines with an image, a bit each. A bit that is set without need only
@@ -44,26 +44,26 @@
     clock: f64,
 }
 
-impl Deref for Slots {
-    type Target = [Slot];
+impl Deref for TimelineIndex {
+    type Target = [MachineTimeline];
 
-    fn deref(&self) -> &[Slot] {
+    fn deref(&self) -> &[MachineTimeline] {
         &self.slots
     }
 }
 
 /// What a machine could offer at best.
-pub struct Bound {
+pub struct FinishBound {
     pub slot: usize,
     pub spot: bool,
     pub empty: bool,
-    pub finish: Finish,
+    pub finish: PredictedFinish,
 }
 
-impl Slots {
+impl TimelineIndex {
     /// Room for machines as they are at a time.
-    pub fn new(clock: f64, room: usize) -> Slots {
-        Slots {
+    pub fn new(clock: f64, room: usize) -> TimelineIndex {
+        TimelineIndex {
             slots: Vec::with_capacity(room),
             classes: Vec::new(),
             at: Vec::with_capacity(room),
@@ -72,17 +72,17 @@
         }
     }
 
-    pub fn push(&mut self, slot: Slot) {
+    pub fn push(&mut self, slot: MachineTimeline) {
         let i = self.slots.len();
         for (image, _) in &slot.images {
             self.has(i, *image);
         }
-        let same = |c: &Class| {
+        let same = |c: &MachineClass| {
             (c.group, c.zone, c.spot, c.up) == (slot.group, slot.zone, slot.spot, slot.up)
         };
         let class = self.classes.iter().position(same);
         let class = class.unwrap_or_else(|| {
-            self.classes.push(Class {
+            self.classes.push(MachineClass {
                 group: slot.group,
                 zone: slot.zone,
                 spot: slot.spot,
@@ -103,14 +103,14 @@
         glances[at as usize] = glance(i, &self.slots[i], self.clock);
     }
 
-    pub fn place(&mut self, i: usize, job: &Waiting, finish: &Finish) {
+    pub fn place(&mut self, i: usize, job: &PendingJob, finish: &PredictedFinish) {
         self.slots[i].place(job, finish);
         self.has(i, job.image);
         self.look(i);
     }
 
     /// Puts a machine back as it was.
-    pub fn put(&mut self, i: usize, slot: Slot) {
+    pub fn restore(&mut self, i: usize, slot: MachineTimeline) {
         self.slots[i] = slot;
         self.look(i);
     }
@@ -124,7 +124,7 @@
     }
 
     /// It takes nothing more in this plan, or does so again.
-    pub fn close(&mut self, i: usize, closed: bool) {
+    pub fn set_closed(&mut self, i: usize, closed: bool) {
         self.slots[i].closed = closed;
         self.look(i);
     }
@@ -146,11 +146,11 @@
     /// may start at once.
     pub fn bounds(
         &self,
-        job: &Waiting,
+        job: &PendingJob,
         open: &[bool],
         now: f64,
         free_now: bool,
-        mut each: impl FnMut(Bound),
+        mut each: impl FnMut(FinishBound),
     ) {
         let with = self.with.get(job.image as usize);
         let with = with.map_or(&[][..], |bits| bits);
@@ -169,9 +169,9 @@
                 let i = glance.slot as usize;
                 let start = if now >= glance.next {
                     // A plan for later: the glance says nothing of then.
-                    let start = self.slots[i].not_before(&job.amount, now);
+                    let start = self.slots[i].not_before(&job.resources, now);
                     start.unwrap_or(f64::INFINITY)
-                } else if job.amount.fits(&glance.free) {
+                } else if job.resources.fits_in(&glance.free) {
                     glance.from.max(now)
                 } else {
                     glance.next
@@ -179,7 +179,9 @@
                 if start == f64::INFINITY || (free_now && start > now) {
                     continue;
                 }
-                if !job.avoid.is_empty() && job.avoid.contains(&self.slots[i].name) {
+                if !job.avoided_machines.is_empty()
+                    && job.avoided_machines.contains(&self.slots[i].name)
+                {
                     continue;
                 }
                 let start = match class.up {
@@ -189,14 +191,14 @@
                 let there = with.get(i / 64).is_some_and(|b| b & (1 << (i % 64)) != 0);
                 let fetch = if there { 0.0 } else { times.fetch_s };
                 let runs = start + job.overhead_s + fetch;
-                each(Bound {
+                each(FinishBound {
                     slot: i,
                     spot: class.spot,
                     empty: glance.empty,
-                    finish: Finish {
-                        start,
-                        runs,
-                        finish: runs + times.run_s * glance.slow,
+                    finish: PredictedFinish {
+                        start_s: start,
+                        running_s: runs,
+                        finish_s: runs + times.run_s * glance.slow,
                     },
                 });
             }
@@ -204,16 +206,16 @@
     }
 }
 
-fn glance(i: usize, slot: &Slot, clock: f64) -> Glance {
+fn glance(i: usize, slot: &MachineTimeline, clock: f64) -> TimelineSummary {
     let (from, free, next) = slot.step(clock);
-    Glance {
+    TimelineSummary {
         slot: i as u32,
         closed: slot.closed,
         empty: slot.tasks == 0,
         from,
         next,
         free,
-        slow: slot.slow,
+        slow: slot.slowdown,
         pending_error: slot.pending_error,
     }
 }
--- a/crates/simulator/src/cluster.rs
+++ b/crates/simulator/src/cluster.rs
@@ -2,11 +2,11 @@
 
 use poem::endpoint::{BoxEndpoint, EndpointExt};
 use poem::{Endpoint, Response};
-use rushwalk::node::{Node, start, virtual_time};
+use rushwalk::node::{Controller, start, virtual_time};
 use rushwalk::{api, mesh};
-use rushwalk_clients::Http;
-use rushwalk_protocol::jobs::{JobSpec, JobState, Stance};
-use rushwalk_protocol::settings::{Peer, Settings, Team};
+use rushwalk_clients::HttpClient;
+use rushwalk_protocol::jobs::{JobSpec, JobStatus, StatusPhase};
+use rushwalk_protocol::settings::{PeerSettings, Settings, Team};
 use rushwalk_testkit::platform::{Door, Link};
 use rushwalk_testkit::{Fault, Limit, Request, World, ZONES};
 use serde_json::{Value, json};
@@ -23,7 +23,7 @@
 pub struct Process {
     pub loops: Vec<JoinHandle<()>>,
     alive: Arc<AtomicBool>,
-    pub node: Arc<Node>,
+    pub node: Arc<Controller>,
 }
 
 /// What a site is made with.
@@ -97,7 +97,7 @@
     what: Request,
     uid: &str,
     body: &str,
-) -> Option<(u16, Option<JobState>)> {
+) -> Option<(u16, Option<JobStatus>)> {
     let (method, path, patience) = match what {
         Request::Submit => ("POST", "/api/jobs".to_string(), 5),
         Request::Ask => ("GET", format!("/api/jobs/{uid}"), 2),
@@ -108,8 +108,8 @@
     let answer = timeout(Duration::from_secs(patience), call).await;
     let answer = answer.ok().flatten();
     let state = answer.as_ref().filter(|(status, _)| *status < 300);
-    let state = state.and_then(|(_, b)| serde_json::from_slice::<JobState>(b).ok());
-    let stance = state.as_ref().map(|s| s.state);
+    let state = state.and_then(|(_, b)| serde_json::from_slice::<JobStatus>(b).ok());
+    let stance = state.as_ref().map(|s| s.phase);
     let status = answer.map(|(status, _)| status);
     world.rules().answered(what, uid, sent, status, stance);
     Some((status?, state))
@@ -204,7 +204,7 @@
         settings.member = format!("node-{i}");
         settings.zone = zone(i);
         let others = (0..self.processes.len()).filter(|k| *k != i);
-        let peer = |k: usize| Peer {
+        let peer = |k: usize| PeerSettings {
             member: format!("node-{k}"),
             zone: zone(k),
             endpoint: World::mesh_address(k),
@@ -217,8 +217,8 @@
             ..first.clone()
         });
         settings.site.teams = teams.collect();
-        settings.site.state.write_rps = self.setup.write_rps;
-        settings.site.state.value_kb = self.setup.value_kb;
+        settings.site.store.write_rps = self.setup.write_rps;
+        settings.site.store.value_kb = self.setup.value_kb;
         settings.site.cloud.rps = self.setup.cloud_rps;
         settings
     }
@@ -230,11 +230,11 @@
             node: i,
             alive: alive.clone(),
         };
-        let node = Node::new(self.settings(i), Http::over(Arc::new(link))).unwrap();
+        let node = Controller::new(self.settings(i), HttpClient::over(Arc::new(link))).unwrap();
         let public = api::routes(node.clone()).map_to_response().boxed();
         let between = mesh::routes(node.clone()).map_to_response().boxed();
         self.world.clear(Fault::Dead(i));
-        self.world.open(i, node.me(), door(public));
+        self.world.open(i, node.member(), door(public));
         self.world.open_mesh(i, door(between));
         self.processes[i] = Some(Process {
             loops: start(&node),
@@ -252,7 +252,7 @@
     }
 
     /// Controllers that run, with their places.
-    pub fn nodes(&self) -> impl Iterator<Item = (usize, &Arc<Node>)> {
+    pub fn nodes(&self) -> impl Iterator<Item = (usize, &Arc<Controller>)> {
         let all = self.processes.iter().enumerate();
         all.filter_map(|(i, p)| Some((i, &p.as_ref()?.node)))
     }
@@ -310,7 +310,7 @@
     }
 
     /// Asks one node after the other, as users do, until one answers.
-    async fn insist(&self, what: Request, uid: &str, body: &str) -> (u16, Option<JobState>) {
+    async fn insist(&self, what: Request, uid: &str, body: &str) -> (u16, Option<JobStatus>) {
         for attempt in 0..90 {
             let node = attempt % self.processes.len();
             let answer = request(&self.world, node, what, uid, body).await;
@@ -322,7 +322,7 @@
         panic!("{what:?} {uid}: no answer");
     }
 
-    pub async fn state(&self, uid: &str) -> JobState {
+    pub async fn state(&self, uid: &str) -> JobStatus {
         let (status, state) = self.insist(Request::Ask, uid, "").await;
         assert_eq!(status, 200, "an accepted job was forgotten: {uid}");
         state.unwrap()
@@ -337,7 +337,7 @@
         for _ in 0..within {
             let mut open = 0;
             for uid in uids {
-                open += usize::from(self.state(uid).await.state != Stance::Done);
+                open += usize::from(self.state(uid).await.phase != StatusPhase::Done);
             }
             if open == 0 {
                 return;
@@ -370,7 +370,7 @@
     }
 
     pub fn leads(&self) -> Option<usize> {
-        let leads = |node: &Arc<Node>| {
+        let leads = |node: &Arc<Controller>| {
             let view = node.view();
             node.leadership(&view).is_some()
         };
