--- a/crates/simulator/src/detector_model.rs
+++ b/crates/simulator/src/detector_model.rs
@@ -8,9 +8,11 @@
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
-use rushwalk_failure_detector::damping::Term;
-use rushwalk_failure_detector::{Contact, Detector, Limits, Own, Standing};
-use rushwalk_protocol::peers::Hello;
+use rushwalk_failure_detector::damping::MembershipTerm;
+use rushwalk_failure_detector::{
+    DetectorConfig, FailureDetector, LocalHealth, PeerHealth, ProbeFailure,
+};
+use rushwalk_protocol::peers::PeerHeartbeat;
 use serde::Serialize;
 use statrs::distribution::{ContinuousCDF, Gamma};
 use std::cmp::Reverse;
@@ -66,8 +68,8 @@
 
 enum Act {
     Greet(usize, usize),
-    Answer(usize, Box<Hello>),
-    Fail(usize, usize, Contact),
+    Answer(usize, Box<PeerHeartbeat>),
+    Fail(usize, usize, ProbeFailure),
     Judge(usize),
     Pause(usize),
 }
@@ -82,9 +84,9 @@
 
 struct Model {
     network: Network,
-    limits: Limits,
+    limits: DetectorConfig,
     random: SmallRng,
-    detectors: Vec<Detector>,
+    detectors: Vec<FailureDetector>,
     paused: Vec<f64>,
     /// How late each controller was of late.
     late: Vec<(f64, f64)>,
@@ -101,18 +103,18 @@
 }
 
 impl Model {
-    fn new(network: Network, limits: Limits, seed: u64) -> Model {
+    fn new(network: Network, limits: DetectorConfig, seed: u64) -> Model {
         let n = network.controllers;
         let names: Vec<String> = (0..n).map(name).collect();
         let detectors = (0..n).map(|i| {
             let peers = names.iter().filter(|p| **p != names[i]);
-            let mut detector = Detector::new(limits.clone(), peers.map(String::as_str), 0.0);
+            let mut detector = FailureDetector::new(limits.clone(), peers.map(String::as_str), 0.0);
             for (k, peer) in names.iter().enumerate() {
-                let term = Term {
-                    nonce: k as u64 + 1,
+                let term = MembershipTerm {
+                    incarnation: k as u64 + 1,
                     since: 0,
                 };
-                detector.member(0.0, peer, Some(term));
+                detector.record_membership(0.0, peer, Some(term));
             }
             detector
         });
@@ -132,7 +134,7 @@
         };
         for i in 0..n {
             for k in (0..n).filter(|k| *k != i) {
-                let phase = model.random.random_range(0.0..model.limits.every_s);
+                let phase = model.random.random_range(0.0..model.limits.heartbeat_s);
                 model.put(phase, Act::Greet(i, k));
             }
             model.put(1.0, Act::Judge(i));
@@ -166,14 +168,14 @@
         late * 0.5f64.powf(now - when)
     }
 
-    fn hello(&self, i: usize, now: f64) -> Box<Hello> {
-        Box::new(Hello {
+    fn hello(&self, i: usize, now: f64) -> Box<PeerHeartbeat> {
+        Box::new(PeerHeartbeat {
             member: name(i),
-            nonce: i as u64 + 1,
+            incarnation: i as u64 + 1,
             revision: at(now),
-            late_ms: (self.late(i, now) * 1000.0) as u64,
-            sights: self.detectors[i].sights(now),
-            ..Hello::default()
+            lag_ms: (self.late(i, now) * 1000.0) as u64,
+            observations: self.detectors[i].observations(now),
+            ..PeerHeartbeat::default()
         })
     }
 
@@ -195,29 +197,31 @@
         }
         match act {
             Act::Greet(i, k) => self.greet(now, i, k),
-            Act::Answer(i, hello) => self.detectors[i].answered(now, *hello),
-            Act::Fail(i, k, contact) => self.detectors[i].failed(now, &name(k), contact),
+            Act::Answer(i, hello) => self.detectors[i].record_response(now, *hello),
+            Act::Fail(i, k, contact) => {
+                self.detectors[i].record_probe_failure(now, &name(k), contact)
+            }
             Act::Judge(i) => {
-                let own = Own {
-                    late_s: self.late(i, now),
-                    lag_s: self.late(i, now),
-                    busy: 0.1,
-                    state_age_s: 0.05,
-                    passed_s: f64::INFINITY,
+                let own = LocalHealth {
+                    recent_lag_s: self.late(i, now),
+                    mean_lag_s: self.late(i, now),
+                    busy_share: 0.1,
+                    staleness_s: 0.05,
+                    since_leadership_moved_s: f64::INFINITY,
                     revision: at(now),
                 };
-                for change in self.detectors[i].judge(now, own) {
+                for change in self.detectors[i].evaluate(now, own) {
                     let dead = self.dead.filter(|(d, ..)| name(*d) == change.member);
                     match (dead, change.to) {
-                        (Some((_, since, _)), Standing::Judged) => {
+                        (Some((_, since, _)), PeerHealth::Failed) => {
                             self.verdict.get_or_insert(now - since);
                         }
-                        (None, Standing::Suspect) => self.hours.suspected += 1,
-                        (None, Standing::Judged) => self.hours.judged += 1,
+                        (None, PeerHealth::Suspected) => self.hours.suspected += 1,
+                        (None, PeerHealth::Failed) => self.hours.judged += 1,
                         _ => {}
                     }
                 }
-                self.put(now + self.limits.every_s / 2.0, Act::Judge(i));
+                self.put(now + self.limits.heartbeat_s / 2.0, Act::Judge(i));
             }
             Act::Pause(i) => {
                 let took = self.random.random_range(0.0..self.network.pause_s);
@@ -237,34 +241,34 @@
         let wait = match end {
             Some((.., End::Refuses)) => {
                 let delay = self.delay();
-                self.put(now + delay, Act::Fail(i, k, Contact::Refused));
+                self.put(now + delay, Act::Fail(i, k, ProbeFailure::Refused));
                 delay
             }
             Some((.., End::Silent)) => {
-                self.put(now + patience, Act::Fail(i, k, Contact::Silent));
+                self.put(now + patience, Act::Fail(i, k, ProbeFailure::TimedOut));
                 patience
             }
             None if self.random.random_bool(self.network.loss) => {
-                self.put(now + patience, Act::Fail(i, k, Contact::Silent));
+                self.put(now + patience, Act::Fail(i, k, ProbeFailure::TimedOut));
                 patience
             }
             None => {
                 let there = (now + self.delay()).max(self.paused[k]);
                 let back = there + self.delay();
                 if back > now + patience {
-                    self.put(now + patience, Act::Fail(i, k, Contact::Silent));
+                    self.put(now + patience, Act::Fail(i, k, ProbeFailure::TimedOut));
                     patience
                 } else {
                     // What it heard of us, and what it has to say.
                     let ours = self.hello(i, now);
-                    self.detectors[k].greeted(there, *ours);
+                    self.detectors[k].record_heartbeat(there, *ours);
                     let hello = self.hello(k, there);
                     self.put(back, Act::Answer(i, hello));
                     back - now
                 }
             }
         };
-        self.put(now + wait + self.limits.every_s, Act::Greet(i, k));
+        self.put(now + wait + self.limits.heartbeat_s, Act::Greet(i, k));
     }
 
     fn run(&mut self, until: f64) {
@@ -281,7 +285,7 @@
 }
 
 /// Lets controllers live for some hours of which nothing fails.
-pub fn live(network: &Network, limits: &Limits, hours: f64, seed: u64) -> Hours {
+pub fn live(network: &Network, limits: &DetectorConfig, hours: f64, seed: u64) -> Hours {
     let mut model = Model::new(network.clone(), limits.clone(), seed);
     model.run(hours * 3600.0);
     model.hours.controller_hours = hours * network.controllers as f64;
@@ -290,7 +294,7 @@
 
 /// From one controller's end to the first verdict on it, in seconds; none if there was
 /// none within a minute.
-pub fn end(network: &Network, limits: &Limits, how: End, seed: u64) -> Option<f64> {
+pub fn end(network: &Network, limits: &DetectorConfig, how: End, seed: u64) -> Option<f64> {
     let mut model = Model::new(network.clone(), limits.clone(), seed);
     let when = 60.0 + model.random.random_range(0.0..10.0);
     let who = model.random.random_range(0..network.controllers);
@@ -303,14 +307,14 @@
 mod tests {
     use super::*;
 
-    fn limits() -> Limits {
-        Limits {
-            every_s: 0.33,
+    fn limits() -> DetectorConfig {
+        DetectorConfig {
+            heartbeat_s: 0.33,
             round_s: 1.0,
-            member_s: 5.7,
-            lease_s: 40.0,
-            phi: 8.0,
-            refusals: 2,
+            member_lease_s: 5.7,
+            worker_lease_s: 40.0,
+            phi_threshold: 8.0,
+            refusal_threshold: 2,
         }
     }
 
--- a/crates/simulator/src/failover.rs
+++ b/crates/simulator/src/failover.rs
@@ -5,8 +5,8 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use rushwalk::handover;
-use rushwalk::node::{Node, lock};
-use rushwalk_failure_detector::{Standing, Why};
+use rushwalk::node::{Controller, lock};
+use rushwalk_failure_detector::{PeerHealth, SuspicionReason};
 use rushwalk_testkit::Fault;
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
@@ -125,18 +125,16 @@
         };
         if let Some((_, node)) = site.nodes().next() {
             let view = node.view();
-            let of = |block: &str| view.grants.get(block).map(|(_, g)| g.holder.clone());
+            let of = |block: &str| view.shard_leases.get(block).map(|(_, g)| g.owner.clone());
             for (name, row) in &view.machines {
-                let holder = of(&row.machine.block);
+                let holder = of(&row.record.shard);
                 let failed = failed.iter().any(|i| holder == Some(format!("node-{i}")));
-                if failed && row.machine.up.is_some() {
+                if failed && row.record.ready_ms.is_some() {
                     watch.waiting.insert(name.to_string());
                 }
             }
-            for (block, (_, grant)) in &view.grants {
-                watch
-                    .holders
-                    .insert(block.to_string(), grant.holder.clone());
+            for (block, (_, grant)) in &view.shard_leases {
+                watch.holders.insert(block.to_string(), grant.owner.clone());
             }
         }
         watch.look(site);
@@ -146,7 +144,7 @@
     fn look(&mut self, site: &Site) {
         let now = Instant::now();
         for (i, node) in site.nodes() {
-            let planned = *lock(&node.planned);
+            let planned = *lock(&node.last_round);
             self.planned = self.planned.max(planned.filter(|_| !self.mute(site, i)));
             self.standings(i, node);
             self.machines(node, now);
@@ -162,9 +160,9 @@
             if let Some((version, _)) = &view.leader {
                 self.leaders.insert(*version);
             }
-            for (block, (_, grant)) in &view.grants {
-                let before = self.holders.insert(block.to_string(), grant.holder.clone());
-                self.moved += usize::from(before.is_some_and(|b| b != grant.holder));
+            for (block, (_, grant)) in &view.shard_leases {
+                let before = self.holders.insert(block.to_string(), grant.owner.clone());
+                self.moved += usize::from(before.is_some_and(|b| b != grant.owner));
             }
         }
     }
@@ -174,35 +172,40 @@
         site.world.has(Fault::Frozen(i)) || site.world.has(Fault::NoState(i))
     }
 
-    fn standings(&mut self, i: usize, node: &Arc<Node>) {
+    fn standings(&mut self, i: usize, node: &Arc<Controller>) {
         let own = handover::own(node);
-        let told = lock(&node.detector).told(node.uptime(), own);
-        for peer in told.into_iter().filter(|p| p.standing != Standing::Trusted) {
+        let told = lock(&node.detector).statuses(node.uptime_s(), own);
+        for peer in told
+            .into_iter()
+            .filter(|p| p.standing != PeerHealth::Healthy)
+        {
             let number = peer.member.trim_start_matches("node-").parse().unwrap_or(0);
             if self.failed.contains(&number) {
                 let after = Some(self.began.elapsed());
                 self.suspected = self.suspected.or(after);
-                if peer.standing == Standing::Judged {
+                if peer.standing == PeerHealth::Failed {
                     self.judged = self.judged.or(after);
                 }
-            } else if peer.standing == Standing::Judged && peer.why != Some(Why::Left) {
-                let since = ((node.uptime() - peer.since_s) * 2.0) as u64;
+            } else if peer.standing == PeerHealth::Failed
+                && peer.why != Some(SuspicionReason::LeaseExpired)
+            {
+                let since = ((node.uptime_s() - peer.since_s) * 2.0) as u64;
                 self.accused.insert((i, peer.member, since));
             }
         }
     }
 
-    fn machines(&mut self, node: &Arc<Node>, now: Instant) {
+    fn machines(&mut self, node: &Arc<Controller>, now: Instant) {
         if self.waiting.is_empty() {
             return;
         }
         let view = node.view();
-        let reports = lock(&node.reports);
+        let reports = lock(&node.workers_seen);
         let began = self.began;
         let heard = |name: &String| {
             let row = view.machines.get(name.as_str())?;
-            node.token(&view, &row.machine.block)?;
-            let heard = reports.all.get(name.as_str())?.heard?;
+            node.fencing_token(&view, &row.record.shard)?;
+            let heard = reports.sessions.get(name.as_str())?.last_heard?;
             (heard > began).then_some(())
         };
         let all = self.waiting.len();
@@ -422,7 +425,10 @@
                         continue;
                     }
                     let all = site.nodes().filter(|(i, _)| !one || *i == leader);
-                    all.for_each(|(_, node)| node.load.pretend(node.times.round * halves / 4));
+                    all.for_each(|(_, node)| {
+                        node.runtime_lag
+                            .set_simulated_lag(node.timing.round * halves / 4)
+                    });
                 }
             }
             Failure::Roll | Failure::All => {
--- a/crates/simulator/src/fault_search.rs
+++ b/crates/simulator/src/fault_search.rs
@@ -9,8 +9,8 @@
 use clap::ValueEnum;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
-use rushwalk::signal::Signal;
-use rushwalk_protocol::jobs::{JobSpec, JobState, Stance};
+use rushwalk::signal::Observable;
+use rushwalk_protocol::jobs::{JobSpec, JobStatus, StatusPhase};
 use rushwalk_testkit::{Fault, Request, World, ZONES};
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -208,7 +208,7 @@
 }
 
 /// States that users were told last, by job.
-type Told = Arc<Mutex<BTreeMap<String, Option<Stance>>>>;
+type Told = Arc<Mutex<BTreeMap<String, Option<StatusPhase>>>>;
 
 /// The next controller that is healthy, as the load balancer chooses.
 async fn healthy(world: &World, turn: &mut usize) -> Option<usize> {
@@ -231,7 +231,7 @@
     what: Request,
     uid: &str,
     body: &str,
-) -> Option<(u16, Option<JobState>)> {
+) -> Option<(u16, Option<JobStatus>)> {
     match healthy(world, turn).await {
         Some(node) => request(world, node, what, uid, body).await,
         None => {
@@ -250,7 +250,7 @@
     plan: Plan,
     mut turn: usize,
     told: Told,
-    alarm: Arc<Signal<usize>>,
+    alarm: Arc<Observable<usize>>,
 ) {
     let text = job(&plan.uid, plan.shape, plan.tasks, plan.gpus, plan.run_s);
     let Ok(spec) = JobSpec::parse(text.as_bytes()) else {
@@ -298,7 +298,7 @@
         let due = cancel.is_some_and(|s| accepted.elapsed().as_secs_f64() > s);
         let what = if due { Request::Cancel } else { Request::Ask };
         let answer = by_balancer(&world, &mut turn, what, &plan.uid, "").await;
-        let stance = answer.and_then(|(_, state)| Some(state?.state));
+        let stance = answer.and_then(|(_, state)| Some(state?.phase));
         if let Some(stance) = stance {
             keep(Some(stance));
             if due {
@@ -306,7 +306,7 @@
             }
         }
         // One that is over is asked about now and then.
-        let over = matches!(stance, Some(Stance::Done | Stance::Cancelled));
+        let over = matches!(stance, Some(StatusPhase::Done | StatusPhase::Cancelled));
         if over && plan.looks_closely && !std::mem::replace(&mut looked, true) {
             close_look(&world, &plan.uid, &text).await;
         }
@@ -331,7 +331,7 @@
 async fn call_off_at_end(
     world: Arc<World>,
     mut ended: tokio::sync::mpsc::UnboundedReceiver<String>,
-    wanted: Arc<Signal<bool>>,
+    wanted: Arc<Observable<bool>>,
 ) {
     let mut turn = 0;
     while let Some(uid) = ended.recv().await {
@@ -367,8 +367,8 @@
         site.world.record();
     }
     let told: Told = Arc::default();
-    let alarm: Arc<Signal<usize>> = Arc::default();
-    let at_end: Arc<Signal<bool>> = Arc::default();
+    let alarm: Arc<Observable<usize>> = Arc::default();
+    let at_end: Arc<Observable<bool>> = Arc::default();
     let (ends_tell, ended) = tokio::sync::mpsc::unbounded_channel();
     site.world.rules().completed = Some(ends_tell);
     let mut users = tokio::task::JoinSet::new();
@@ -414,9 +414,9 @@
                 }
                 let machines = site.world.workers().len();
                 match event.trouble {
-                    Trouble::CancelNow => alarm.modify(|n| *n += 1),
+                    Trouble::CancelNow => alarm.update(|n| *n += 1),
                     Trouble::CancelAtEnd => {
-                        at_end.modify(|on| *on = true);
+                        at_end.update(|on| *on = true);
                     }
                     Trouble::QuickBoots => site.world.boots_in(Duration::from_millis(1_200)),
                     Trouble::RestartMachines => {
@@ -438,7 +438,7 @@
                 let over = faults.into_iter().filter(|f| !still.contains(f));
                 over.for_each(|f| site.world.clear(f));
                 if event.trouble == Trouble::CancelAtEnd {
-                    at_end.modify(|on| *on = false);
+                    at_end.update(|on| *on = false);
                 }
             }
         }
@@ -468,8 +468,8 @@
         let shape = rules.jobs.get(uid).map(|s| s.shape);
         let service = shape == Some(rushwalk_protocol::jobs::Shape::Service);
         let served = match stance {
-            Some(Stance::Done | Stance::Cancelled) => true,
-            Some(Stance::Running) => service,
+            Some(StatusPhase::Done | StatusPhase::Cancelled) => true,
+            Some(StatusPhase::Running) => service,
             _ => false,
         };
         if !served {
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -3,7 +3,7 @@
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use hdrhistogram::Histogram;
 use indicatif::{ProgressBar, ProgressStyle};
-use rushwalk_failure_detector::Limits;
+use rushwalk_failure_detector::DetectorConfig;
 use rushwalk_simulator::detector_model::{self, End, Hours, Network};
 use rushwalk_simulator::failover::{self, Failure, Figures};
 use rushwalk_simulator::fault_search::{self, Day, Found, Trouble};
@@ -388,13 +388,13 @@
         pause_s: sweep.pause.max(0.001),
     };
     // As the program has them for a report interval of 3 s and a lease of 40 s.
-    let limits = |phi: f64, refusals: u32| Limits {
-        every_s: 1.0 / 3.0 * (network.controllers as f64 - 1.0).max(4.0) / 4.0,
+    let limits = |phi: f64, refusals: u32| DetectorConfig {
+        heartbeat_s: 1.0 / 3.0 * (network.controllers as f64 - 1.0).max(4.0) / 4.0,
         round_s: 1.0,
-        member_s: 40.0 / 7.0,
-        lease_s: 40.0,
-        phi,
-        refusals,
+        member_lease_s: 40.0 / 7.0,
+        worker_lease_s: 40.0,
+        phi_threshold: phi,
+        refusal_threshold: refusals,
     };
     println!(
         "{} controllers, {:.1}% of greetings lost, a pause of up to {} s each {} s; {} \
--- a/crates/simulator/tests/days.rs
+++ b/crates/simulator/tests/days.rs
@@ -1,8 +1,8 @@
 //! Days on paused time: whole controllers against the stand-ins, with crashes,
 //! cuts, lost answers and late messages. The protocol's rules must hold.
 
-use rushwalk::meter::Work;
-use rushwalk_protocol::jobs::Stance;
+use rushwalk::meter::WorkKind;
+use rushwalk_protocol::jobs::StatusPhase;
 use rushwalk_simulator::{Setup, Site as Day};
 use rushwalk_testkit::Fault;
 use std::time::Duration;
@@ -170,7 +170,7 @@
     let changed = format!(r#"{{"uid":"{known}","pieces":-4}}"#);
     assert_eq!(status("POST", "/api/jobs", changed.as_bytes()).await, 200);
     let mut spec = day.jobs[&known].clone();
-    spec.uid = "j-000777".into();
+    spec.id = "j-000777".into();
     spec.gpus = 5.0;
     let body = serde_json::to_vec(&spec).unwrap();
     assert_eq!(status("POST", "/api/jobs", &body).await, 422);
@@ -255,7 +255,7 @@
         assert!(n < 400, "no snapshot was made");
         jobs.push(day.submit(n, "sweep", 2, 1.0, 8.0).await);
         day.pass(2).await;
-        let base = day.processes[0].as_ref().unwrap().node.view().base;
+        let base = day.processes[0].as_ref().unwrap().node.view().snapshot;
         snapshots = snapshots.max(base.generation);
         assert_eq!(day.world.holds("w/base"), base.generation > 0);
     }
@@ -267,7 +267,7 @@
     (0..3).for_each(|i| day.start(i));
     day.all_done(&jobs, 200).await;
     assert_eq!(day.state(&service).await.running, 4);
-    assert_eq!(day.state(&cancelled).await.state, Stance::Cancelled);
+    assert_eq!(day.state(&cancelled).await.phase, StatusPhase::Cancelled);
     let again = day.world.rules().started - started;
     assert!(again <= 12, "{again} tasks started anew");
     day.check();
@@ -284,7 +284,9 @@
     assert_eq!(day.state(&service).await.running, 250);
     let looked = |day: &Day| -> u64 {
         let processes = day.processes.iter().flatten();
-        processes.map(|p| p.node.meter.items(Work::Hold)).sum()
+        processes
+            .map(|p| p.node.work_profile.items(WorkKind::Reconcile))
+            .sum()
     };
     let before = looked(&day);
     day.pass(30).await;
@@ -315,12 +317,13 @@
     day.pass(4).await;
     (0..3).for_each(|i| day.start(i));
     for process in day.processes.iter().flatten() {
-        let opens = tokio::time::timeout(Duration::from_secs(8), process.node.settled());
+        let opens =
+            tokio::time::timeout(Duration::from_secs(8), process.node.wait_until_registered());
         opens.await.unwrap();
         let (me, view) = (&process.node, process.node.view());
-        assert!(view.members[me.me()].nonce == me.nonce);
-        let mut grants = view.grants.values();
-        assert!(grants.all(|(_, g)| g.holder != me.me() || g.nonce == me.nonce));
+        assert!(view.members[me.member()].incarnation == me.incarnation);
+        let mut grants = view.shard_leases.values();
+        assert!(grants.all(|(_, g)| g.owner != me.member() || g.incarnation == me.incarnation));
     }
     day.check();
 }
@@ -459,7 +462,11 @@
     let process = day.processes[0].as_ref().unwrap();
     process.loops.iter().for_each(JoinHandle::abort);
     let node = &process.node;
-    let lease = node.state.lease(node.times.member).await.unwrap();
+    let lease = node
+        .store
+        .grant_lease(node.timing.member_lease)
+        .await
+        .unwrap();
     rushwalk::handover::elect(node, lease).await;
     assert!(!day.world.holds("w/leader"));
 }
--- a/crates/simulator/tests/fault_combinations.rs
+++ b/crates/simulator/tests/fault_combinations.rs
@@ -2,7 +2,7 @@
 //! time with whole controllers. Each test says what happened without its guard.
 
 use clap::ValueEnum;
-use rushwalk_protocol::jobs::Stance;
+use rushwalk_protocol::jobs::StatusPhase;
 use rushwalk_simulator::cluster::request;
 use rushwalk_simulator::fault_search::{self, Trouble};
 use rushwalk_simulator::{Setup, Site as Day};
@@ -52,7 +52,10 @@
         for uid in &jobs {
             let answer = request(&day.world, other, Request::Cancel, uid, "").await;
             let (status, state) = answer.unwrap();
-            assert_eq!((status, state.unwrap().state), (200, Stance::Cancelled));
+            assert_eq!(
+                (status, state.unwrap().phase),
+                (200, StatusPhase::Cancelled)
+            );
         }
         day.world.set(Fault::Outage);
         day.pass(13).await;
@@ -253,12 +256,12 @@
     for n in 0..3u32 {
         // Other work fills the log: a snapshot is made.
         let base = day.processes.iter().flatten().next().unwrap();
-        let before = base.node.view().base.generation;
+        let before = base.node.view().snapshot.generation;
         for k in 0..40 {
             day.submit(100 + n * 40 + k, "sweep", 1, 1.0, 2.0).await;
             day.pass(1).await;
             let (_, node) = day.nodes().next().unwrap();
-            if node.view().base.generation > before {
+            if node.view().snapshot.generation > before {
                 break;
             }
         }
@@ -369,7 +372,7 @@
     day.world.clear(Fault::NoState(leader));
     day.world.clear(Fault::Outage);
     day.world.clear(Fault::SlowState);
-    assert_eq!(day.state(&service).await.state, Stance::Cancelled);
+    assert_eq!(day.state(&service).await.phase, StatusPhase::Cancelled);
     day.check();
 }
 
--- a/crates/simulator/tests/real_machines.rs
+++ b/crates/simulator/tests/real_machines.rs
@@ -2,8 +2,8 @@
 //! no other test brings about, on virtual time with whole controllers. What each guards
 //! against is in `docs/MEETINGS.md`.
 
-use rushwalk::view::View;
-use rushwalk_protocol::jobs::Stance;
+use rushwalk::view::ClusterState;
+use rushwalk_protocol::jobs::StatusPhase;
 use rushwalk_simulator::cluster::{close_look, job, job_with, request};
 use rushwalk_simulator::{Setup, Site as Day};
 use rushwalk_testkit::{Build, Fault, Request, ZONES};
@@ -33,7 +33,7 @@
     rules.calm_since.get_or_insert_with(Instant::now);
 }
 
-fn view<T>(day: &Day, look: impl Fn(&View) -> T) -> T {
+fn view<T>(day: &Day, look: impl Fn(&ClusterState) -> T) -> T {
     look(&day.nodes().next().unwrap().1.view())
 }
 
@@ -59,7 +59,7 @@
     let (submitted, cancelled) = tokio::join!(submit, cancel);
     assert!(submitted.is_some_and(|(s, _)| s < 300), "{uid}");
     match cancelled {
-        Some((200, state)) => assert_eq!(state.unwrap().state, Stance::Cancelled),
+        Some((200, state)) => assert_eq!(state.unwrap().phase, StatusPhase::Cancelled),
         // It came first, and there was nothing to cancel; or nobody could tell.
         other => assert!(
             matches!(other, None | Some((404 | 429 | 503, _))),
@@ -153,9 +153,9 @@
     }
     day.pass(20).await;
     // Every controller knows the same jobs, and what became of them.
-    let known = |node: &rushwalk::node::Node| -> Vec<_> {
+    let known = |node: &rushwalk::node::Controller| -> Vec<_> {
         let view = node.view();
-        day.jobs.keys().map(|uid| view.state_of(uid)).collect()
+        day.jobs.keys().map(|uid| view.job_status(uid)).collect()
     };
     let all: Vec<_> = day.nodes().map(|(_, node)| known(node)).collect();
     assert!(all[0].iter().all(Option::is_some));
@@ -203,7 +203,7 @@
         assert!(day.world.none_late(), "no such commit: {text}");
         calm(&day);
         day.pass(70).await;
-        assert_eq!(day.state(&service).await.state, Stance::Cancelled);
+        assert_eq!(day.state(&service).await.phase, StatusPhase::Cancelled);
         for (uid, tasks) in [(&array, 4), (&gang, 2)] {
             assert_eq!(day.world.rules().starts_of[uid], tasks, "{text}");
         }
@@ -335,7 +335,7 @@
         day.pass(70).await;
         assert_eq!(day.world.rules().running(), 0);
         for uid in &gone {
-            assert_eq!(day.state(uid).await.state, Stance::Cancelled);
+            assert_eq!(day.state(uid).await.phase, StatusPhase::Cancelled);
         }
         day.check();
     }
@@ -478,7 +478,7 @@
             let began = Instant::now();
             loop {
                 let state = insist(Request::Ask, "").await.unwrap();
-                if matches!(state.state, Stance::Done | Stance::Cancelled) {
+                if matches!(state.phase, StatusPhase::Done | StatusPhase::Cancelled) {
                     return began.elapsed();
                 }
                 ms(5_000).await;
@@ -855,14 +855,17 @@
             );
         }
         // The same body under a known name.
-        for (uid, stance) in [(&known, Stance::Done), (&service, Stance::Running)] {
+        for (uid, stance) in [
+            (&known, StatusPhase::Done),
+            (&service, StatusPhase::Running),
+        ] {
             let body = body.replace("j-000500", uid);
             if *status == 413 || body.contains(r#""uid":"job""#) {
                 continue;
             }
             let answer = request(&day.world, 1, Request::Submit, uid, &body).await;
             let (told, state) = answer.unwrap();
-            assert_eq!((told, state.unwrap().state), (200, stance));
+            assert_eq!((told, state.unwrap().phase), (200, stance));
         }
     }
     let cancel = async |uid: &str| {
@@ -870,7 +873,7 @@
             .await
             .unwrap()
     };
-    assert_eq!(cancel(&known).await.1.unwrap().state, Stance::Done);
+    assert_eq!(cancel(&known).await.1.unwrap().phase, StatusPhase::Done);
     assert_eq!(cancel(uid).await.0, 404);
     assert_eq!(view(&day, |v| v.jobs.len()), before.0);
     // An array may have its tasks in the one zone, half of them at a time.
--- a/crates/testkit/src/invariants.rs
+++ b/crates/testkit/src/invariants.rs
@@ -11,7 +11,7 @@
 
 use history::History;
 pub use history::Request;
-use rushwalk_protocol::jobs::{JobSpec, Shape, Stance};
+use rushwalk_protocol::jobs::{JobSpec, Shape, StatusPhase};
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::time::Duration;
 use tokio::sync::mpsc::UnboundedSender;
@@ -115,7 +115,7 @@
         uid: &str,
         sent: u64,
         status: Option<u16>,
-        stance: Option<Stance>,
+        stance: Option<StatusPhase>,
     ) {
         self.order += 1;
         let history = self.told.entry(uid.into()).or_default();
@@ -161,13 +161,13 @@
         }
     }
 
-    fn told(&mut self, uid: &str, stance: Stance) {
+    fn told(&mut self, uid: &str, stance: StatusPhase) {
         if !self.jobs.contains_key(uid) {
             self.broken.push(format!("invented: {uid}"));
         }
         match stance {
-            Stance::Done => self.told_done(uid),
-            Stance::Cancelled => {
+            StatusPhase::Done => self.told_done(uid),
+            StatusPhase::Cancelled => {
                 self.cancelled
                     .entry(uid.to_string())
                     .or_insert_with(Instant::now);
--- a/crates/testkit/src/invariants/history.rs
+++ b/crates/testkit/src/invariants/history.rs
@@ -1,6 +1,6 @@
 //! What users were told of one job, as invocations and responses.
 
-use rushwalk_protocol::jobs::Stance;
+use rushwalk_protocol::jobs::StatusPhase;
 use tokio::time::Instant;
 
 /// What a user asked of a controller.
@@ -18,7 +18,7 @@
     /// Which answer that was.
     acceptance: Option<u64>,
     /// The first final state told, and by which answer.
-    over: Option<(u64, Stance)>,
+    over: Option<(u64, StatusPhase)>,
     cancelling: bool,
 }
 
@@ -38,7 +38,7 @@
         request: Request,
         (sent, now): (u64, u64),
         status: Option<u16>,
-        stance: Option<Stance>,
+        stance: Option<StatusPhase>,
     ) -> Vec<String> {
         let known = self.acceptance.is_some_and(|at| at < sent);
         match (status, request) {
@@ -54,12 +54,12 @@
         }
     }
 
-    fn state(&mut self, (sent, now): (u64, u64), stance: Stance) -> Vec<String> {
+    fn state(&mut self, (sent, now): (u64, u64), stance: StatusPhase) -> Vec<String> {
         let mut broken = Vec::new();
-        if stance == Stance::Cancelled && !self.cancelling {
+        if stance == StatusPhase::Cancelled && !self.cancelling {
             broken.push("went_back: not cancelled".to_string());
         }
-        let is_final = matches!(stance, Stance::Done | Stance::Cancelled);
+        let is_final = matches!(stance, StatusPhase::Done | StatusPhase::Cancelled);
         match self.over {
             // Two final states never agree, in whichever order they were asked for.
             Some((at, before)) if before != stance && (is_final || at < sent) => {
--- a/crates/testkit/src/invariants/tests.rs
+++ b/crates/testkit/src/invariants/tests.rs
@@ -32,13 +32,13 @@
 
 impl Rules {
     /// A question that was sent and answered now.
-    fn ask(&mut self, uid: &str, status: Option<u16>, stance: Option<Stance>) {
+    fn ask(&mut self, uid: &str, status: Option<u16>, stance: Option<StatusPhase>) {
         let sent = self.sends(Request::Ask, uid);
         self.answered(Request::Ask, uid, sent, status, stance);
     }
 
     fn submit(&mut self, uid: &str, status: u16) {
-        let queued = Some(Stance::Queued).filter(|_| status < 300);
+        let queued = Some(StatusPhase::Queued).filter(|_| status < 300);
         let sent = self.sends(Request::Submit, uid);
         self.answered(Request::Submit, uid, sent, Some(status), queued);
     }
@@ -58,15 +58,15 @@
 async fn the_checker_sees_each_rule_broken() {
     let mut rules = rules();
     rules.submit("j-1", 201);
-    rules.ask("j-1", Some(200), Some(Stance::Queued));
+    rules.ask("j-1", Some(200), Some(StatusPhase::Queued));
     rules.starts("j-1", 0, &at("m-1", "east"));
     assert!(rules.broken.is_empty());
     rules.starts("j-1", 0, &at("m-2", "east"));
     rules.starts("j-1", 1, &at("m-3", "east"));
     assert_eq!(names(&rules), ["ran_twice", "quota"]);
-    rules.ask("j-1", Some(200), Some(Stance::Done));
-    rules.ask("j-1", Some(200), Some(Stance::Running));
-    rules.ask("j-2", Some(200), Some(Stance::Queued));
+    rules.ask("j-1", Some(200), Some(StatusPhase::Done));
+    rules.ask("j-1", Some(200), Some(StatusPhase::Running));
+    rules.ask("j-2", Some(200), Some(StatusPhase::Queued));
     rules.ask("j-1", Some(404), None);
     rules.submit("j-1", 422);
     assert_eq!(
@@ -80,7 +80,7 @@
         ]
     );
     rules.broken.clear();
-    rules.ask("j-1", Some(200), Some(Stance::Cancelled));
+    rules.ask("j-1", Some(200), Some(StatusPhase::Cancelled));
     assert_eq!(
         names(&rules),
         ["went_back", "went_back"],
@@ -137,20 +137,26 @@
     assert_eq!(names(&rules), ["forgotten", "forgotten", "forgotten"]);
     rules.broken.clear();
     rules.asks_to_cancel("j-1");
-    let aborted = Some(Stance::Cancelled);
+    let aborted = Some(StatusPhase::Cancelled);
     rules.answered(Cancel, "j-1", accepted, Some(200), aborted);
     for request in [Ask, Submit, Cancel] {
-        rules.answered(request, "j-1", accepted, Some(200), Some(Stance::Running));
+        rules.answered(
+            request,
+            "j-1",
+            accepted,
+            Some(200),
+            Some(StatusPhase::Running),
+        );
     }
     assert!(rules.broken.is_empty(), "{:?}", rules.broken);
     for request in [Ask, Submit, Cancel] {
         let now = rules.sends(request, "j-1");
-        rules.answered(request, "j-1", now, Some(200), Some(Stance::Running));
+        rules.answered(request, "j-1", now, Some(200), Some(StatusPhase::Running));
         rules.answered(request, "j-1", now, Some(200), aborted);
     }
     assert_eq!(names(&rules), ["went_back", "went_back", "went_back"]);
     // Two final states never agree, also where the questions overlap.
-    rules.answered(Ask, "j-1", early, Some(200), Some(Stance::Done));
+    rules.answered(Ask, "j-1", early, Some(200), Some(StatusPhase::Done));
     assert!(names(&rules).contains(&"went_back".to_string()));
     assert_eq!(names(&rules).len(), 5, "and not done");
 }
@@ -225,7 +231,7 @@
     assert_eq!(rules.served(), Vec::<String>::new());
     // Limits in CPUs, starts after a cancellation, bad jobs.
     rules.starts("j-2", 1, &at("m-3", "east"));
-    rules.ask("j-3", Some(200), Some(Stance::Cancelled));
+    rules.ask("j-3", Some(200), Some(StatusPhase::Cancelled));
     pass(1_000).await;
     assert!(names(&rules).is_empty());
     rules.starts("j-3", 0, &at("m-4", "east"));
--- a/crates/testkit/src/platform.rs
+++ b/crates/testkit/src/platform.rs
@@ -9,7 +9,7 @@
 use rushwalk_clients::{Error, Method};
 use rushwalk_protocol::cloud::{MachineNames, RentRequest};
 use rushwalk_protocol::store::{LeaseRequest, Transaction};
-use rushwalk_protocol::worker::{DirectCommands, Report};
+use rushwalk_protocol::worker::{CommandBatch, Heartbeat};
 use serde_json::json;
 use std::collections::{HashMap, HashSet};
 use std::future::Future;
@@ -303,7 +303,7 @@
 
     /// Whether the state service holds a key.
     pub fn holds(&self, key: &str) -> bool {
-        let items = lock(&self.store).list(key, "").items;
+        let items = lock(&self.store).list(key, "").entries;
         items.iter().any(|item| item.key == key)
     }
 
@@ -349,7 +349,7 @@
         }
         let door = lock(&self.mesh).get(to)?.clone();
         if self.has(Fault::PeersRefuse) || self.has(Fault::Dead(to)) || door.is_none() {
-            return Some(Err(Error::Refused));
+            return Some(Err(Error::ConnectionRefused));
         }
         let answer = door?("POST".into(), path, body).await;
         let lost = self.has(Fault::Frozen(to)) || self.has(Fault::Deaf(to, from));
@@ -432,7 +432,12 @@
     }
 
     /// A worker's report to a controller.
-    pub async fn beat(&self, index: usize, node: usize, report: &Report) -> Option<(u16, Vec<u8>)> {
+    pub async fn beat(
+        &self,
+        index: usize,
+        node: usize,
+        report: &Heartbeat,
+    ) -> Option<(u16, Vec<u8>)> {
         self.held(node).await;
         if self.has(Fault::MuteMachine(index)) {
             // It can't even open a connection.
@@ -643,7 +648,7 @@
             workers.push(Worker {
                 name: name.clone(),
                 zone: request.zone.clone(),
-                build: self.build(&request.kind),
+                build: self.build(&request.machine_type),
                 spot: request.spot,
                 recalled: None,
                 address: format!("10.9.{}.{}:9000", index / 250, index % 250),
@@ -703,7 +708,7 @@
             worker.pass(self, self.lease);
             match path {
                 "/status" => (200, worker.report()),
-                _ => worker.orders(self, &serde_json::from_slice::<DirectCommands>(body).ok()?),
+                _ => worker.orders(self, &serde_json::from_slice::<CommandBatch>(body).ok()?),
             }
         };
         self.held(node).await;
@@ -750,7 +755,7 @@
                 Ok(answer) => answer,
                 Err(_) => {
                     sleep(Duration::from_secs(60)).await;
-                    Err(Error::Unknown("no answer".into()))
+                    Err(Error::Unanswered("no answer".into()))
                 }
             }
         })
--- a/crates/testkit/src/store.rs
+++ b/crates/testkit/src/store.rs
@@ -1,6 +1,8 @@
 //! The state service: keys with versions, transactions, leases, changes.
 
-use rushwalk_protocol::store::{Changes, Event, Item, Items, Transaction, Value};
+use rushwalk_protocol::store::{
+    KeyValue, KeyValuePage, Transaction, Value, WatchEvent, WatchResponse,
+};
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 use tokio::time::Instant;
@@ -11,7 +13,7 @@
     /// Puts and deletions so far: what the platform limits a second.
     pub writes: usize,
     keys: BTreeMap<String, (Value, u64, Option<u64>)>,
-    events: Vec<(u64, Event)>,
+    events: Vec<(u64, WatchEvent)>,
     leases: HashMap<u64, (Instant, Duration)>,
     next_lease: u64,
     /// A watch can begin from so many changes back; all if 0.
@@ -44,7 +46,7 @@
 
     fn drop_key(&mut self, key: &str) {
         self.keys.remove(key);
-        let event = Event {
+        let event = WatchEvent {
             put: None,
             value: None,
             delete: Some(key.into()),
@@ -86,7 +88,7 @@
             if let (Some(key), Some(value)) = (&write.put, &write.value) {
                 let entry = (value.clone(), self.revision, write.lease);
                 self.keys.insert(key.clone(), entry);
-                let event = Event {
+                let event = WatchEvent {
                     put: Some(key.clone()),
                     value: Some(value.clone()),
                     delete: None,
@@ -101,26 +103,26 @@
         Ok(self.revision)
     }
 
-    pub fn list(&self, prefix: &str, since: &str) -> Items {
+    pub fn list(&self, prefix: &str, since: &str) -> KeyValuePage {
         let from = self.keys.range(prefix.to_string()..);
         let items = from
             .take_while(|(k, _)| k.starts_with(prefix))
             .filter(|(k, _)| k.as_str() > since)
-            .map(|(k, (value, version, _))| Item {
+            .map(|(k, (value, version, _))| KeyValue {
                 key: k.clone(),
                 value: value.clone(),
                 version: *version,
             });
-        Items {
-            items: items.collect(),
+        KeyValuePage {
+            entries: items.collect(),
             more: false,
             revision: self.revision,
         }
     }
 
     /// The changes since a revision; `None` if they are no longer kept.
-    pub fn changes(&self, prefix: &str, since: u64) -> Option<Changes> {
-        let named = |e: &Event| e.key().starts_with(prefix);
+    pub fn changes(&self, prefix: &str, since: u64) -> Option<WatchResponse> {
+        let named = |e: &WatchEvent| e.key().starts_with(prefix);
         let gone = self.events.len().checked_sub(self.kept.max(1));
         if self.kept > 0
             && let Some((revision, _)) = gone.and_then(|n| self.events.get(n.checked_sub(1)?))
@@ -130,7 +132,7 @@
         }
         let after = self.events.partition_point(|(at, _)| *at <= since);
         let events = self.events[after..].iter().map(|(_, e)| e.clone());
-        Some(Changes {
+        Some(WatchResponse {
             revision: self.revision,
             events: events.filter(named).collect(),
         })
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -4,7 +4,7 @@
 use crate::platform::{Build, Fault, World};
 use rushwalk_protocol::jobs::{JobSpec, parse_task};
 use rushwalk_protocol::worker::{
-    Answer, Command, DirectCommands, Elsewhere, ExitCause, Report, TaskReport, TaskState,
+    Command, CommandBatch, ExitCause, Heartbeat, HeartbeatResponse, Redirect, TaskPhase, TaskStatus,
 };
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -31,22 +31,22 @@
 }
 
 pub struct Held {
-    report: TaskReport,
+    report: TaskStatus,
     started: Instant,
     runs: Duration,
 }
 
 impl Worker {
-    pub fn report(&mut self) -> Report {
+    pub fn report(&mut self) -> Heartbeat {
         self.seq += 1;
-        Report {
+        Heartbeat {
             machine: self.name.clone(),
             address: self.address.clone(),
-            kind: self.build.label.into(),
+            machine_type: self.build.label.into(),
             zone: self.zone.clone(),
             spot: self.spot,
             session: self.session,
-            seq: self.seq,
+            sequence: self.seq,
             token: self.token,
             notice_s: self
                 .recalled
@@ -60,7 +60,7 @@
         let there = self
             .tasks
             .iter()
-            .filter(|t| t.report.state != TaskState::Exited);
+            .filter(|t| t.report.phase != TaskPhase::Exited);
         let specs = there.filter_map(|t| jobs.get(parse_task(&t.report.task)?.0));
         let mut room = Room {
             machine: self.name.clone(),
@@ -82,14 +82,14 @@
     fn execute(&mut self, world: &World, commands: &[Command]) {
         for command in commands {
             match command {
-                Command::Run { piece, attempt } => {
-                    let same = |t: &&Held| t.report.task == *piece;
+                Command::Run { task, attempt } => {
+                    let same = |t: &&Held| t.report.task == *task;
                     let known = self.tasks.iter().find(same);
                     if known.is_some_and(|t| t.report.attempt == *attempt) {
                         continue;
                     }
-                    let busy = known.is_some_and(|t| t.report.state != TaskState::Exited);
-                    let Some((uid, index)) = parse_task(piece) else {
+                    let busy = known.is_some_and(|t| t.report.phase != TaskPhase::Exited);
+                    let Some((uid, index)) = parse_task(task) else {
                         continue;
                     };
                     let mut rules = world.rules();
@@ -110,10 +110,10 @@
                         _ => None,
                     };
                     let state = match refused {
-                        Some(_) => TaskState::Exited,
-                        None => TaskState::Running,
+                        Some(_) => TaskPhase::Exited,
+                        None => TaskPhase::Running,
                     };
-                    world.note(|| format!("{} {piece} {attempt} {refused:?}", self.name));
+                    world.note(|| format!("{} {task} {attempt} {refused:?}", self.name));
                     if refused.is_none() {
                         let at = Place {
                             machine: &self.name,
@@ -123,11 +123,11 @@
                         };
                         rules.starts(uid, index, &at);
                     }
-                    let report = TaskReport {
-                        task: piece.clone(),
+                    let report = TaskStatus {
+                        task: task.clone(),
                         attempt: *attempt,
-                        state,
-                        cause: refused,
+                        phase: state,
+                        exit_cause: refused,
                         saved: None,
                     };
                     let runs = match service {
@@ -140,25 +140,25 @@
                         runs,
                     });
                 }
-                Command::Stop { piece, attempt, .. } => {
-                    self.exit(world, piece, *attempt, ExitCause::Stopped)
+                Command::Stop { task, attempt, .. } => {
+                    self.exit(world, task, *attempt, ExitCause::Stopped)
                 }
-                Command::Forget { piece, attempt } => self.tasks.retain(|t| {
-                    (&t.report.task, t.report.attempt) != (piece, *attempt)
-                        || t.report.state != TaskState::Exited
+                Command::Forget { task, attempt } => self.tasks.retain(|t| {
+                    (&t.report.task, t.report.attempt) != (task, *attempt)
+                        || t.report.phase != TaskPhase::Exited
                 }),
             }
         }
     }
 
-    fn exit(&mut self, world: &World, piece: &str, attempt: u64, cause: ExitCause) {
+    fn exit(&mut self, world: &World, task: &str, attempt: u64, cause: ExitCause) {
         for t in &mut self.tasks {
-            let it = t.report.task == piece && t.report.attempt == attempt;
-            if it && t.report.state != TaskState::Exited {
-                world.note(|| format!("{} {piece} {attempt} ends {cause:?}", self.name));
-                t.report.state = TaskState::Exited;
-                t.report.cause = Some(cause);
-                if let Some((uid, index)) = parse_task(piece) {
+            let it = t.report.task == task && t.report.attempt == attempt;
+            if it && t.report.phase != TaskPhase::Exited {
+                world.note(|| format!("{} {task} {attempt} ends {cause:?}", self.name));
+                t.report.phase = TaskPhase::Exited;
+                t.report.exit_cause = Some(cause);
+                if let Some((uid, index)) = parse_task(task) {
                     let done = cause == ExitCause::Done;
                     world.rules().gone(uid, index, &self.name, done);
                 }
@@ -177,13 +177,13 @@
     pub fn pass(&mut self, world: &World, lease: Duration) {
         self.lapse(world, lease);
         let over =
-            |t: &&Held| t.report.state == TaskState::Running && t.started.elapsed() >= t.runs;
+            |t: &&Held| t.report.phase == TaskPhase::Running && t.started.elapsed() >= t.runs;
         let done = self.tasks.iter().filter(over);
         let done: Vec<_> = done
             .map(|t| (t.report.task.clone(), t.report.attempt))
             .collect();
-        for (piece, attempt) in done {
-            self.exit(world, &piece, attempt, ExitCause::Done);
+        for (task, attempt) in done {
+            self.exit(world, &task, attempt, ExitCause::Done);
         }
     }
 
@@ -203,7 +203,7 @@
     }
 
     /// Direct commands: the status, and the report after them.
-    pub fn orders(&mut self, world: &World, orders: &DirectCommands) -> (u16, Report) {
+    pub fn orders(&mut self, world: &World, orders: &CommandBatch) -> (u16, Heartbeat) {
         if orders.token < self.token || orders.session != self.session {
             return (409, self.report());
         }
@@ -269,7 +269,7 @@
         let worker = &mut workers[index];
         match answer {
             Some((200, body)) if sent.elapsed() < Duration::from_secs(4) => {
-                let answer: Option<Answer> = serde_json::from_slice(&body).ok();
+                let answer: Option<HeartbeatResponse> = serde_json::from_slice(&body).ok();
                 if let Some(answer) = answer
                     && answer.token >= worker.token
                     && report.session == worker.session
@@ -281,7 +281,7 @@
                 }
             }
             Some((421, body)) => {
-                let to: Option<Elsewhere> = serde_json::from_slice(&body).ok();
+                let to: Option<Redirect> = serde_json::from_slice(&body).ok();
                 let named = to.and_then(|t| t.report_to);
                 (node, pause) = match named.and_then(|n| world.node_named(&n)) {
                     Some(named) if named != node => (named, ELSEWHERE),
