--- /dev/null
+++ b/crates/rushwalk/src/capacity.rs
@@ -0,0 +1,5 @@
+//! Placement and the number of machines.
+
+pub mod cloud;
+pub mod round;
+pub mod timelines;
--- a/crates/rushwalk/src/cloud.rs
+++ b/crates/rushwalk/src/capacity/cloud.rs
@@ -1,9 +1,9 @@
 //! The leader's dealings with the cloud: machine types, rentals, deletions and
 //! the list. What is asked of it was committed first.
 
-use crate::fleet::kind_of;
-use crate::leader::{append, commit};
-use crate::node::{Controller, WritePriority, lock, now_ms};
+use crate::capacity::round::kind_of;
+use crate::controller::{Controller, WritePriority, lock, now_ms};
+use crate::leadership::leader::{append, commit};
 use crate::view::{ClusterState, Name};
 use rushwalk_clients::cloud::RentOutcome;
 use rushwalk_protocol::cloud::{ListedState, MAX_DELETE, MAX_LIST, RentRequest};
--- a/crates/rushwalk/src/fleet.rs
+++ b/crates/rushwalk/src/capacity/round.rs
@@ -6,10 +6,10 @@
 mod placing;
 mod sizing;
 
-use crate::handover;
-use crate::leader::append;
-use crate::meter::WorkKind;
-use crate::node::{Controller, WritePriority, lock, now_ms};
+use crate::controller::{Controller, WritePriority, lock, now_ms};
+use crate::leadership::election;
+use crate::leadership::leader::append;
+use crate::observability::work_profile::WorkKind;
 use expecting::spare;
 pub use machines::{booting, boots, kind_of};
 use machines::{machines, scarcity};
@@ -73,7 +73,7 @@
         let view = node.view();
         let mut memory = lock(&node.leader_state);
         let mut ops = assign(&view, &round, &decisions, now, |block| {
-            handover::takes_more(node, &view, block)
+            election::takes_more(node, &view, block)
         });
         memory.pending_reasons = decisions.pending_reasons.into_iter().collect();
         ops.extend(overdue(&view, &mut memory, &mut round, &types, now));
--- a/crates/rushwalk/src/fleet/expecting.rs
+++ b/crates/rushwalk/src/capacity/round/expecting.rs
@@ -1,8 +1,8 @@
 //! What is expected to arrive, or to come back.
 
 use super::PLANNED_EACH;
-use crate::node::Controller;
-use crate::slots;
+use crate::capacity::timelines;
+use crate::controller::Controller;
 use crate::view::{ClusterState, Name};
 use rushwalk_protocol::jobs::{Priority, Shape};
 use rushwalk_protocol::records::{JobPhase, MachineTypes};
@@ -58,7 +58,7 @@
         };
         let latest = times.iter().rev().cycle();
         for (at, (_, spec)) in arrivals::arrivals(rate, slowest, z).into_iter().zip(latest) {
-            let mut phantom = slots::waiting(view, spec, types);
+            let mut phantom = timelines::waiting(view, spec, types);
             phantom.tasks = (0..spec.tasks.min(PLANNED_EACH as u32)).collect();
             // What is expected is no reason to go beyond a team's limit.
             out.push((at, phantom));
@@ -100,7 +100,7 @@
     let mut out = Vec::new();
     for (uid, (until, tasks)) in jobs {
         if let Some(job) = view.jobs.get(uid) {
-            let mut waiting = slots::waiting(view, &job.spec, types);
+            let mut waiting = timelines::waiting(view, &job.spec, types);
             waiting.tasks = tasks;
             out.push((until, waiting));
         }
--- a/crates/rushwalk/src/fleet/machines.rs
+++ b/crates/rushwalk/src/capacity/round/machines.rs
@@ -1,8 +1,8 @@
 //! What there is to place on: machines, those under way, and what may be rented.
 
-use crate::leader::{LeaderState, zone_of};
-use crate::node::Controller;
-use crate::slots;
+use crate::capacity::timelines;
+use crate::controller::Controller;
+use crate::leadership::leader::{LeaderState, zone_of};
 use crate::view::{ClusterState, Name};
 use rushwalk_protocol::cloud::{MAX_RENT, MachineType};
 use rushwalk_protocol::records::{MachineLifecycle, MachineRecord, MachineTypes, RentalRequest};
@@ -24,7 +24,7 @@
     now: u64,
 ) -> SchedulingRound<'a> {
     let seconds = now as f64 / 1000.0;
-    let zones = slots::zones(types, &node.settings.site);
+    let zones = timelines::zones(types, &node.settings.site);
     let mut round = SchedulingRound {
         planned_time: seconds,
         current_time: seconds,
@@ -52,7 +52,7 @@
                 ),
             };
             let times = (seconds, ready);
-            let slot = slots::slot(view, name, row, types, &round.zones, times);
+            let slot = timelines::slot(view, name, row, types, &round.zones, times);
             slot.into_iter().for_each(|slot| round.machines.push(slot));
         }
     }
--- a/crates/rushwalk/src/fleet/placing.rs
+++ b/crates/rushwalk/src/capacity/round/placing.rs
@@ -1,9 +1,9 @@
 //! What waits, in its order, and what becomes of it.
 
 use super::PLANNED_EACH;
-use crate::leader::{LISTED, LeaderState, zone_of};
-use crate::node::Controller;
-use crate::slots;
+use crate::capacity::timelines;
+use crate::controller::Controller;
+use crate::leadership::leader::{LISTED, LeaderState, zone_of};
 use crate::view::{ClusterState, Name};
 use rushwalk_protocol::jobs::{Priority, Shape};
 use rushwalk_protocol::records::{JobPhase, MachineTypes, Mutation, StopReason};
@@ -41,7 +41,7 @@
         let waiting = match &last {
             Some((name, waiting)) if *name == uid => waiting,
             _ => {
-                let waiting = slots::waiting(view, &job.spec, types);
+                let waiting = timelines::waiting(view, &job.spec, types);
                 &last.insert((uid, waiting)).1
             }
         };
@@ -134,7 +134,7 @@
             (_, RetryDecision::SingleProbe) => 1,
             _ => each,
         };
-        let mut waiting = slots::waiting(view, &spec, types);
+        let mut waiting = timelines::waiting(view, &spec, types);
         for t in job.tasks.values() {
             let machine = t.record.machine.as_ref().and_then(|m| view.machines.get(m));
             let zone = machine.map(|m| &*m.record.zone);
@@ -291,7 +291,7 @@
             if !known || memory.restarted_stragglers.contains(&name) {
                 continue;
             }
-            let mut probe = slots::waiting(view, spec, types);
+            let mut probe = timelines::waiting(view, spec, types);
             probe.avoided_machines.push(machine.clone());
             let Some((i, finish)) = round.best_machine(&probe, true) else {
                 continue;
--- a/crates/rushwalk/src/fleet/sizing.rs
+++ b/crates/rushwalk/src/capacity/round/sizing.rs
@@ -1,8 +1,8 @@
 //! What to rent, and what to give back.
 
-use crate::chance;
-use crate::leader::{LISTED, LeaderState, zone_of};
-use crate::slots;
+use crate::capacity::timelines;
+use crate::leadership::leader::{LISTED, LeaderState, zone_of};
+use crate::random;
 use crate::view::{ClusterState, Name};
 use rushwalk_protocol::cloud::MAX_RENT;
 use rushwalk_protocol::jobs::Shape;
@@ -66,7 +66,7 @@
             requested_ms: now,
         };
         tracing::info!(?rental, "renting");
-        let request: Name = format!("r-{:x}", chance::draw()).into();
+        let request: Name = format!("r-{:x}", random::draw()).into();
         memory
             .unsent_rentals
             .insert(request.clone(), (version, uptime));
@@ -227,7 +227,7 @@
         if !service {
             continue;
         }
-        let mut waiting = slots::waiting(view, &job.spec, types);
+        let mut waiting = timelines::waiting(view, &job.spec, types);
         for (i, t) in &job.tasks {
             if i != index {
                 waiting.tasks_per_zone.add(zone_of(&t.record.shard));
--- a/crates/rushwalk/src/node.rs
+++ b/crates/rushwalk/src/controller.rs
@@ -1,17 +1,17 @@
 //! What all loops of one controller share.
 
-use crate::chance;
-use crate::leader::LeaderState;
-use crate::load::RuntimeLag;
+use crate::http::connections::ConnectionTable;
+use crate::leadership::leader::LeaderState;
 pub use crate::lock::lock;
-use crate::log::{EntryKeyAllocator, PendingWrite};
-use crate::meter::WorkProfile;
-use crate::recovery::IncidentRecorder;
-use crate::reports::WorkerRegistry;
-use crate::seats::ConnectionTable;
-use crate::signal::Observable;
+use crate::observability::incidents::IncidentRecorder;
+use crate::observability::runtime_lag::RuntimeLag;
+use crate::observability::work_profile::WorkProfile;
+use crate::observable::Observable;
+use crate::random;
+use crate::store::log_writer::{EntryKeyAllocator, PendingWrite};
 use crate::view::ClusterState;
 use crate::view::served::JobCounts;
+use crate::workers::registry::WorkerRegistry;
 use rushwalk_clients::rate_limiter::RateLimiter;
 use rushwalk_clients::store::{CommitOutcome, StoreClient};
 use rushwalk_clients::{HttpClient, cloud::CloudClient, peers::PeerClient, workers::WorkerClient};
@@ -128,7 +128,7 @@
 /// pause, and its random numbers follow a seed.
 pub fn virtual_time(seed: u64) {
     VIRTUAL.set(Some(Instant::now()));
-    chance::seed(seed);
+    random::seed(seed);
 }
 
 /// The time of day, in milliseconds.
@@ -171,20 +171,20 @@
 /// Starts all loops of a controller.
 pub fn start(node: &Arc<Controller>) -> Vec<tokio::task::JoinHandle<()>> {
     let mut loops = vec![
-        tokio::spawn(crate::sync::watch_loop(node.clone())),
-        tokio::spawn(crate::sync::fresh_loop(node.clone())),
-        tokio::spawn(crate::sync::member_loop(node.clone())),
-        tokio::spawn(crate::holder::holder_loop(node.clone())),
-        tokio::spawn(crate::holder::fence_loop(node.clone())),
-        tokio::spawn(crate::leader::leader_loop(node.clone())),
-        tokio::spawn(crate::leader::lend_loop(node.clone())),
-        tokio::spawn(crate::cloud::rent_loop(node.clone())),
-        tokio::spawn(crate::cloud::return_loop(node.clone())),
-        tokio::spawn(crate::cloud::list_loop(node.clone())),
-        tokio::spawn(crate::snapshot::snapshot_loop(node.clone())),
-        tokio::spawn(crate::mesh::hello_loop(node.clone())),
-        tokio::spawn(crate::handover::standing_loop(node.clone())),
-        tokio::spawn(crate::handover::lead_loop(node.clone())),
+        tokio::spawn(crate::store::replica::watch_loop(node.clone())),
+        tokio::spawn(crate::store::replica::fresh_loop(node.clone())),
+        tokio::spawn(crate::store::replica::member_loop(node.clone())),
+        tokio::spawn(crate::shards::ownership::holder_loop(node.clone())),
+        tokio::spawn(crate::shards::ownership::fence_loop(node.clone())),
+        tokio::spawn(crate::leadership::leader::leader_loop(node.clone())),
+        tokio::spawn(crate::leadership::leader::lend_loop(node.clone())),
+        tokio::spawn(crate::capacity::cloud::rent_loop(node.clone())),
+        tokio::spawn(crate::capacity::cloud::return_loop(node.clone())),
+        tokio::spawn(crate::capacity::cloud::list_loop(node.clone())),
+        tokio::spawn(crate::store::snapshot::snapshot_loop(node.clone())),
+        tokio::spawn(crate::http::peers::hello_loop(node.clone())),
+        tokio::spawn(crate::leadership::election::standing_loop(node.clone())),
+        tokio::spawn(crate::leadership::election::lead_loop(node.clone())),
         tokio::spawn(tell_loop(node.clone())),
         tokio::spawn(node.runtime_lag.clone().watch_loop()),
         tokio::spawn(
@@ -192,10 +192,13 @@
                 .clone()
                 .sweep_loop(node.timing.worker_lease),
         ),
-        tokio::spawn(crate::recovery::recovery_loop(node.clone())),
+        tokio::spawn(crate::observability::incidents::recovery_loop(node.clone())),
     ];
     if let Some(queue) = lock(&node.user_write_queue).take() {
-        loops.push(tokio::spawn(crate::log::users_loop(node.clone(), queue)));
+        loops.push(tokio::spawn(crate::store::log_writer::users_loop(
+            node.clone(),
+            queue,
+        )));
     }
     loops
 }
@@ -245,7 +248,7 @@
         let peers = settings.peers.iter().map(|p| p.member.as_str());
         let detector = FailureDetector::new(limits, peers, 0.0);
         Ok(Arc::new(Controller {
-            incarnation: chance::nonce(),
+            incarnation: random::nonce(),
             store: StoreClient::new(http.clone(), state),
             cloud: CloudClient::new(http.clone(), cloud, settings.site.cloud.rps),
             workers: WorkerClient::new(http.clone(), kept(settings.site.limits.fd_limit)),
--- a/crates/rushwalk/src/admin.rs
+++ b/crates/rushwalk/src/http/admin.rs
@@ -1,7 +1,7 @@
 //! The administration API, on the mesh address only: what an on-call person
 //! asks first. Read-only.
 
-use crate::node::{Controller, lock};
+use crate::controller::{Controller, lock};
 use poem::web::{Data, Query};
 use poem::{Response, handler};
 use rushwalk_clients::{HttpClient, Method};
@@ -36,7 +36,7 @@
 /// Leader, members, grants, machines by zone and type, waiting jobs by reason.
 #[handler]
 pub async fn status(node: Data<&Arc<Controller>>) -> Response {
-    let own = crate::handover::own(&node);
+    let own = crate::leadership::election::own(&node);
     let view = node.view();
     let mut groups: BTreeMap<(&str, &str, bool), MachineCounts> = BTreeMap::new();
     for row in view.machines.values() {
--- a/crates/rushwalk/src/gate.rs
+++ b/crates/rushwalk/src/http/admission.rs
@@ -11,7 +11,7 @@
 //! and the users' health probe waited behind them until its node counted as dead.
 //! Who has waited for as long as callers wait is let go.
 
-use crate::seats::{ConnectionTable, TrackedConnection};
+use crate::http::connections::{ConnectionTable, TrackedConnection};
 use poem::http::uri::Scheme;
 use poem::listener::{Acceptor, Listener};
 use poem::web::{LocalAddr, RemoteAddr};
--- a/crates/rushwalk/src/mesh.rs
+++ b/crates/rushwalk/src/http/peers.rs
@@ -1,8 +1,8 @@
 //! What controllers tell each other. It only helps; nothing relies on it.
 
-use crate::api;
-use crate::handover;
-use crate::node::{Controller, lock};
+use crate::controller::{Controller, lock};
+use crate::http::users;
+use crate::leadership::election;
 use poem::http::StatusCode;
 use poem::web::Data;
 use poem::{Body, Endpoint, EndpointExt, Response, Route, get, handler, post};
@@ -22,8 +22,8 @@
         .at("/mesh/hello", post(greet))
         .at("/mesh/job", post(job))
         .at("/mesh/change", post(take_change))
-        .at("/admin/status", get(crate::admin::status))
-        .at("/admin/machines", get(crate::admin::page))
+        .at("/admin/status", get(crate::http::admin::status))
+        .at("/admin/machines", get(crate::http::admin::page))
         .data(node)
 }
 
@@ -39,17 +39,17 @@
         incarnation: node.incarnation,
         lag_ms: node.runtime_lag.mean_lag().as_millis() as u64,
         busy_permille: node.busy_permille.load(Ordering::Relaxed),
-        last_round_ms: handover::planned(node).map(|age| age.as_millis() as u64),
+        last_round_ms: election::planned(node).map(|age| age.as_millis() as u64),
         round_interval_ms: lock(&node.round_interval).as_millis() as u64,
         observations: sights,
-        unreachable_shards: handover::deaf(node),
+        unreachable_shards: election::deaf(node),
         misrouted_workers: strays,
     }
 }
 
 #[handler]
 async fn greet(body: Body, node: Data<&Arc<Controller>>) -> Response {
-    let body = match api::bytes(body).await {
+    let body = match users::bytes(body).await {
         Ok(body) => body,
         Err(response) => return response,
     };
@@ -62,7 +62,7 @@
 
 #[handler]
 async fn job(body: Body, node: Data<&Arc<Controller>>) -> Response {
-    let body = match api::bytes(body).await {
+    let body = match users::bytes(body).await {
         Ok(body) => body,
         Err(response) => return response,
     };
@@ -101,8 +101,8 @@
     };
     // Carried out here or not at all: a change is passed on once.
     let answer = match decode::<ForwardedRequest>(&body) {
-        Some(ForwardedRequest::Submit(body)) => api::submit_here(&node, &body).await,
-        Some(ForwardedRequest::Cancel(uid)) => api::cancel_here(&node, &uid).await,
+        Some(ForwardedRequest::Submit(body)) => users::submit_here(&node, &body).await,
+        Some(ForwardedRequest::Cancel(uid)) => users::cancel_here(&node, &uid).await,
         None => return Response::builder().status(StatusCode::BAD_REQUEST).finish(),
     };
     let status = answer.status().as_u16();
--- a/crates/rushwalk/src/api.rs
+++ b/crates/rushwalk/src/http/users.rs
@@ -3,10 +3,10 @@
 #[cfg(test)]
 mod tests;
 
-use crate::mesh;
-use crate::meter::WorkKind;
-use crate::node::{Controller, lock, now_ms};
-use crate::reports::{self, HeartbeatReply};
+use crate::controller::{Controller, lock, now_ms};
+use crate::http::peers;
+use crate::observability::work_profile::WorkKind;
+use crate::workers::registry::{self, HeartbeatReply};
 use poem::http::StatusCode;
 use poem::web::{Data, Path, RemoteAddr};
 use poem::{Body, Endpoint, EndpointExt, IntoResponse, Response, Route, get, handler, post};
@@ -142,7 +142,7 @@
 
 /// A peer's answer in place of ours, which would be 503.
 async fn passed_on(node: &Controller, change: &ForwardedRequest) -> Response {
-    match mesh::pass_on(node, change).await {
+    match peers::pass_on(node, change).await {
         Some(answer) if answer.status == 429 => too_many(node),
         Some(answer) => Response::builder()
             .status(StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY))
@@ -251,7 +251,7 @@
         Err(_) => tokio::select! {
             biased;
             read = &mut fresh => read,
-            answer = mesh::ask_peers(node, uid) => match answer {
+            answer = peers::ask_peers(node, uid) => match answer {
                 Some(answer) => return told(node, answer.status),
                 None => fresh.await,
             },
@@ -262,7 +262,7 @@
         return told(node, state);
     }
     if cut_off(node)
-        && let Some(answer) = mesh::ask_peers(node, uid).await
+        && let Some(answer) = peers::ask_peers(node, uid).await
     {
         return told(node, answer.status);
     }
@@ -315,7 +315,7 @@
 
 #[handler]
 async fn health(node: Data<&Arc<Controller>>) -> Response {
-    match mesh::healthy(&node) {
+    match peers::healthy(&node) {
         true => "ok".into_response(),
         false => not_now(&node, "no contact with the state service"),
     }
@@ -334,7 +334,7 @@
         Ok(report) => report,
         Err(error) => return refuse(StatusCode::BAD_REQUEST, error.to_string()),
     };
-    match reports::beat(&node, &report) {
+    match registry::beat(&node, &report) {
         HeartbeatReply::Accepted(answer) => json(StatusCode::OK, &answer),
         HeartbeatReply::Redirected(report_to) => {
             json(StatusCode::MISDIRECTED_REQUEST, &Redirect { report_to })
--- a/crates/rushwalk/src/handover.rs
+++ b/crates/rushwalk/src/leadership/election.rs
@@ -2,8 +2,8 @@
 //! blocks whose holder does not hear them. The judgement itself is in
 //! `crates/failure-detector`; here it meets the view and the state service.
 
-use crate::chance;
-use crate::node::{Controller, WritePriority, lock, now_ms};
+use crate::controller::{Controller, WritePriority, lock, now_ms};
+use crate::random;
 use crate::view::{ClusterState, Name};
 use rushwalk_clients::store::CommitOutcome;
 use rushwalk_failure_detector::damping::MembershipTerm;
@@ -415,7 +415,7 @@
         // A leader that was no member as yet lent all blocks to others.
         return;
     }
-    let nonce = chance::nonce();
+    let nonce = random::nonce();
     let led;
     let txn = {
         let view = node.view();
--- a/crates/rushwalk/src/leader.rs
+++ b/crates/rushwalk/src/leadership/leader.rs
@@ -2,11 +2,11 @@
 //! the teams' limits, and sizing the fleet. Every commit is conditioned on the
 //! version of the leader key.
 
-use crate::fleet;
-use crate::handover::{self, ShardReachability};
-use crate::meter::WorkKind;
-use crate::node::{Controller, WritePriority, lock, now_ms};
-use crate::slots;
+use crate::capacity::round;
+use crate::capacity::timelines;
+use crate::controller::{Controller, WritePriority, lock, now_ms};
+use crate::leadership::election::{self, ShardReachability};
+use crate::observability::work_profile::WorkKind;
 use crate::view::{ClusterState, JobState, Name, TaskState};
 use rushwalk_clients::store::CommitOutcome;
 use rushwalk_protocol::jobs::Shape;
@@ -190,7 +190,7 @@
     if !leads(node) {
         return;
     }
-    ops = fleet::plan(node, version).await;
+    ops = round::plan(node, version).await;
     append(node, version, &ops, WritePriority::WorkKind).await;
 }
 
@@ -279,7 +279,7 @@
         .filter(|(age, _)| *age < grace);
     let busy = busy.map(|(_, hello)| hello.busy_permille);
     let own = node.busy_permille.load(Ordering::Relaxed);
-    let roomy = handover::roomy(busy.chain([own]));
+    let roomy = election::roomy(busy.chain([own]));
     let returns = |g: &rec::ShardLease| {
         !roomy && view.is_owner_registered(g) && detector.failed_by_refusal(&g.owner, g.incarnation)
     };
@@ -363,7 +363,7 @@
             && strayed.contains(block)
             && let Some((_, grant)) = view.shard_leases.get(block)
         {
-            handover::lost_reach(node, &grant.owner, grant.incarnation);
+            election::lost_reach(node, &grant.owner, grant.incarnation);
             memory
                 .owner_cut_off
                 .insert(grant.owner.clone(), Instant::now());
@@ -508,7 +508,7 @@
         return true;
     }
     row.record.reclaim_ms.is_some_and(|taken| {
-        let end = slots::predicted_end(view, job, t, row, now as f64 / 1000.0);
+        let end = timelines::predicted_end(view, job, t, row, now as f64 / 1000.0);
         job.spec.checkpoint_s > 0.0 || end > taken as f64 / 1000.0
     })
 }
@@ -528,9 +528,9 @@
     let Some(types) = view.machine_types.clone() else {
         return BTreeSet::new();
     };
-    let zones = slots::zones(&types, &node.settings.site);
+    let zones = timelines::zones(&types, &node.settings.site);
     let report_s = node.timing.heartbeat.as_secs_f64();
-    memory.boot_times = fleet::boots(view, memory, &types, &zones, (now, report_s));
+    memory.boot_times = round::boots(view, memory, &types, &zones, (now, report_s));
     // Who has just come to lead does not know what the holders are about to say.
     let settled = memory
         .leader_since
@@ -550,7 +550,7 @@
         if m.ready_ms.is_some() || m.lifecycle == MachineLifecycle::Deleting || !held() {
             continue;
         }
-        let Some((group, kind)) = fleet::booting(m, &types, &zones) else {
+        let Some((group, kind)) = round::booting(m, &types, &zones) else {
             continue;
         };
         match memory
@@ -582,7 +582,7 @@
     }
     for m in out.iter().filter_map(|name| view.machines.get(name)) {
         let m = &m.record;
-        if let Some((group, kind)) = fleet::booting(m, &types, &zones) {
+        if let Some((group, kind)) = round::booting(m, &types, &zones) {
             let seen = BootSample {
                 rented_s: m.rented_ms as f64 / 1000.0,
                 elapsed_s: now.saturating_sub(m.rented_ms) as f64 / 1000.0,
--- a/crates/rushwalk/src/main.rs
+++ b/crates/rushwalk/src/main.rs
@@ -2,9 +2,9 @@
 
 use clap::{Parser, Subcommand};
 use poem::listener::TcpListener;
-use rushwalk::gate::{AdmissionLimits, AdmissionListener};
-use rushwalk::node::{self, Controller};
-use rushwalk::{admin, api, mesh};
+use rushwalk::controller::{self, Controller};
+use rushwalk::http::admission::{AdmissionLimits, AdmissionListener};
+use rushwalk::http::{admin, peers, users};
 use rushwalk_clients::HttpClient;
 use rushwalk_protocol::settings::Settings;
 use std::path::PathBuf;
@@ -128,11 +128,11 @@
 async fn serve(settings: Settings) -> Result<(), String> {
     let public = settings.public_addr.clone();
     let mesh = settings.mesh_addr.clone();
-    let http = HttpClient::new(node::kept(settings.site.limits.fd_limit));
+    let http = HttpClient::new(controller::kept(settings.site.limits.fd_limit));
     let node = Controller::new(settings, http).map_err(|e| e.to_string())?;
     tracing::info!(member = node.member(), nonce = node.incarnation, "started");
-    let _loops = node::start(&node);
-    let mesh = poem::Server::new(TcpListener::bind(mesh)).run(mesh::routes(node.clone()));
+    let _loops = controller::start(&node);
+    let mesh = poem::Server::new(TcpListener::bind(mesh)).run(peers::routes(node.clone()));
     let public = async {
         // Until the view is there nobody can be served. Behind a closed port the
         // workers of a whole fleet, who ask again each second, cost nothing; at
@@ -149,7 +149,7 @@
         let listener =
             AdmissionListener::new(TcpListener::bind(public), node.connections.clone(), limits);
         poem::Server::new(listener)
-            .run(api::routes(node.clone()))
+            .run(users::routes(node.clone()))
             .await
     };
     let (public, mesh) = tokio::join!(public, mesh);
--- /dev/null
+++ b/crates/rushwalk/src/observability.rs
@@ -0,0 +1,6 @@
+//! What a controller reports about itself: where its time goes, whether it keeps up, and
+//! how long it did not serve as usual.
+
+pub mod incidents;
+pub mod runtime_lag;
+pub mod work_profile;
--- a/crates/rushwalk/src/recovery.rs
+++ b/crates/rushwalk/src/observability/incidents.rs
@@ -1,7 +1,7 @@
 //! How long troubles last: since when this controller has not served as usual, what
 //! of it is to blame, and how long the last trouble took to be over.
 
-use crate::node::{Controller, lock};
+use crate::controller::{Controller, lock};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- /dev/null
+++ b/crates/rushwalk/src/shards.rs
@@ -0,0 +1,3 @@
+//! Shards: who owns them, and what their owner does.
+
+pub mod ownership;
--- a/crates/rushwalk/src/holder.rs
+++ b/crates/rushwalk/src/shards/ownership.rs
@@ -4,11 +4,11 @@
 #[cfg(test)]
 mod tests;
 
-use crate::meter::WorkKind;
-use crate::node::{Controller, WritePriority, lock, now_ms};
-use crate::reports::{WorkerRegistry, WorkerSession, commands};
-use crate::slots;
+use crate::capacity::timelines;
+use crate::controller::{Controller, WritePriority, lock, now_ms};
+use crate::observability::work_profile::WorkKind;
 use crate::view::{ClusterState, MachineState, Name};
+use crate::workers::registry::{WorkerRegistry, WorkerSession, commands};
 use rushwalk_clients::Error;
 use rushwalk_clients::store::CommitOutcome;
 use rushwalk_protocol::jobs::Shape;
@@ -359,7 +359,7 @@
     }
     let now = now_ms();
     let seconds = now as f64 / 1000.0;
-    let zones = slots::zones(&types, &node.settings.site);
+    let zones = timelines::zones(&types, &node.settings.site);
     let mut placed: BTreeMap<(Name, u64), Vec<(u32, Name)>> = BTreeMap::new();
     for (block, mut tasks) in wanted {
         tasks.sort();
@@ -384,7 +384,7 @@
                 && m.ready_ms.is_some()
                 && m.unreachable_since_ms.is_none()
             {
-                let slot = slots::slot(view, name, row, &types, &zones, (seconds, seconds));
+                let slot = timelines::slot(view, name, row, &types, &zones, (seconds, seconds));
                 slot.into_iter().for_each(|slot| round.machines.push(slot));
             }
         }
@@ -394,7 +394,7 @@
             let Some(job) = view.jobs.get(uid) else {
                 continue;
             };
-            let mut waiting = slots::waiting(view, &job.spec, &types);
+            let mut waiting = timelines::waiting(view, &job.spec, &types);
             waiting.tasks = some.iter().map(|t| t.3).collect();
             waiting.avoided_machines = job.failures.machines.clone();
             let hints: Vec<_> = some
--- a/crates/rushwalk/src/size.rs
+++ b/crates/rushwalk/src/size.rs
@@ -1,6 +1,6 @@
 //! What a controller holds at full size, by counted allocations.
 
-use crate::log;
+use crate::store::log_writer;
 use crate::view::{ClusterState, Name};
 use rushwalk_protocol::jobs::JobSpec;
 use rushwalk_protocol::records::{
@@ -71,7 +71,7 @@
 
 /// The same records as the state service would list them.
 fn listing(view: &ClusterState) -> Vec<KeyValue> {
-    let packed = log::pack(&view.to_mutations(), 16_000);
+    let packed = log_writer::pack(&view.to_mutations(), 16_000);
     let base = SnapshotManifest {
         revision: 9,
         generation: 1,
@@ -84,7 +84,7 @@
     };
     let chunks = packed.iter().enumerate().map(|(i, text)| KeyValue {
         key: rec::chunk_key(1, i),
-        value: log::value(9, text).unwrap(),
+        value: log_writer::value(9, text).unwrap(),
         version: 10,
     });
     std::iter::once(head).chain(chunks).collect()
--- a/crates/rushwalk/src/log.rs
+++ b/crates/rushwalk/src/store/log_writer.rs
@@ -3,7 +3,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::node::{Controller, WritePriority, lock};
+use crate::controller::{Controller, WritePriority, lock};
 use crate::view::ClusterState;
 use rushwalk_clients::Error;
 use rushwalk_clients::store::CommitOutcome;
--- a/crates/rushwalk/src/sync.rs
+++ b/crates/rushwalk/src/store/replica.rs
@@ -1,7 +1,7 @@
 //! Keeping the view new, and the member lease and key alive.
 
-use crate::meter::WorkKind;
-use crate::node::{Controller, WritePriority, lock, now_ms};
+use crate::controller::{Controller, WritePriority, lock, now_ms};
+use crate::observability::work_profile::WorkKind;
 use crate::view::ClusterState;
 use rushwalk_clients::Error;
 use rushwalk_clients::store::CommitOutcome;
--- a/crates/rushwalk/src/snapshot.rs
+++ b/crates/rushwalk/src/store/snapshot.rs
@@ -1,10 +1,10 @@
 //! Snapshots: the leader writes down what the log has come to, so that its keys
 //! can be used again and a controller that starts has little to read.
 
-use crate::leader::judge;
-use crate::log;
-use crate::meter::WorkKind;
-use crate::node::{Controller, WritePriority};
+use crate::controller::{Controller, WritePriority};
+use crate::leadership::leader::judge;
+use crate::observability::work_profile::WorkKind;
+use crate::store::log_writer;
 use rushwalk_clients::store::CommitOutcome;
 use rushwalk_protocol::records::{self as rec, LEADER, SnapshotManifest};
 use rushwalk_protocol::store::{Transaction, Write};
@@ -61,7 +61,7 @@
     for some in ops.chunks(AT_ONCE) {
         let mut turn = node.work_profile.start(WorkKind::Snapshot);
         turn.add_items(some.len());
-        log::pack_more(&mut packed, some, node.packed_limit());
+        log_writer::pack_more(&mut packed, some, node.packed_limit());
         drop(turn);
         yield_now().await;
     }
@@ -82,7 +82,7 @@
             };
             txn.writes.push(Write {
                 put: Some(rec::chunk_key(base.generation, i)),
-                value: log::value(base.revision, text),
+                value: log_writer::value(base.revision, text),
                 ..Write::default()
             });
         }
--- a/crates/rushwalk/src/view.rs
+++ b/crates/rushwalk/src/view.rs
@@ -12,7 +12,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::chance::SeededMap;
+use crate::random::SeededMap;
 use rushwalk_protocol::jobs::{JobSpec, JobStatus, Priority, StatusPhase};
 use rushwalk_protocol::records::{
     self as rec, FailureHistory, JobPhase, LogEntry, MachineRecord, RentalRequest,
--- /dev/null
+++ b/crates/rushwalk/src/workers.rs
@@ -0,0 +1,3 @@
+//! What is known of workers, and what they are told.
+
+pub mod registry;
--- a/crates/rushwalk/src/reports.rs
+++ b/crates/rushwalk/src/workers/registry.rs
@@ -3,8 +3,8 @@
 #[cfg(test)]
 mod tests;
 
-use crate::handover;
-use crate::node::{Controller, Timing, lock, now_ms};
+use crate::controller::{Controller, Timing, lock, now_ms};
+use crate::leadership::election;
 use crate::view::{ClusterState, Name};
 use rushwalk_protocol::jobs::{parse_task, task_name};
 use rushwalk_protocol::records::JobPhase;
@@ -398,7 +398,7 @@
                     let now = node.uptime_s();
                     lock(&node.misrouted).record(now, block, *token, name);
                 }
-                HeartbeatReply::Redirected(handover::steward(node, block, grant))
+                HeartbeatReply::Redirected(election::steward(node, block, grant))
             }
             _ => {
                 // Not entitled to answer, but it shows that the worker lives.
--- a/crates/rushwalk/src/reports/tests.rs
+++ b/crates/rushwalk/src/workers/registry/tests.rs
@@ -4,7 +4,7 @@
 /// Declaring tasks gone a moment too soon would run them twice.
 #[tokio::test(start_paused = true)]
 async fn a_lease_is_over_only_when_nobody_can_have_renewed_it() {
-    let text = include_str!("../../../protocol/tests/settings.toml");
+    let text = include_str!("../../../../protocol/tests/settings.toml");
     let settings = rushwalk_protocol::settings::Settings::parse(text).unwrap();
     let times = Timing::new(&settings);
     let (lease, loan) = (times.worker_lease, times.lease_validity);
@@ -41,7 +41,7 @@
 /// its answer may have come through: only the next report tells, not a copy of the last.
 #[tokio::test(start_paused = true)]
 async fn a_lease_lapses_only_if_a_newer_report_shows_that_no_answer_came_through() {
-    let text = include_str!("../../../protocol/tests/settings.toml");
+    let text = include_str!("../../../../protocol/tests/settings.toml");
     let settings = rushwalk_protocol::settings::Settings::parse(text).unwrap();
     let times = Timing::new(&settings);
     let (lease, loan) = (times.worker_lease, times.lease_validity);
@@ -95,7 +95,7 @@
 /// A block that comes back to a holder brings what it last knew of its machines.
 #[tokio::test(start_paused = true)]
 async fn what_was_known_under_an_earlier_token_makes_no_machine_mute() {
-    let text = include_str!("../../../protocol/tests/settings.toml");
+    let text = include_str!("../../../../protocol/tests/settings.toml");
     let settings = rushwalk_protocol::settings::Settings::parse(text).unwrap();
     let times = Timing::new(&settings);
     let mut worker = WorkerSession {
--- a/crates/simulator/src/cluster.rs
+++ b/crates/simulator/src/cluster.rs
@@ -2,8 +2,8 @@
 
 use poem::endpoint::{BoxEndpoint, EndpointExt};
 use poem::{Endpoint, Response};
-use rushwalk::node::{Controller, start, virtual_time};
-use rushwalk::{api, mesh};
+use rushwalk::controller::{Controller, start, virtual_time};
+use rushwalk::http::{peers, users};
 use rushwalk_clients::HttpClient;
 use rushwalk_protocol::jobs::{JobSpec, JobStatus, StatusPhase};
 use rushwalk_protocol::settings::{PeerSettings, Settings, Team};
@@ -231,8 +231,8 @@
             alive: alive.clone(),
         };
         let node = Controller::new(self.settings(i), HttpClient::over(Arc::new(link))).unwrap();
-        let public = api::routes(node.clone()).map_to_response().boxed();
-        let between = mesh::routes(node.clone()).map_to_response().boxed();
+        let public = users::routes(node.clone()).map_to_response().boxed();
+        let between = peers::routes(node.clone()).map_to_response().boxed();
         self.world.clear(Fault::Dead(i));
         self.world.open(i, node.member(), door(public));
         self.world.open_mesh(i, door(between));
--- a/crates/simulator/src/failover.rs
+++ b/crates/simulator/src/failover.rs
@@ -4,8 +4,8 @@
 use crate::cluster::job;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
-use rushwalk::handover;
-use rushwalk::node::{Controller, lock};
+use rushwalk::controller::{Controller, lock};
+use rushwalk::leadership::election;
 use rushwalk_failure_detector::{PeerHealth, SuspicionReason};
 use rushwalk_testkit::Fault;
 use serde::Serialize;
@@ -173,7 +173,7 @@
     }
 
     fn standings(&mut self, i: usize, node: &Arc<Controller>) {
-        let own = handover::own(node);
+        let own = election::own(node);
         let told = lock(&node.detector).statuses(node.uptime_s(), own);
         for peer in told
             .into_iter()
--- a/crates/simulator/src/fault_search.rs
+++ b/crates/simulator/src/fault_search.rs
@@ -9,7 +9,7 @@
 use clap::ValueEnum;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
-use rushwalk::signal::Observable;
+use rushwalk::observable::Observable;
 use rushwalk_protocol::jobs::{JobSpec, JobStatus, StatusPhase};
 use rushwalk_testkit::{Fault, Request, World, ZONES};
 use serde::Serialize;
--- a/crates/simulator/tests/days.rs
+++ b/crates/simulator/tests/days.rs
@@ -1,7 +1,7 @@
 //! Days on paused time: whole controllers against the stand-ins, with crashes,
 //! cuts, lost answers and late messages. The protocol's rules must hold.
 
-use rushwalk::meter::WorkKind;
+use rushwalk::observability::work_profile::WorkKind;
 use rushwalk_protocol::jobs::StatusPhase;
 use rushwalk_simulator::{Setup, Site as Day};
 use rushwalk_testkit::Fault;
@@ -467,6 +467,6 @@
         .grant_lease(node.timing.member_lease)
         .await
         .unwrap();
-    rushwalk::handover::elect(node, lease).await;
+    rushwalk::leadership::election::elect(node, lease).await;
     assert!(!day.world.holds("w/leader"));
 }
--- a/crates/simulator/tests/real_machines.rs
+++ b/crates/simulator/tests/real_machines.rs
@@ -153,7 +153,7 @@
     }
     day.pass(20).await;
     // Every controller knows the same jobs, and what became of them.
-    let known = |node: &rushwalk::node::Controller| -> Vec<_> {
+    let known = |node: &rushwalk::controller::Controller| -> Vec<_> {
         let view = node.view();
         day.jobs.keys().map(|uid| view.job_status(uid)).collect()
     };
