--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -5,6 +5,7 @@
 //! service can use as well.
 
 pub mod cloud;
+pub mod ids;
 pub mod jobs;
 pub mod peers;
 pub mod records;
--- /dev/null
+++ b/crates/state/src/cluster_state/apply.rs
@@ -0,0 +1,43 @@
+//! The one place where mutations take effect.
+
+use super::ClusterState;
+use crate::mutation::Mutation;
+use crate::{Revision, UnixMillis};
+
+impl ClusterState {
+    /// Applies a mutation of the entry that was committed at `revision`. Anything whose
+    /// preconditions no longer hold is left out.
+    pub fn apply(&mut self, mutation: Mutation, revision: Revision, now_ms: UnixMillis) {
+        match mutation {
+            Mutation::Submit(submit) => self.submit(submit, now_ms),
+            Mutation::Cancel(job) => self.cancel(&job),
+            Mutation::Assign(assign) => self.assign(assign, revision),
+            Mutation::Place(place) => self.place(place),
+            Mutation::Started(started) => self.mark_tasks_started(&started),
+            Mutation::Ended(ended) => self.end_tasks(&ended),
+            Mutation::Stop(stop) => self.stop_tasks(&stop),
+            Mutation::Unassign(unassign) => self.unassign(&unassign),
+            Mutation::RequestRental(rental) => {
+                self.rentals.entry(rental.rental).or_insert(rental.request);
+            }
+            Mutation::RentalRefused(rental) => {
+                self.rentals.remove(&rental);
+            }
+            Mutation::RentalFulfilled(fulfilled) => self.add_rented_machines(fulfilled),
+            Mutation::MachineAdopted(adopted) => self.add_machine(adopted.machine, adopted.record),
+            Mutation::SetLifecycle(change) => self.set_lifecycle(&change),
+            Mutation::MachinesDeleted(machines) => {
+                machines.iter().for_each(|id| self.remove_machine(id));
+            }
+            Mutation::MachinesReady(ready) => self.mark_ready(ready),
+            Mutation::ReclaimNotice(notice) => self.record_reclaim_notice(&notice),
+            Mutation::MachinesUnreachable(unreachable) => self.mark_unreachable(&unreachable),
+            Mutation::MachinesReachable(machines) => self.mark_reachable(&machines),
+            Mutation::RestoreFinished(finished) => self.restore_finished(finished),
+            Mutation::RestoreTerminating(job) => self.restore_terminating(job),
+            Mutation::RestoreCompleted(completed) => self.restore_completed(&completed),
+            Mutation::RestoreTasks(tasks) => self.restore_tasks(tasks),
+            Mutation::RestoreFailures(failures) => self.restore_failures(failures),
+        }
+    }
+}
--- /dev/null
+++ b/crates/state/src/cluster_state/jobs.rs
@@ -0,0 +1,141 @@
+//! Jobs: accepted, cancelled, done.
+
+use super::machines::intern_image;
+use super::{Arrival, ClusterState, FinishedJobState, JobState, QueueKey};
+use crate::UnixMillis;
+use crate::mutation::SubmitJob;
+use crate::records::{FailureHistory, JobPhase};
+use crate::service_counts::ServiceCounts;
+use crate::task_bitmap::TaskBitmap;
+use rushwalk_protocol::ids::JobId;
+use std::collections::BTreeMap;
+
+/// Arrivals kept per class.
+const MAX_ARRIVALS: usize = 512;
+
+/// Arrivals older than this say nothing about those to come.
+const MAX_ARRIVAL_AGE_MS: UnixMillis = 600_000;
+
+impl JobState {
+    /// The job's place in the queue.
+    fn queue_key(&self, job: JobId) -> QueueKey {
+        QueueKey {
+            priority: self.spec.priority,
+            accepted_ms: self.accepted_ms,
+            job,
+        }
+    }
+
+    /// Notes that a task of the job was seen running.
+    pub(super) fn mark_started(&mut self, counts: &mut ServiceCounts) {
+        if !std::mem::replace(&mut self.started, true) {
+            counts.update(&self.spec, |counts| counts.started += 1);
+        }
+    }
+}
+
+impl ClusterState {
+    pub(super) fn submit(&mut self, submit: SubmitJob, now_ms: UnixMillis) {
+        let SubmitJob { spec, accepted_ms } = submit;
+        let id: JobId = spec.id.as_str().into();
+        if self.knows_job(&id) {
+            return;
+        }
+        if accepted_ms + MAX_ARRIVAL_AGE_MS > now_ms {
+            self.record_arrival(Arrival {
+                accepted_ms,
+                spec: spec.clone(),
+            });
+        }
+        intern_image(&mut self.image_ids, &spec.image);
+        self.service_counts
+            .update(&spec, |counts| counts.accepted += 1);
+        let job = JobState {
+            spec,
+            phase: JobPhase::Active,
+            accepted_ms,
+            tasks: BTreeMap::new(),
+            completed: TaskBitmap::default(),
+            failures: FailureHistory::default(),
+            started: false,
+            first_unassigned: 0,
+        };
+        self.queue.insert(job.queue_key(id.clone()));
+        self.jobs.insert(id, job);
+    }
+
+    fn record_arrival(&mut self, arrival: Arrival) {
+        let class = arrival.spec.class.clone();
+        let arrivals = self.arrivals.entry(class).or_default();
+        let after = arrivals.partition_point(|a| a.accepted_ms <= arrival.accepted_ms);
+        arrivals.insert(after, arrival);
+        if arrivals.len() > MAX_ARRIVALS {
+            arrivals.pop_front();
+        }
+    }
+
+    pub(super) fn cancel(&mut self, id: &JobId) {
+        let job = self.jobs.get(id);
+        if job.is_some_and(|job| job.phase == JobPhase::Active) {
+            self.finish_job(id, JobPhase::Cancelled);
+        }
+    }
+
+    /// Ends a job as done or cancelled: tasks that were not placed never will be.
+    pub(super) fn finish_job(&mut self, id: &JobId, phase: JobPhase) {
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        job.phase = phase;
+        let started = job.started;
+        self.service_counts.update(&job.spec, |counts| match phase {
+            JobPhase::Done => {
+                counts.completed += 1;
+                // The shortest jobs end before they are seen running.
+                counts.started += u32::from(!started);
+            }
+            _ => {
+                counts.cancelled += 1;
+                counts.withdrawn += u32::from(!started);
+            }
+        });
+        self.queue.remove(&job.queue_key(id.clone()));
+        let mut unplaced = Vec::new();
+        for (index, task) in &job.tasks {
+            match &task.record.machine {
+                Some(machine) => {
+                    self.changed_machines.insert(machine.clone());
+                }
+                None => unplaced.push(*index),
+            }
+        }
+        for index in unplaced {
+            self.remove_task(id, index);
+        }
+        self.retire_if_finished(id);
+    }
+
+    /// Reduces a finished job that has no task left to what users are answered.
+    pub(super) fn retire_if_finished(&mut self, id: &JobId) {
+        let Some(job) = self.jobs.get(id) else {
+            return;
+        };
+        if job.phase == JobPhase::Active || !job.tasks.is_empty() {
+            return;
+        }
+        let finished = FinishedJobState {
+            phase: job.phase,
+            tasks: job.spec.tasks,
+        };
+        if let Some((id, _)) = self.jobs.remove_entry(id) {
+            self.finished.insert(id, finished);
+        }
+    }
+
+    /// Takes a finished job out of the queue.
+    pub(super) fn dequeue(&mut self, id: JobId) {
+        if let Some(job) = self.jobs.get(&id) {
+            self.queue.remove(&job.queue_key(id));
+        }
+    }
+}
--- /dev/null
+++ b/crates/state/src/cluster_state/replication.rs
@@ -0,0 +1,274 @@
+//! How a replica follows the store: from a listing, then by watches.
+
+use super::{ClusterState, Versioned};
+use crate::codec::unframe;
+use crate::keys::{self, KeyKind};
+use crate::records::{LogEntry, SnapshotManifest};
+use crate::{Revision, UnixMillis};
+use rushwalk_protocol::store::{KeyValue, Value, WatchEvent, WatchResponse};
+use rushwalk_scheduler::durations::DurationEstimator;
+use serde::de::DeserializeOwned;
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+/// The snapshot in a listing is not whole, since a new one was written meanwhile.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+#[error("the snapshot was replaced meanwhile")]
+pub struct SnapshotReplaced;
+
+/// Changes that begin after the revision that a replica has reached: what lies between
+/// would be missing.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+#[error("changes after revision {since}, at revision {reached}")]
+pub struct WatchGap {
+    /// The revision after which the changes begin.
+    pub since: Revision,
+    /// The revision that the replica has reached.
+    pub reached: Revision,
+}
+
+/// A log entry in a listing.
+struct ListedEntry {
+    version: Revision,
+    key: String,
+    value: Value,
+}
+
+impl ClusterState {
+    /// A state made of a listing whose first page had `revision`. What is newer comes with
+    /// the watch from there.
+    ///
+    /// # Errors
+    ///
+    /// [`SnapshotReplaced`]: list again.
+    pub fn from_listing(
+        entries: Vec<KeyValue>,
+        revision: Revision,
+        now_ms: UnixMillis,
+    ) -> Result<ClusterState, SnapshotReplaced> {
+        // The durations learnt so far are taken over by `replace_with`.
+        let mut state = ClusterState::new(DurationEstimator::new(10, 0.0));
+        let mut chunks: BTreeMap<String, Value> = BTreeMap::new();
+        let mut log: Vec<ListedEntry> = Vec::new();
+        for KeyValue {
+            key,
+            value,
+            version,
+        } in entries
+        {
+            if version > revision {
+                continue;
+            }
+            match KeyKind::of(&key) {
+                Some(KeyKind::LogEntry { .. }) => log.push(ListedEntry {
+                    version,
+                    key,
+                    value,
+                }),
+                Some(KeyKind::SnapshotChunk) => {
+                    chunks.insert(key, value);
+                }
+                _ => state.apply_put(key, &value, version),
+            }
+        }
+        state.apply_snapshot(&chunks, now_ms)?;
+        log.sort_by(|a, b| (a.version, &a.key).cmp(&(b.version, &b.key)));
+        for entry in log {
+            if entry.version > state.snapshot.revision {
+                match unframe(&entry.value) {
+                    Some(parsed) => state.apply_entry(parsed, entry.version, now_ms),
+                    None => state.mark_unreadable(&entry.key),
+                }
+            }
+            state.log_versions.insert(entry.key, entry.version);
+        }
+        state.revision = revision;
+        Ok(state)
+    }
+
+    fn apply_snapshot(
+        &mut self,
+        chunks: &BTreeMap<String, Value>,
+        now_ms: UnixMillis,
+    ) -> Result<(), SnapshotReplaced> {
+        let manifest = self.snapshot;
+        for index in 0..manifest.chunks {
+            let key = keys::snapshot_chunk(manifest.generation, index);
+            let value = chunks.get(&key).ok_or(SnapshotReplaced)?;
+            let Some(chunk) = unframe(value) else {
+                self.mark_unreadable(&key);
+                break;
+            };
+            if chunk.previous_version != manifest.revision {
+                return Err(SnapshotReplaced);
+            }
+            for mutation in chunk.mutations {
+                self.apply(mutation, manifest.revision, now_ms);
+            }
+        }
+        Ok(())
+    }
+
+    /// Puts a newly listed state in this one's place; what this process has learnt stays.
+    ///
+    /// # Errors
+    ///
+    /// An older state is not taken but given back: a read that was sent meanwhile brings
+    /// only what is newer than this one, and what lies between would be in neither.
+    pub fn replace_with(&mut self, mut listed: ClusterState) -> Result<(), Box<ClusterState>> {
+        if listed.revision < self.revision {
+            return Err(Box::new(listed));
+        }
+        std::mem::swap(&mut self.durations, &mut listed.durations);
+        if !self.service_counts.classes.is_empty() {
+            // The counts go on; what was missed meanwhile is not in them.
+            std::mem::swap(&mut self.service_counts, &mut listed.service_counts);
+        }
+        listed.changed_machines = listed.machines.keys().cloned().collect();
+        *self = listed;
+        Ok(())
+    }
+
+    /// Applies the changes after the revision `since`. [`ClusterState::has_gap`] tells
+    /// afterwards whether an entry was missed.
+    ///
+    /// # Errors
+    ///
+    /// [`WatchGap`] if this state has not reached `since`; nothing is applied then.
+    pub fn apply_watch(
+        &mut self,
+        since: Revision,
+        response: WatchResponse,
+        now_ms: UnixMillis,
+    ) -> Result<(), WatchGap> {
+        let reached = self.revision;
+        if since > reached {
+            return Err(WatchGap { since, reached });
+        }
+        let mut events: Vec<WatchEvent> = response.events;
+        events.sort_by(|a, b| (a.version, a.key()).cmp(&(b.version, b.key())));
+        for event in events {
+            // Two reads may overlap: each change counts once, in its order.
+            if event.version > reached {
+                self.apply_event(event, now_ms);
+            }
+        }
+        self.revision = reached.max(response.revision);
+        Ok(())
+    }
+
+    fn apply_event(&mut self, event: WatchEvent, now_ms: UnixMillis) {
+        match (event.put, event.value, event.delete) {
+            (Some(key), Some(value), _) => match KeyKind::of(&key) {
+                Some(KeyKind::LogEntry { member }) => {
+                    self.record_write(member, event.version);
+                    match unframe(&value) {
+                        Some(entry) => {
+                            self.check_for_gap(&key, &entry);
+                            self.apply_entry(entry, event.version, now_ms);
+                        }
+                        None => self.mark_unreadable(&key),
+                    }
+                    self.log_versions.insert(key, event.version);
+                }
+                _ => self.apply_put(key, &value, event.version),
+            },
+            (_, _, Some(key)) => self.apply_delete(&key),
+            _ => {}
+        }
+    }
+
+    fn record_write(&mut self, member: &str, revision: Revision) {
+        match self.last_writes.get_mut(member) {
+            Some(last) => *last = revision,
+            None => {
+                self.last_writes.insert(member.to_string(), revision);
+            }
+        }
+    }
+
+    fn mark_unreadable(&mut self, key: &str) {
+        if self.unreadable.is_none() {
+            tracing::error!(key, "unreadable record: no decisions are made");
+            self.unreadable = Some(key.to_string());
+        }
+    }
+
+    /// Notices that an entry's key was used in between, by an entry that was never seen.
+    fn check_for_gap(&mut self, key: &str, entry: &LogEntry) {
+        let known = self.log_versions.get(key).copied().unwrap_or(0);
+        if entry.previous_version != known {
+            self.has_gap = true;
+        }
+    }
+
+    fn apply_entry(&mut self, entry: LogEntry, version: Revision, now_ms: UnixMillis) {
+        self.entries_since_snapshot += 1;
+        for mutation in entry.mutations {
+            self.apply(mutation, version, now_ms);
+        }
+    }
+
+    fn apply_put(&mut self, key: String, value: &Value, version: Revision) {
+        let Some(kind) = KeyKind::of(&key) else {
+            return;
+        };
+        let applied = match kind {
+            KeyKind::ShardLease(shard) => parse(value).map(|lease| {
+                let lease = Versioned {
+                    version,
+                    value: lease,
+                };
+                self.shard_leases.insert(shard.into(), lease);
+            }),
+            KeyKind::Member(member) => parse(value).map(|record| {
+                self.members.insert(member.into(), record);
+                self.record_write(member, version);
+            }),
+            KeyKind::Leader => parse(value).map(|leader| {
+                self.leader = Some(Versioned {
+                    version,
+                    value: leader,
+                });
+            }),
+            KeyKind::MachineTypes => parse(value).map(|types| {
+                self.machine_types = Some(Arc::new(types));
+            }),
+            KeyKind::SnapshotManifest => parse(value).map(|manifest| {
+                self.set_snapshot(manifest);
+            }),
+            // A chunk says nothing that is not known already.
+            KeyKind::SnapshotChunk => return,
+            KeyKind::LogEntry { .. } | KeyKind::Unknown => None,
+        };
+        if applied.is_none() {
+            self.mark_unreadable(&key);
+        }
+        self.key_versions.insert(key, version);
+    }
+
+    fn set_snapshot(&mut self, manifest: SnapshotManifest) {
+        self.snapshot = manifest;
+        let versions = self.log_versions.values();
+        let newer = versions.filter(|version| **version > manifest.revision);
+        self.entries_since_snapshot = newer.count();
+    }
+
+    fn apply_delete(&mut self, key: &str) {
+        self.key_versions.remove(key);
+        match KeyKind::of(key) {
+            Some(KeyKind::ShardLease(shard)) => {
+                self.shard_leases.remove(shard);
+            }
+            Some(KeyKind::Member(member)) => {
+                self.members.remove(member);
+            }
+            Some(KeyKind::Leader) => self.leader = None,
+            _ => {}
+        }
+    }
+}
+
+fn parse<T: DeserializeOwned>(value: &Value) -> Option<T> {
+    serde_json::from_str(value.get()).ok()
+}
--- /dev/null
+++ b/crates/state/src/cluster_state/restore.rs
@@ -0,0 +1,132 @@
+//! The state as mutations, of which a snapshot is made, and how these are applied.
+
+use super::{ClusterState, FinishedJobState, JobState};
+use crate::mutation::{
+    FinishedJob, MachineAdopted, Mutation, RequestRental, RestoreCompleted, RestoreFailures,
+    RestoreFinished, RestoreTasks, RestoreTerminating, RestoredTask, SubmitJob, in_batches,
+};
+use crate::records::{FailureHistory, JobPhase};
+use rushwalk_protocol::ids::JobId;
+
+impl ClusterState {
+    /// The state as mutations: applied to an empty state, they make this one again, but for
+    /// what this process has learnt.
+    pub fn to_mutations(&self) -> Vec<Mutation> {
+        let mut mutations = Vec::new();
+        for phase in [JobPhase::Done, JobPhase::Cancelled] {
+            mutations.extend(self.finished_as_mutations(phase));
+        }
+        for (id, machine) in &self.machines {
+            mutations.push(Mutation::MachineAdopted(MachineAdopted {
+                machine: id.clone(),
+                record: machine.record.clone(),
+            }));
+        }
+        for (rental, request) in &self.rentals {
+            mutations.push(Mutation::RequestRental(RequestRental {
+                rental: rental.clone(),
+                request: request.clone(),
+            }));
+        }
+        for (id, job) in &self.jobs {
+            append_job(&mut mutations, id, job);
+        }
+        mutations
+    }
+
+    fn finished_as_mutations(&self, phase: JobPhase) -> Vec<Mutation> {
+        let jobs = self.finished.iter().filter(|(_, job)| job.phase == phase);
+        let jobs: Vec<FinishedJob> = jobs
+            .map(|(id, job)| FinishedJob {
+                job: id.clone(),
+                tasks: job.tasks,
+            })
+            .collect();
+        let restore = |jobs| Mutation::RestoreFinished(RestoreFinished { phase, jobs });
+        in_batches(&jobs, restore).collect()
+    }
+
+    pub(super) fn restore_finished(&mut self, restore: RestoreFinished) {
+        for job in restore.jobs {
+            let state = FinishedJobState {
+                phase: restore.phase,
+                tasks: job.tasks,
+            };
+            self.finished.insert(job.job, state);
+        }
+    }
+
+    pub(super) fn restore_terminating(&mut self, restore: RestoreTerminating) {
+        if let Some(job) = self.jobs.get_mut(&restore.job) {
+            job.phase = restore.phase;
+        }
+        self.dequeue(restore.job);
+    }
+
+    pub(super) fn restore_completed(&mut self, restore: &RestoreCompleted) {
+        let Some(job) = self.jobs.get_mut(&restore.job) else {
+            return;
+        };
+        let inserted = job
+            .completed
+            .insert_hex(restore.first_task, &restore.bitmap_hex);
+        if inserted.is_err() {
+            tracing::error!(job = &*restore.job, "invalid digits of completed tasks");
+        }
+        if job.completed.count() > 0 {
+            job.mark_started(&mut self.service_counts);
+        }
+    }
+
+    pub(super) fn restore_tasks(&mut self, restore: RestoreTasks) {
+        for task in restore.tasks {
+            self.add_task(&restore.job, task.task, task.record);
+        }
+    }
+
+    pub(super) fn restore_failures(&mut self, restore: RestoreFailures) {
+        if let Some(job) = self.jobs.get_mut(&restore.job) {
+            job.failures = restore.failures;
+        }
+    }
+}
+
+fn append_job(mutations: &mut Vec<Mutation>, id: &JobId, job: &JobState) {
+    mutations.push(Mutation::Submit(SubmitJob {
+        spec: job.spec.clone(),
+        accepted_ms: job.accepted_ms,
+    }));
+    if job.phase != JobPhase::Active {
+        mutations.push(Mutation::RestoreTerminating(RestoreTerminating {
+            job: id.clone(),
+            phase: job.phase,
+        }));
+    }
+    for part in job.completed.to_hex_parts() {
+        mutations.push(Mutation::RestoreCompleted(RestoreCompleted {
+            job: id.clone(),
+            first_task: part.first_task,
+            bitmap_hex: part.digits,
+        }));
+    }
+    if job.failures != FailureHistory::default() {
+        mutations.push(Mutation::RestoreFailures(RestoreFailures {
+            job: id.clone(),
+            failures: job.failures.clone(),
+        }));
+    }
+    let tasks: Vec<RestoredTask> = job
+        .tasks
+        .iter()
+        .map(|(index, task)| RestoredTask {
+            task: *index,
+            record: task.record.clone(),
+        })
+        .collect();
+    mutations.extend(in_batches(&tasks, |tasks| {
+        Mutation::RestoreTasks(RestoreTasks {
+            job: id.clone(),
+            tasks,
+        })
+    }));
+}
--- /dev/null
+++ b/crates/state/src/cluster_state/tests.rs
@@ -0,0 +1,308 @@
+use super::*;
+use crate::keys;
+use crate::mutation::{
+    AssignTasks, MachineAddress, MachineAdopted, MachinesReady, MachinesUnreachable, Mutation,
+    PlaceTasks, RentalFulfilled, RentedMachine, ShardTasks, StopTasks, SubmitJob, TaskOnMachine,
+    TasksEnded, TasksStarted, UnassignTasks,
+};
+use crate::records::{AttemptOutcome, StopReason};
+use rushwalk_protocol::store::WatchResponse;
+
+fn spec(id: &str, shape: &str, tasks: u32) -> Arc<JobSpec> {
+    let text = format!(
+        r#"{{"uid":"{id}","lane":"a","crew":"red","shape":"{shape}","rank":"normal",
+        "pieces":{tasks},"cpus":1,"gpus":1,"memoryGb":1,"kit":"i","sizeGb":1,
+        "together":false,"spread":false,"loaners":true,"guessS":60,"waypointS":0,
+        "stashS":0}}"#
+    );
+    Arc::new(JobSpec::parse(text.as_bytes()).unwrap())
+}
+
+fn submit(id: &str, shape: &str, tasks: u32, accepted_ms: UnixMillis) -> Mutation {
+    Mutation::Submit(SubmitJob {
+        spec: spec(id, shape, tasks),
+        accepted_ms,
+    })
+}
+
+fn adopt(machine: &str) -> Mutation {
+    Mutation::MachineAdopted(MachineAdopted {
+        machine: machine.into(),
+        record: MachineRecord::rented("box".into(), "east".into(), false, "east".into(), 5),
+    })
+}
+
+fn assign(job: &str, assigned_ms: UnixMillis, tasks: &[u32]) -> Mutation {
+    let tasks = tasks.iter().map(|task| TaskOnMachine {
+        task: *task,
+        machine: "m-1".into(),
+    });
+    Mutation::Assign(AssignTasks {
+        job: job.into(),
+        assigned_ms,
+        shards: vec![ShardTasks {
+            shard: "east".into(),
+            tasks: tasks.collect(),
+        }],
+    })
+}
+
+fn place(job: &str, attempt: Revision, placed_ms: UnixMillis, on: &[(u32, &str)]) -> Mutation {
+    let tasks = on.iter().map(|(task, machine)| TaskOnMachine {
+        task: *task,
+        machine: (*machine).into(),
+    });
+    Mutation::Place(PlaceTasks {
+        job: job.into(),
+        attempt,
+        placed_ms,
+        tasks: tasks.collect(),
+    })
+}
+
+fn end(
+    job: &str,
+    attempt: Revision,
+    ended_ms: UnixMillis,
+    outcome: AttemptOutcome,
+    task: u32,
+) -> Mutation {
+    Mutation::Ended(TasksEnded {
+        job: job.into(),
+        attempt,
+        ended_ms,
+        outcome,
+        tasks: vec![task],
+    })
+}
+
+/// A mutation with the revision at which it is committed.
+type Committed = (Revision, Mutation);
+
+/// A day in a few mutations.
+fn day() -> Vec<Committed> {
+    vec![
+        (1, submit("j-1", "sweep", 3, 100)),
+        (1, submit("j-2", "gang", 2, 110)),
+        (1, submit("j-3", "standing", 1, 120)),
+        (2, adopt("m-1")),
+        (2, adopt("m-2")),
+        (
+            3,
+            Mutation::MachinesReady(MachinesReady {
+                ready_ms: 200,
+                machines: vec![MachineAddress {
+                    machine: "m-1".into(),
+                    address: "10.0.0.9:9000".into(),
+                }],
+            }),
+        ),
+        (4, assign("j-1", 300, &[0, 1, 2])),
+        (4, assign("j-2", 300, &[0, 1])),
+        (4, assign("j-3", 300, &[0])),
+        (5, place("j-1", 4, 310, &[(0, "m-1"), (1, "m-2")])),
+        (5, place("j-3", 4, 310, &[(0, "m-2")])),
+        (
+            6,
+            Mutation::Started(TasksStarted {
+                job: "j-1".into(),
+                attempt: 4,
+                started_ms: 320,
+                tasks: vec![0],
+            }),
+        ),
+        (7, end("j-1", 4, 400, AttemptOutcome::Completed, 0)),
+        (8, Mutation::Cancel("j-3".into())),
+        (
+            9,
+            Mutation::Stop(StopTasks {
+                job: "j-1".into(),
+                attempt: 4,
+                reason: StopReason::Straggler,
+                tasks: vec![1],
+            }),
+        ),
+        (
+            9,
+            Mutation::MachinesUnreachable(MachinesUnreachable {
+                since_ms: 410,
+                machines: vec!["m-2".into()],
+            }),
+        ),
+    ]
+}
+
+fn empty() -> ClusterState {
+    ClusterState::new(DurationEstimator::new(4, 1.0))
+}
+
+fn state(day: Vec<Committed>) -> ClusterState {
+    let mut state = empty();
+    for (revision, mutation) in day {
+        state.apply(mutation, revision, 500);
+    }
+    state
+}
+
+/// The state as text, for comparisons.
+fn describe(state: &ClusterState) -> String {
+    let mutations = state.to_mutations();
+    let mut lines: Vec<String> = mutations.iter().map(|m| format!("{m:?}")).collect();
+    lines.sort();
+    // Placement hints are not stored.
+    lines.join("\n").replace("Some(\"m-1\") }", "None }")
+}
+
+#[test]
+fn a_snapshot_restores_the_state() {
+    let first = state(day());
+    let mutations = first.to_mutations().into_iter();
+    let second = state(mutations.map(|mutation| (9, mutation)).collect());
+    assert_eq!(describe(&first), describe(&second));
+    for job in ["j-1", "j-2", "j-3"] {
+        assert_eq!(first.job_status(job), second.job_status(job));
+    }
+    assert_eq!(first.unplaced, second.unplaced);
+    assert_eq!(first.machines["m-2"].tasks, second.machines["m-2"].tasks);
+}
+
+/// Teams are counted nowhere else, and a day on which less than half of one's jobs are
+/// served counts as failed.
+#[test]
+fn served_jobs_are_counted_once_by_class_and_by_team() {
+    let mut twice = day();
+    twice.extend(day().into_iter().map(|(at, mutation)| (at + 20, mutation)));
+    for state in [state(day()), state(twice)] {
+        let counts = state.service_counts.teams["red"];
+        let all = [
+            counts.accepted,
+            counts.started,
+            counts.completed,
+            counts.cancelled,
+        ];
+        assert_eq!((all, counts.withdrawn), ([3, 1, 0, 1], 1));
+        let least = state.service_counts.least_served_class().unwrap();
+        assert_eq!((least.name, least.counts), ("a", counts));
+        assert_eq!(
+            counts.started_share(),
+            0.5,
+            "one of two that were not withdrawn"
+        );
+    }
+}
+
+/// Entries may come late, twice, or from a shard owner that was replaced.
+#[test]
+fn mutations_whose_preconditions_no_longer_hold_do_nothing() {
+    let before = describe(&state(day()));
+    let stale = [
+        submit("j-1", "sweep", 7, 90),
+        // Cancelled: not placed, not assigned any more.
+        assign("j-3", 600, &[0]),
+        // Another attempt, or placed already.
+        place("j-1", 3, 600, &[(2, "m-1")]),
+        place("j-1", 4, 600, &[(1, "m-1")]),
+        // No such machine; one whose deletion was never intended.
+        place("j-1", 4, 600, &[(2, "m-9")]),
+        Mutation::MachinesDeleted(vec!["m-1".into()]),
+        // Ended already, or not this attempt.
+        end("j-1", 4, 600, AttemptOutcome::Lost, 0),
+        end("j-1", 2, 600, AttemptOutcome::Completed, 1),
+        Mutation::Unassign(UnassignTasks {
+            job: "j-1".into(),
+            attempt: 4,
+            tasks: vec![1],
+        }),
+        // A gang is assigned whole or not at all.
+        assign("j-2", 600, &[0]),
+        Mutation::RentalFulfilled(RentalFulfilled {
+            rental: "r-none".into(),
+            machines: vec![RentedMachine {
+                machine: "m-7".into(),
+                shard: "east".into(),
+            }],
+        }),
+    ];
+    for mutation in stale {
+        let mut state = state(day());
+        state.apply(mutation.clone(), 20, 700);
+        assert_eq!(describe(&state), before, "{mutation:?}");
+    }
+}
+
+const RENT_1: &str = r#"{"R":["r-1",{"k":"box","z":"east","s":false,"n":2,"at":1}]}"#;
+const RENT_2: &str = r#"{"R":["r-2",{"k":"box","z":"east","s":false,"n":2,"at":1}]}"#;
+
+fn watched(revision: Revision, key: &str, previous: Revision, mutations: &str) -> WatchResponse {
+    let text = format!(
+        r#"{{"ledger":{revision},"events":[{{"write":"{key}","stamp":{revision},
+        "v":{{"p":{previous},"o":[{mutations}]}}}}]}}"#
+    );
+    serde_json::from_str(&text).unwrap()
+}
+
+/// A key of the log is used again; a replica that has not seen all of its entries must
+/// not go on as if it had.
+#[test]
+fn a_missed_entry_is_noticed_and_overlapping_responses_count_once() {
+    let mut state = empty();
+    let key = keys::log_entry("node-0", 3);
+    let other_key = keys::log_entry("node-1", 0);
+    let fulfilled = r#"{"M":["r-1",[["m-1","east"],["m-2","east"]]]}"#;
+    let apply = |state: &mut ClusterState, response| {
+        state.apply_watch(state.revision, response, 10).unwrap();
+    };
+    apply(&mut state, watched(5, &key, 0, RENT_1));
+    apply(&mut state, watched(6, &other_key, 0, fulfilled));
+    apply(&mut state, watched(5, &key, 0, RENT_1));
+    assert_eq!((state.rentals.len(), state.machines.len()), (0, 2));
+    assert!(!state.has_gap);
+    apply(&mut state, watched(9, &key, 7, RENT_1));
+    assert!(state.has_gap);
+}
+
+/// Old records, or nonsense, must neither be guessed at nor skipped.
+#[test]
+fn an_unreadable_record_is_named() {
+    for (key, value) in [
+        ("w/t/j-1/0", r#"{"block":"east"}"#),
+        ("w/l/node-0/0", r#"{"p":0,"o":[{"zz":[]}]}"#),
+        ("w/g/east", "7"),
+    ] {
+        let text =
+            format!(r#"{{"ledger":3,"events":[{{"write":"{key}","stamp":3,"v":{value}}}]}}"#);
+        let mut state = empty();
+        let response = serde_json::from_str(&text).unwrap();
+        state.apply_watch(0, response, 10).unwrap();
+        assert_eq!(state.unreadable.as_deref(), Some(key));
+    }
+}
+
+/// A listing takes a while: the state may have advanced meanwhile, and a read that began
+/// there would leave a gap in what the listing shows.
+#[test]
+fn the_state_never_goes_back_nor_has_a_gap() {
+    let key = |n| keys::log_entry("node-0", n);
+    let mut state = empty();
+    assert!(
+        state
+            .apply_watch(0, watched(5, &key(0), 0, RENT_1), 10)
+            .is_ok()
+    );
+    let mut older = empty();
+    older.revision = 4;
+    assert!(state.replace_with(older).is_err(), "older");
+    assert_eq!((state.revision, state.rentals.len()), (5, 1));
+    let gap = state.apply_watch(7, watched(8, &key(1), 0, RENT_2), 10);
+    assert!(gap.is_err(), "a gap");
+    assert_eq!((state.revision, state.rentals.len()), (5, 1));
+    let mut newer = empty();
+    newer.revision = 7;
+    assert!(state.replace_with(newer).is_ok());
+    assert!(
+        state
+            .apply_watch(7, watched(8, &key(1), 0, RENT_2), 10)
+            .is_ok()
+    );
+    assert_eq!((state.revision, state.rentals.len()), (8, 1));
+}
--- /dev/null
+++ b/crates/state/src/task_bitmap.rs
@@ -0,0 +1,88 @@
+//! A set of tasks of one job, a bit each.
+
+#[cfg(test)]
+mod tests;
+
+/// A set of a job's tasks, by their indexes.
+#[derive(Debug, Clone, Default, PartialEq, Eq)]
+pub struct TaskBitmap {
+    bytes: Vec<u8>,
+    count: u32,
+}
+
+/// A part of a [`TaskBitmap`] as hexadecimal digits.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct HexPart {
+    /// The first task of the part.
+    pub first_task: u32,
+    /// Two digits for eight tasks, the first of them in the lowest bit.
+    pub digits: String,
+}
+
+/// Text that is not what [`TaskBitmap::to_hex_parts`] writes.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct InvalidHex;
+
+/// Tasks in a [`HexPart`], so that it fits the smallest value of the store.
+const TASKS_PER_PART: u32 = 16_384;
+
+impl TaskBitmap {
+    /// Whether a task is in the set.
+    pub fn contains(&self, task: u32) -> bool {
+        let byte = self.bytes.get(task as usize / 8).copied().unwrap_or(0);
+        byte & (1 << (task % 8)) != 0
+    }
+
+    /// Adds a task; whether it was not in the set before.
+    pub fn insert(&mut self, task: u32) -> bool {
+        if self.contains(task) {
+            return false;
+        }
+        let byte = task as usize / 8;
+        if self.bytes.len() <= byte {
+            self.bytes.resize(byte + 1, 0);
+        }
+        self.bytes[byte] |= 1 << (task % 8);
+        self.count += 1;
+        true
+    }
+
+    /// The number of tasks in the set.
+    pub fn count(&self) -> u32 {
+        self.count
+    }
+
+    /// The set as hexadecimal digits, in parts that fit the smallest value of the store.
+    pub fn to_hex_parts(&self) -> Vec<HexPart> {
+        let parts = self.bytes.chunks(TASKS_PER_PART as usize / 8).enumerate();
+        parts
+            .map(|(i, bytes)| HexPart {
+                first_task: i as u32 * TASKS_PER_PART,
+                digits: bytes.iter().map(|byte| format!("{byte:02x}")).collect(),
+            })
+            .collect()
+    }
+
+    /// Adds the tasks of a part that [`to_hex_parts`](TaskBitmap::to_hex_parts) wrote.
+    ///
+    /// # Errors
+    ///
+    /// If the text has an odd length or something else than hexadecimal digits. The tasks
+    /// before that were added.
+    pub fn insert_hex(&mut self, first_task: u32, digits: &str) -> Result<(), InvalidHex> {
+        for (i, pair) in digits.as_bytes().chunks(2).enumerate() {
+            let &[high, low] = pair else {
+                return Err(InvalidHex);
+            };
+            let byte = hex_digit(high)? << 4 | hex_digit(low)?;
+            for bit in (0..8).filter(|bit| byte & (1 << bit) != 0) {
+                self.insert(first_task + i as u32 * 8 + bit);
+            }
+        }
+        Ok(())
+    }
+}
+
+fn hex_digit(character: u8) -> Result<u32, InvalidHex> {
+    (character as char).to_digit(16).ok_or(InvalidHex)
+}
