--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -8,7 +8,6 @@
 pub mod ids;
 pub mod jobs;
 pub mod peers;
-pub mod records;
 pub mod settings;
 pub mod store;
 pub mod worker;
--- /dev/null
+++ b/crates/rushwalk/src/capacity/boot_supervision.rs
@@ -0,0 +1,213 @@
+//! How rented machines boot, and which of them are not waited for any longer.
+
+use crate::clock::now_ms;
+use crate::scheduler_inputs::seconds;
+use rushwalk_protocol::cloud::MachineType;
+use rushwalk_protocol::ids::MachineId;
+use rushwalk_scheduler::boot_times::{BootGroup, BootLateness, BootSample, BootTimeEstimator};
+use rushwalk_state::records::{MachineLifecycle, MachineRecord, MachineTypes};
+use rushwalk_state::{ClusterState, UnixMillis};
+use std::collections::BTreeSet;
+use std::sync::Arc;
+use tokio::time::Instant;
+
+/// One in so many of the machines that are late, as all that were rented with them are, is
+/// abandoned in a boot time to see how another one fares.
+const LATE_PER_TRIAL: usize = 8;
+
+/// Boot times for which an abandoned machine still counts as a sample.
+const SAMPLE_BOOT_TIMES: f64 = 8.0;
+
+/// A machine that was abandoned before it came.
+struct AbandonedBoot {
+    group: BootGroup,
+    nominal_s: f64,
+    sample: BootSample,
+}
+
+/// A machine abandoned only to see how another one fares.
+struct Trial {
+    group: BootGroup,
+    at: Instant,
+}
+
+/// A machine that is late as those rented with it are.
+struct LateMachine<'a> {
+    group: BootGroup,
+    rented_ms: UnixMillis,
+    id: &'a MachineId,
+    nominal_s: f64,
+}
+
+/// Learns how machines boot, and abandons those that don't come.
+#[derive(Default)]
+pub struct BootSupervisor {
+    boot_times: BootTimeEstimator,
+    abandoned: Vec<AbandonedBoot>,
+    trials: Vec<Trial>,
+}
+
+/// The group with which a machine boots, and its type.
+pub fn boot_group<'a>(
+    machine: &MachineRecord,
+    types: &'a MachineTypes,
+    zones: &[Arc<str>],
+) -> Option<(BootGroup, &'a MachineType)> {
+    let zone = zones.iter().position(|zone| *zone == machine.zone)?;
+    let mut all_types = types.types.iter();
+    let group = all_types.position(|t| *t.name == *machine.machine_type)?;
+    Some(((group, zone), &types.types[group]))
+}
+
+impl BootSupervisor {
+    /// How machines boot, as of the latest update.
+    pub fn boot_times(&self) -> &BootTimeEstimator {
+        &self.boot_times
+    }
+
+    /// When a machine that boots should be ready, in seconds.
+    pub fn expected_ready_s(
+        &self,
+        machine: &MachineRecord,
+        types: &MachineTypes,
+        zones: &[Arc<str>],
+        now_s: f64,
+    ) -> f64 {
+        let remaining_s = boot_group(machine, types, zones).map_or(0.0, |(group, machine_type)| {
+            let rented_s = seconds(machine.rented_ms);
+            self.boot_times
+                .remaining_s(group, machine_type.boot_s, rented_s)
+        });
+        now_s + remaining_s.max(1.0)
+    }
+
+    /// Learns from the machines there are and from those that were abandoned. A machine may
+    /// be ready for `heartbeat_s` before it is seen to be.
+    pub fn update(
+        &mut self,
+        state: &ClusterState,
+        types: &MachineTypes,
+        zones: &[Arc<str>],
+        now_ms: UnixMillis,
+        heartbeat_s: f64,
+    ) {
+        let now_s = seconds(now_ms);
+        let mut boot_times = BootTimeEstimator::new(now_s, heartbeat_s);
+        for machine in state.machines.values() {
+            let record = &machine.record;
+            if let Some((group, machine_type)) = boot_group(record, types, zones) {
+                let rented_s = seconds(record.rented_ms);
+                let until_s = record.ready_ms.map_or(now_s, seconds);
+                let sample = BootSample {
+                    rented_s,
+                    elapsed_s: (until_s - rented_s).max(0.0),
+                    booted: record.ready_ms.is_some(),
+                };
+                boot_times.add_sample(group, machine_type.boot_s, sample);
+            }
+        }
+        self.abandoned
+            .retain(|boot| now_s - boot.sample.rented_s < SAMPLE_BOOT_TIMES * boot.nominal_s);
+        for boot in &self.abandoned {
+            boot_times.add_sample(boot.group, boot.nominal_s, boot.sample);
+        }
+        boot_times.finish_sampling();
+        self.boot_times = boot_times;
+    }
+
+    /// Machines to abandon since others would come sooner. One that never comes holds what
+    /// can be rented of its kind: 580 did for 250 s, and all others were in use. Only if
+    /// `jobs_wait` it is worth a try to abandon one of many that are all late.
+    pub fn abandon_late(
+        &mut self,
+        state: &ClusterState,
+        types: &MachineTypes,
+        zones: &[Arc<str>],
+        jobs_wait: bool,
+    ) -> BTreeSet<MachineId> {
+        let mut abandoned = BTreeSet::new();
+        let mut late_like_others = Vec::new();
+        for (id, machine) in &state.machines {
+            let record = &machine.record;
+            if !is_booting_under_an_owner(state, record) {
+                continue;
+            }
+            let Some((group, machine_type)) = boot_group(record, types, zones) else {
+                continue;
+            };
+            let nominal_s = machine_type.boot_s;
+            let rented_s = seconds(record.rented_ms);
+            match self.boot_times.lateness(group, nominal_s, rented_s) {
+                BootLateness::OnTime => {}
+                BootLateness::LateLikeOthers => late_like_others.push(LateMachine {
+                    group,
+                    rented_ms: record.rented_ms,
+                    id,
+                    nominal_s,
+                }),
+                BootLateness::ReplaceNow => {
+                    abandoned.insert(id.clone());
+                }
+            }
+        }
+        if jobs_wait {
+            self.try_others(late_like_others, &mut abandoned);
+        }
+        self.record_abandoned(state, types, zones, &abandoned);
+        abandoned
+    }
+
+    /// Abandons some of the machines that are all late: if work waits, another is worth a
+    /// try now and then.
+    fn try_others(&mut self, mut late: Vec<LateMachine>, abandoned: &mut BTreeSet<MachineId>) {
+        late.sort_by_key(|machine| (machine.group, machine.rented_ms));
+        for machines in late.chunk_by(|a, b| a.group == b.group) {
+            let (group, nominal_s) = (machines[0].group, machines[0].nominal_s);
+            self.trials.retain(|trial| {
+                trial.group != group || trial.at.elapsed().as_secs_f64() < nominal_s
+            });
+            let under_way = self.trials.iter().filter(|t| t.group == group).count();
+            let more = (machines.len() / LATE_PER_TRIAL).saturating_sub(under_way);
+            for machine in machines.iter().take(more) {
+                self.trials.push(Trial {
+                    group,
+                    at: Instant::now(),
+                });
+                abandoned.insert(machine.id.clone());
+            }
+        }
+    }
+
+    fn record_abandoned(
+        &mut self,
+        state: &ClusterState,
+        types: &MachineTypes,
+        zones: &[Arc<str>],
+        abandoned: &BTreeSet<MachineId>,
+    ) {
+        let now_ms = now_ms();
+        for machine in abandoned.iter().filter_map(|id| state.machines.get(id)) {
+            let record = &machine.record;
+            if let Some((group, machine_type)) = boot_group(record, types, zones) {
+                let sample = BootSample {
+                    rented_s: seconds(record.rented_ms),
+                    elapsed_s: seconds(now_ms.saturating_sub(record.rented_ms)),
+                    booted: false,
+                };
+                self.abandoned.push(AbandonedBoot {
+                    group,
+                    nominal_s: machine_type.boot_s,
+                    sample,
+                });
+            }
+        }
+    }
+}
+
+/// Whether a machine boots, and a controller would hear it.
+fn is_booting_under_an_owner(state: &ClusterState, machine: &MachineRecord) -> bool {
+    let lease = state.shard_leases.get(&machine.shard);
+    machine.ready_ms.is_none()
+        && machine.lifecycle != MachineLifecycle::Deleting
+        && lease.is_some_and(|lease| state.is_owner_registered(&lease.value))
+}
--- /dev/null
+++ b/crates/rushwalk/src/capacity/inventory.rs
@@ -0,0 +1,212 @@
+//! Reconciliation with the cloud: which machine types it offers, and which machines it
+//! lists as ours.
+
+use super::rentals::RentalTracker;
+use super::shard_allocation::ShardAllocator;
+use crate::clock::now_ms;
+use crate::context::Context;
+use crate::leadership::{LeaderVersion, Leadership};
+use crate::store::{Replica, WritePriority};
+use rushwalk_clients::Error;
+use rushwalk_clients::cloud::CloudClient;
+use rushwalk_protocol::cloud::{ListedMachine, ListedState, MAX_LIST};
+use rushwalk_protocol::ids::{MachineId, ShardId};
+use rushwalk_state::mutation::{MachineAdopted, SetLifecycle, in_batches};
+use rushwalk_state::records::{MachineLifecycle, MachineRecord, MachineTypes};
+use rushwalk_state::{ClusterState, Mutation, UnixMillis, keys};
+use std::sync::Arc;
+use tokio::time::{Instant, sleep};
+
+/// Worker leases after which the machine types are read again.
+const TYPES_LEASES: u32 = 2;
+
+/// A listing may take at most one in so many of the calls to the cloud.
+const LIST_CALL_SHARE: f64 = 10.0;
+
+/// What a rental may be older than its machine's age tells, beyond the clocks' skew.
+const AGE_TOLERANCE_MS: UnixMillis = 2000;
+
+/// Reads machine types and the machine list while this process leads.
+pub struct Inventory {
+    /// This process's context.
+    pub context: Arc<Context>,
+    /// Shows the machines that are known.
+    pub replica: Arc<Replica>,
+    /// Only the leader reconciles.
+    pub leadership: Arc<Leadership>,
+    /// How the cloud is asked.
+    pub cloud: Arc<CloudClient>,
+    /// Shows what was deleted lately.
+    pub tracker: Arc<RentalTracker>,
+}
+
+impl Inventory {
+    /// Reads both from time to time, for good.
+    pub async fn run(self) {
+        let mut types_read: Option<Instant> = None;
+        let mut list_read: Option<Instant> = None;
+        let timing = &self.context.timing;
+        loop {
+            sleep(timing.round / 4).await;
+            if !self.leadership.is_leader() {
+                continue;
+            }
+            let types_interval = timing.worker_lease * TYPES_LEASES;
+            if types_read.is_none_or(|at| at.elapsed() > types_interval)
+                && self.update_types().await
+            {
+                types_read = Some(Instant::now());
+            }
+            let list_interval_s = self.list_interval_s();
+            if list_read.is_none_or(|at| at.elapsed().as_secs_f64() > list_interval_s) {
+                list_read = Some(Instant::now());
+                self.reconcile_list().await;
+            }
+        }
+    }
+
+    /// A large fleet takes many pages.
+    fn list_interval_s(&self) -> f64 {
+        let pages = (self.replica.state().machines.len() / MAX_LIST + 1) as f64;
+        let lag_s = self.context.settings.site.cloud.list_lag_s.max(1.0);
+        (4.0 * lag_s).max(LIST_CALL_SHARE * pages / self.cloud.rate())
+    }
+
+    /// Reads the machine types and commits them if they have changed; whether that is done.
+    async fn update_types(&self) -> bool {
+        let types = match self.cloud.machine_types().await {
+            Ok(response) => MachineTypes {
+                types: response.types,
+            },
+            Err(error) => {
+                tracing::debug!(%error, "machine types not read");
+                return false;
+            }
+        };
+        let transaction = {
+            let state = self.replica.state();
+            let Some(version) = self.leadership.version(&state) else {
+                return false;
+            };
+            if state.machine_types.as_deref() == Some(&types) {
+                return true;
+            }
+            version.transaction().put(keys::MACHINE_TYPES, &types)
+        };
+        self.leadership
+            .commit(transaction, WritePriority::Scheduling)
+            .await
+    }
+
+    /// Reads the list: machines that are not ours yet are returned, and those that failed
+    /// are deleted.
+    async fn reconcile_list(&self) {
+        let listed = match self.list().await {
+            Ok(listed) => listed,
+            Err(error) => {
+                tracing::debug!(%error, "machine list not read");
+                return;
+            }
+        };
+        if let Some((version, mutations)) = self.compare(&listed) {
+            self.leadership
+                .append(version, &mutations, WritePriority::Maintenance)
+                .await;
+        }
+    }
+
+    async fn list(&self) -> Result<Vec<ListedMachine>, Error> {
+        let mut all: Vec<ListedMachine> = Vec::new();
+        let mut after = String::new();
+        loop {
+            let page = self.cloud.list(&after).await?;
+            let has_more = page.more && !page.machines.is_empty();
+            all.extend(page.machines);
+            if let Some(last) = all.last() {
+                after = last.name.clone();
+            }
+            if !has_more {
+                return Ok(all);
+            }
+        }
+    }
+
+    fn compare(&self, listed: &[ListedMachine]) -> Option<(LeaderVersion, Vec<Mutation>)> {
+        let state = self.replica.state();
+        let version = self.leadership.version(&state)?;
+        let lag_s = self.context.settings.site.cloud.list_lag_s;
+        let mut tracked = self.tracker.state();
+        // The list lags: a machine just deleted may still be on it.
+        tracked
+            .deleted
+            .retain(|_, at| at.elapsed().as_secs_f64() < 4.0 * lag_s + 10.0);
+        let mut allocator = ShardAllocator::new(&state, self.context.controllers());
+        let mut mutations = Vec::new();
+        let mut failed: Vec<MachineId> = Vec::new();
+        for machine in listed {
+            if tracked.deleted.contains_key(&*machine.name) {
+                continue;
+            }
+            let is_failed = machine.state == ListedState::Failed;
+            match state.machines.get(&*machine.name) {
+                None if is_failed || self.is_unexpected(&state, machine) => {
+                    let shard = allocator.allocate(&machine.zone, 1).into_iter().next();
+                    mutations.extend(shard.map(|shard| adopt_to_delete(machine, shard)));
+                }
+                Some(known)
+                    if is_failed && known.record.lifecycle != MachineLifecycle::Deleting =>
+                {
+                    tracing::info!(machine = machine.name, "machine failed");
+                    failed.push(machine.name.as_str().into());
+                }
+                _ => {}
+            }
+        }
+        mutations.extend(in_batches(&failed, |machines| {
+            Mutation::SetLifecycle(SetLifecycle {
+                lifecycle: MachineLifecycle::Deleting,
+                machines,
+            })
+        }));
+        Some((version, mutations))
+    }
+
+    /// Whether no rental that is open may have brought a machine.
+    fn is_unexpected(&self, state: &ClusterState, machine: &ListedMachine) -> bool {
+        let site = &self.context.settings.site;
+        if machine.age_s <= 2.0 * site.cloud.list_lag_s {
+            return false;
+        }
+        let tolerance_ms = site.skew_ms as UnixMillis + AGE_TOLERANCE_MS;
+        let rented_ms = rented_ms(machine);
+        let mut rentals = state.rentals.values();
+        !rentals.any(|rental| rental.requested_ms <= rented_ms + tolerance_ms)
+    }
+}
+
+fn rented_ms(machine: &ListedMachine) -> UnixMillis {
+    now_ms().saturating_sub((machine.age_s * 1000.0) as UnixMillis)
+}
+
+/// A machine of a rental that was answered late: it is returned.
+fn adopt_to_delete(machine: &ListedMachine, shard: ShardId) -> Mutation {
+    tracing::info!(
+        machine = machine.name,
+        "unexpected machine adopted to be deleted"
+    );
+    let record = MachineRecord {
+        lifecycle: MachineLifecycle::Deleting,
+        address: machine.address.as_str().into(),
+        ..MachineRecord::rented(
+            machine.machine_type.as_str().into(),
+            machine.zone.as_str().into(),
+            machine.spot,
+            shard,
+            rented_ms(machine),
+        )
+    };
+    Mutation::MachineAdopted(MachineAdopted {
+        machine: machine.name.as_str().into(),
+        record,
+    })
+}
--- /dev/null
+++ b/crates/rushwalk/src/capacity/machines.rs
@@ -0,0 +1,193 @@
+//! What there is to schedule on: machines, those being rented, and what may be rented.
+
+use super::boot_supervision::BootSupervisor;
+use super::rentals::{RentalState, kind_of};
+use crate::context::Context;
+use crate::scheduler_inputs::{self, TimelineInputs, seconds};
+use rushwalk_protocol::cloud::{MAX_RENT, MachineType};
+use rushwalk_scheduler::capacity::InstanceKind;
+use rushwalk_scheduler::round::{RentableCapacity, SchedulingRound};
+use rushwalk_scheduler::timeline::MachineTimeline;
+use rushwalk_state::ClusterState;
+use rushwalk_state::records::{MachineLifecycle, MachineTypes, RentalRequest};
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+/// Room for machines that are rented in a round.
+const RENTAL_ROOM: usize = 64;
+
+/// Builds rounds of scheduling from the state.
+pub struct RoundBuilder<'c, 's> {
+    /// This process's context.
+    pub context: &'c Context,
+    /// The state.
+    pub state: &'s ClusterState,
+    /// The machine types that the cloud offers.
+    pub types: &'s MachineTypes,
+    /// All zones, in their order.
+    pub zones: Vec<Arc<str>>,
+    /// How machines boot.
+    pub boots: &'s BootSupervisor,
+    /// The present, in seconds.
+    pub now_s: f64,
+}
+
+/// Machines of ours in a zone.
+#[derive(Debug, Clone, Copy, Default)]
+struct ZoneCounts {
+    machines: usize,
+    unreachable: usize,
+}
+
+impl ZoneCounts {
+    /// Whether the zone is partitioned from us: what is rented there would be so too.
+    fn is_cut_off(self) -> bool {
+        self.unreachable > 2 && self.unreachable * 2 > self.machines
+    }
+}
+
+impl<'c> RoundBuilder<'c, '_> {
+    /// A round with all machines and rentals, and with what may be rented.
+    pub fn build(&self, rentals: &mut RentalState) -> SchedulingRound<'c> {
+        let rentable = self.rentable(rentals);
+        let machines = self.state.machines.len() + RENTAL_ROOM;
+        let zones = self.zones.clone();
+        let mut round = scheduler_inputs::empty_round(self.context, self.now_s, zones, machines);
+        round.rentable = rentable;
+        self.add_machines(&mut round);
+        for request in self.state.rentals.values() {
+            self.add_rental(&mut round, request);
+        }
+        round.first_rental = round.machines.len();
+        round
+    }
+
+    fn add_machines(&self, round: &mut SchedulingRound) {
+        let inputs = TimelineInputs {
+            state: self.state,
+            types: self.types,
+            zones: &self.zones,
+            now_s: self.now_s,
+        };
+        for (id, machine) in &self.state.machines {
+            let record = &machine.record;
+            if record.lifecycle != MachineLifecycle::Active || record.unreachable_since_ms.is_some()
+            {
+                continue;
+            }
+            let ready_s = match record.ready_ms {
+                Some(_) => self.now_s,
+                None => self
+                    .boots
+                    .expected_ready_s(record, self.types, &self.zones, self.now_s),
+            };
+            if let Some(timeline) = inputs.timeline(id, machine, ready_s) {
+                round.machines.push(timeline);
+            }
+        }
+    }
+
+    /// Adds the machines that a rental should bring.
+    fn add_rental(&self, round: &mut SchedulingRound, request: &RentalRequest) {
+        let mut types = self.types.types.iter();
+        let Some(group) = types.position(|t| t.name == request.machine_type) else {
+            return;
+        };
+        let Some(zone) = self.zones.iter().position(|z| **z == *request.zone) else {
+            return;
+        };
+        let machine_type = &self.types.types[group];
+        let boot_s = self.expected_boot_s(group, zone, machine_type);
+        let ready_s = (seconds(request.requested_ms) + boot_s).max(self.now_s + 1.0);
+        let timeline =
+            MachineTimeline::new("".into(), group, machine_type, zone, request.spot, ready_s);
+        for _ in 0..request.count {
+            round.machines.push(timeline.clone());
+        }
+    }
+
+    fn expected_boot_s(&self, group: usize, zone: usize, machine_type: &MachineType) -> f64 {
+        self.boots
+            .boot_times()
+            .expected_boot_s((group, zone), machine_type.boot_s)
+    }
+
+    /// What may be rented now, and how much of it.
+    fn rentable(&self, rentals: &mut RentalState) -> Vec<RentableCapacity> {
+        let in_zones = self.zone_counts();
+        let owned = self.state.machines_by_kind();
+        let requested = self.requested_by_kind();
+        let mut rentable = Vec::new();
+        for (group, machine_type) in self.types.types.iter().enumerate() {
+            for zone_name in &machine_type.zones {
+                let in_zone = in_zones
+                    .get(zone_name.as_str())
+                    .copied()
+                    .unwrap_or_default();
+                if in_zone.is_cut_off() {
+                    continue;
+                }
+                let Some(zone) = self.zones.iter().position(|z| **z == **zone_name) else {
+                    continue;
+                };
+                for spot in [true, false] {
+                    if spot && machine_type.spot_price.is_none() {
+                        continue;
+                    }
+                    let name = machine_type.name.as_str();
+                    let kind = InstanceKind::new(name, self.zones[zone].clone(), spot);
+                    let owned = owned.get(&kind).copied().unwrap_or_default();
+                    let requested = requested.get(&kind).copied().unwrap_or_default();
+                    let available = self.available(rentals, &kind, owned, requested);
+                    if available > 0 {
+                        rentable.push(RentableCapacity {
+                            machine: self.rentable_machine(group, zone, spot),
+                            owned_in_zone: in_zone.machines,
+                            available,
+                            used: 0,
+                        });
+                    }
+                }
+            }
+        }
+        rentable
+    }
+
+    /// How many machines of a kind may be rented beyond those owned and requested.
+    fn available(
+        &self,
+        rentals: &mut RentalState,
+        kind: &InstanceKind,
+        owned: u32,
+        requested: u32,
+    ) -> u32 {
+        let capacity = &mut rentals.capacity;
+        capacity.record_owned(kind, owned);
+        capacity.headroom(kind, owned + requested, self.context.uptime_s(), MAX_RENT)
+    }
+
+    /// A machine that is rented now.
+    fn rentable_machine(&self, group: usize, zone: usize, spot: bool) -> MachineTimeline {
+        let machine_type = &self.types.types[group];
+        let ready_s = self.now_s + self.expected_boot_s(group, zone, machine_type);
+        MachineTimeline::new("".into(), group, machine_type, zone, spot, ready_s)
+    }
+
+    fn zone_counts(&self) -> BTreeMap<&str, ZoneCounts> {
+        let mut counts: BTreeMap<&str, ZoneCounts> = BTreeMap::new();
+        for (shard, machines) in &self.state.shards {
+            let zone = counts.entry(shard.zone()).or_default();
+            zone.machines += machines.len();
+            zone.unreachable += self.state.shard_counts(shard).unreachable;
+        }
+        counts
+    }
+
+    fn requested_by_kind(&self) -> BTreeMap<InstanceKind, u32> {
+        let mut requested: BTreeMap<InstanceKind, u32> = BTreeMap::new();
+        for request in self.state.rentals.values() {
+            *requested.entry(kind_of(request)).or_default() += request.count;
+        }
+        requested
+    }
+}
--- /dev/null
+++ b/crates/rushwalk/src/capacity/scale_in.rs
@@ -0,0 +1,255 @@
+//! Which machines to do without.
+
+use crate::scheduler_inputs;
+use rushwalk_protocol::ids::MachineId;
+use rushwalk_protocol::jobs::Shape;
+use rushwalk_scheduler::round::{PendingJob, SchedulingRound};
+use rushwalk_scheduler::timeline::MachineTimeline;
+use rushwalk_state::mutation::{SetLifecycle, in_batches};
+use rushwalk_state::records::{JobPhase, MachineLifecycle, MachineTypes};
+use rushwalk_state::{ClusterState, MachineState, Mutation, UnixMillis};
+use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// Machines that one round may empty at most.
+const MAX_EMPTIED: usize = 64;
+
+/// Machines used by more than this share are not worth emptying.
+const WELL_USED: f64 = 0.7;
+
+/// A start that is stopped within this time does not count for the users.
+const SETTLED_MS: UnixMillis = 30_000;
+
+/// The share of a boot time for which a machine stays idle: having it again costs a boot.
+const IDLE_BOOT_SHARE: f64 = 0.5;
+
+/// How long a machine of an unknown type stays idle, in seconds.
+const DEFAULT_IDLE_S: f64 = 60.0;
+
+/// The share of the shortest boot time for which nothing is emptied after that failed.
+const PAUSE_BOOT_SHARE: f64 = 0.3;
+
+/// The boot time that counts if all are longer, in seconds.
+const MAX_SHORTEST_BOOT_S: f64 = 60.0;
+
+/// Chooses machines to do without. A new leader starts with nothing.
+#[derive(Default)]
+pub struct ScaleIn {
+    idle_since: HashMap<MachineId, Instant>,
+    /// When a machine with services was last emptied.
+    service_moved: Option<Instant>,
+    /// How many machines to try to do without; doubles while it works.
+    batch: usize,
+    /// When that last failed.
+    failed: Option<Instant>,
+}
+
+/// A machine that might be emptied.
+struct Candidate {
+    used_per_price: f64,
+    machine: usize,
+}
+
+impl ScaleIn {
+    /// Drains machines that nothing needs, and deletes drained ones.
+    pub fn remove_idle(&mut self, state: &ClusterState, round: &SchedulingRound) -> Vec<Mutation> {
+        let in_use = round.machines.iter().filter(|machine| machine.tasks > 0);
+        let needed: BTreeSet<&str> = in_use.map(|machine| &*machine.name).collect();
+        self.idle_since
+            .retain(|id, _| state.machines.contains_key(id) && !needed.contains(&**id));
+        let mut by_lifecycle: BTreeMap<MachineLifecycle, Vec<MachineId>> = BTreeMap::new();
+        for (id, machine) in &state.machines {
+            if needed.contains(&**id) || !machine.tasks.is_empty() {
+                continue;
+            }
+            if let Some(next) = self.next_lifecycle(state, id, machine) {
+                by_lifecycle.entry(next).or_default().push(id.clone());
+            }
+        }
+        let mut mutations = Vec::new();
+        for (lifecycle, machines) in by_lifecycle {
+            tracing::info!(?lifecycle, ?machines, "scale in: idle machines");
+            mutations.extend(in_batches(&machines, |machines| {
+                Mutation::SetLifecycle(SetLifecycle {
+                    lifecycle,
+                    machines,
+                })
+            }));
+        }
+        mutations
+    }
+
+    /// What becomes of an idle machine, if anything does now.
+    fn next_lifecycle(
+        &mut self,
+        state: &ClusterState,
+        id: &MachineId,
+        machine: &MachineState,
+    ) -> Option<MachineLifecycle> {
+        let record = &machine.record;
+        match record.lifecycle {
+            MachineLifecycle::Draining => Some(MachineLifecycle::Deleting),
+            MachineLifecycle::Active if record.unreachable_since_ms.is_none() => {
+                let now = Instant::now();
+                let since = *self.idle_since.entry(id.clone()).or_insert(now);
+                let idle_s = since.elapsed().as_secs_f64();
+                (idle_s >= max_idle_s(state, machine)).then_some(MachineLifecycle::Draining)
+            }
+            _ => None,
+        }
+    }
+
+    /// Machines to do without, if what waits and what is expected finds its places all the
+    /// same: the dearest for what is on them first. They are closed in the round. Batch
+    /// tasks end where they are; services move, one machine's at a time, to where their
+    /// images are already.
+    pub fn empty_machines(
+        &mut self,
+        state: &ClusterState,
+        round: &mut SchedulingRound,
+        types: &MachineTypes,
+        now_ms: UnixMillis,
+    ) -> Vec<MachineId> {
+        let pause = pause(types);
+        let is_recent = |at: Option<Instant>| at.is_some_and(|at| at.elapsed() < pause);
+        if is_recent(self.failed) {
+            return Vec::new();
+        }
+        self.batch = self.batch.max(1);
+        let mut emptied = Vec::new();
+        for candidate in candidates(state, round).into_iter().take(2 * MAX_EMPTIED) {
+            if emptied.len() >= self.batch {
+                break;
+            }
+            let index = candidate.machine;
+            let name = round.machines[index].name.clone();
+            let Some(machine) = state.machines.get(&*name) else {
+                continue;
+            };
+            let Some(services) = services_to_move(state, machine, types, now_ms) else {
+                continue;
+            };
+            let has_services = !services.is_empty();
+            if has_services && is_recent(self.service_moved) {
+                continue;
+            }
+            if move_services(round, &services) {
+                round.machines.set_closed(index, true);
+                if has_services {
+                    self.service_moved = Some(Instant::now());
+                }
+                emptied.push(name.into());
+            }
+        }
+        emptied
+    }
+
+    /// Notes whether the jobs found their places without the emptied machines.
+    pub fn record_trial(&mut self, succeeded: bool) {
+        if succeeded {
+            self.batch = (self.batch * 2).min(MAX_EMPTIED);
+        } else {
+            self.batch = (self.batch / 2).max(1);
+            self.failed = Some(Instant::now());
+        }
+    }
+}
+
+fn max_idle_s(state: &ClusterState, machine: &MachineState) -> f64 {
+    let types = state.machine_types.iter().flat_map(|types| &types.types);
+    let mut same = types.filter(|t| *t.name == *machine.record.machine_type);
+    same.next()
+        .map_or(DEFAULT_IDLE_S, |t| IDLE_BOOT_SHARE * t.boot_s)
+}
+
+fn pause(types: &MachineTypes) -> Duration {
+    let boot_times = types.types.iter().map(|t| t.boot_s);
+    let shortest_s = boot_times.fold(MAX_SHORTEST_BOOT_S, f64::min);
+    Duration::from_secs_f64(PAUSE_BOOT_SHARE * shortest_s)
+}
+
+/// Machines that might be emptied, the dearest for what is on them first.
+fn candidates(state: &ClusterState, round: &SchedulingRound) -> Vec<Candidate> {
+    let mut candidates = Vec::new();
+    for (index, machine) in round.machines.iter().enumerate() {
+        let Some(known) = state.machines.get(&*machine.name) else {
+            continue;
+        };
+        // What is planned for it beside its tasks must not be lost.
+        let has_only_its_tasks = machine.tasks == known.tasks.len();
+        let is_candidate = machine.up && machine.tasks > 0 && has_only_its_tasks;
+        let free = machine.free_at(round.planned_time);
+        let used = 1.0 - free.least_share_of(&machine.capacity);
+        if is_candidate && used < WELL_USED {
+            candidates.push(Candidate {
+                used_per_price: used / machine.price,
+                machine: index,
+            });
+        }
+    }
+    candidates.sort_by(|a, b| a.used_per_price.total_cmp(&b.used_per_price));
+    candidates
+}
+
+/// Plans services on other machines that are in use and have their images; false, and
+/// nothing is planned, if not all find such a place.
+fn move_services(round: &mut SchedulingRound, services: &[PendingJob]) -> bool {
+    let mut before: Vec<(usize, MachineTimeline)> = Vec::new();
+    for job in services {
+        let Some((to, finish)) = round.best_machine(job, true) else {
+            restore(round, before);
+            return false;
+        };
+        let is_warm = finish.running_s <= round.planned_time + job.overhead_s + 0.1;
+        let machine = &round.machines[to];
+        let is_in_use = machine.tasks > 0;
+        before.push((to, machine.clone()));
+        round.machines.place(to, job, &finish);
+        if !(is_in_use && is_warm) {
+            restore(round, before);
+            return false;
+        }
+    }
+    true
+}
+
+fn restore(round: &mut SchedulingRound, before: Vec<(usize, MachineTimeline)>) {
+    for (index, machine) in before.into_iter().rev() {
+        round.machines.restore(index, machine);
+    }
+}
+
+/// A machine's services as if they waited; `None` if the machine should stay as it is:
+/// gangs keep what they have, and what has just started is not disturbed.
+fn services_to_move(
+    state: &ClusterState,
+    machine: &MachineState,
+    types: &MachineTypes,
+    now_ms: UnixMillis,
+) -> Option<Vec<PendingJob>> {
+    let mut services = Vec::new();
+    for id in &machine.tasks {
+        let (job, task) = state.task(id)?;
+        let record = &task.record;
+        let is_service = job.spec.shape == Shape::Service;
+        let started_ms = record.started_ms;
+        let is_settled = started_ms.is_some_and(|at| now_ms > at + SETTLED_MS);
+        let is_open = job.phase == JobPhase::Active && record.stop_reason.is_none();
+        if !is_open || job.spec.shape == Shape::Gang || (is_service && !is_settled) {
+            return None;
+        }
+        if !is_service {
+            continue;
+        }
+        let mut pending = scheduler_inputs::pending_job(state, &job.spec, types);
+        for (index, other) in &job.tasks {
+            if *index != id.index {
+                pending.tasks_per_zone.add(other.record.shard.zone());
+            }
+        }
+        pending.avoided_machines = vec![record.machine.clone()?.into()];
+        services.push(pending);
+    }
+    Some(services)
+}
--- /dev/null
+++ b/crates/rushwalk/src/failure_detection/local_health.rs
@@ -0,0 +1,37 @@
+//! What this controller knows of its own health.
+
+use crate::leadership::Leadership;
+use crate::observability::runtime_lag::RuntimeLag;
+use crate::peers::PeerMonitor;
+use crate::store::Replica;
+use rushwalk_failure_detector::LocalHealth;
+use std::sync::Arc;
+
+/// Puts together what the failure detector must know of the observer itself.
+#[derive(Clone)]
+pub struct LocalHealthSource {
+    /// Tells how stale the replica is.
+    pub replica: Arc<Replica>,
+    /// Tells when leadership last passed.
+    pub leadership: Arc<Leadership>,
+    /// Tells how late timers are.
+    pub runtime_lag: Arc<RuntimeLag>,
+    /// Tells how busy the thread is.
+    pub peers: Arc<PeerMonitor>,
+}
+
+impl LocalHealthSource {
+    /// The health at this moment.
+    pub fn local_health(&self) -> LocalHealth {
+        let revision = self.replica.state().revision;
+        let since_transfer = self.leadership.since_last_transfer();
+        LocalHealth {
+            recent_lag_s: self.runtime_lag.recent_lag().as_secs_f64(),
+            mean_lag_s: self.runtime_lag.mean_lag().as_secs_f64(),
+            busy_share: self.peers.busy_share(),
+            staleness_s: self.replica.staleness().as_secs_f64(),
+            since_leadership_moved_s: since_transfer.map_or(f64::INFINITY, |d| d.as_secs_f64()),
+            revision,
+        }
+    }
+}
--- a/crates/rushwalk/src/http.rs
+++ b/crates/rushwalk/src/http.rs
@@ -4,5 +4,62 @@
 pub mod admin;
 pub mod admission;
 pub mod connections;
+mod forwarding;
+mod health;
 pub mod peers;
-pub mod users;
+pub mod public;
+mod responses;
+mod user_requests;
+
+use crate::controller::Controller;
+use crate::workers::heartbeats::HeartbeatHandler;
+use forwarding::PeerForwarder;
+use peers::PeerApi;
+use poem::{Endpoint, EndpointExt, get};
+use public::PublicApi;
+use std::sync::Arc;
+use user_requests::UserRequests;
+
+/// The routes of the public address, for users and workers.
+pub fn public_routes(controller: &Controller) -> impl Endpoint + use<> {
+    public::routes(Arc::new(PublicApi {
+        user_requests: user_requests(controller),
+        heartbeats: HeartbeatHandler {
+            context: controller.context.clone(),
+            replica: controller.replica.clone(),
+            workers: controller.workers.clone(),
+            peers: controller.peers.clone(),
+        },
+        peers: controller.peers.clone(),
+        connections: controller.connections.clone(),
+    }))
+}
+
+/// The routes of the peer address, for other controllers and operators.
+pub fn peer_routes(controller: &Arc<Controller>) -> impl Endpoint + use<> {
+    let api = Arc::new(PeerApi {
+        heartbeats: controller.heartbeats.clone(),
+        user_requests: user_requests(controller),
+    });
+    peers::routes(api)
+        .at("/admin/status", get(admin::status))
+        .at("/admin/machines", get(admin::page))
+        .data(controller.clone())
+}
+
+fn user_requests(controller: &Controller) -> UserRequests {
+    UserRequests {
+        context: controller.context.clone(),
+        replica: controller.replica.clone(),
+        log: controller.log.clone(),
+        writes: controller.user_writes.clone(),
+        committer: controller.committer.clone(),
+        forwarder: PeerForwarder {
+            context: controller.context.clone(),
+            peers: controller.peers.clone(),
+            client: controller.peer_client.clone(),
+        },
+        rejections: controller.rejections.clone(),
+        work_profile: controller.work_profile.clone(),
+    }
+}
--- a/crates/rushwalk/src/http/admin.rs
+++ b/crates/rushwalk/src/http/admin.rs
@@ -1,11 +1,11 @@
 //! The administration API, on the mesh address only: what an on-call person
 //! asks first. Read-only.
 
-use crate::controller::{Controller, lock};
+use crate::controller::Controller;
 use poem::web::{Data, Query};
 use poem::{Response, handler};
 use rushwalk_clients::{HttpClient, Method};
-use rushwalk_protocol::records::MachineLifecycle;
+use rushwalk_state::records::MachineLifecycle;
 use serde::Deserialize;
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -36,8 +36,8 @@
 /// Leader, members, grants, machines by zone and type, waiting jobs by reason.
 #[handler]
 pub async fn status(node: Data<&Arc<Controller>>) -> Response {
-    let own = crate::leadership::election::own(&node);
-    let view = node.view();
+    let own = node.local_health.local_health();
+    let view = node.replica.state();
     let mut groups: BTreeMap<(&str, &str, bool), MachineCounts> = BTreeMap::new();
     for row in view.machines.values() {
         let m = &row.record;
@@ -61,17 +61,18 @@
     let grants: Vec<_> = view
         .shard_leases
         .iter()
-        .map(|(block, (token, grant))| {
+        .map(|(block, lease)| {
+            let (token, grant) = (lease.version, &lease.value);
             let machines = view.shards.get(block).map_or(0, |b| b.len());
             json!({"block": &**block, "holder": grant.owner, "token": token,
                 "machines": machines})
         })
         .collect();
-    let leads = node.leadership(&view).is_some();
+    let leads = node.leadership.version(&view).is_some();
     // Only the leader plans, so only it knows why a job waits.
     let mut reasons: BTreeMap<&str, Vec<String>> = BTreeMap::new();
     if leads {
-        for (job, why) in &lock(&node.leader_state).pending_reasons {
+        for (job, why) in &*node.pending_reasons.by_job() {
             reasons.entry(why).or_default().push(job.clone());
         }
     }
@@ -79,25 +80,23 @@
         .into_iter()
         .map(|(why, jobs)| json!({"why": why, "jobs": jobs.len(), "first": &jobs[..jobs.len().min(NAMED)]}))
         .collect();
-    let (up_s, busy_s) = node.busy_seconds();
-    let recovery = lock(&node.incidents);
+    let times = node.context.process_times();
+    let (up_s, busy_s) = (times.up_s, times.busy_s);
+    let recovery = node.incidents.lock();
     let (trouble, last_trouble) = recovery.summary();
     let (connections, workers) = node.connections.count();
-    let age = node
-        .last_read_sent
-        .get()
-        .map(|at| at.elapsed().as_secs_f64());
-    answer(json!({"member": node.member(), "leads": leads,
-        "leader": view.leader.as_ref().map(|(_, l)| l.member.clone()),
+    let age = node.replica.last_read_age().map(|age| age.as_secs_f64());
+    answer(json!({"member": node.context.member(), "leads": leads,
+        "leader": view.leader.as_ref().map(|l| l.value.member.clone()),
         "revision": view.revision, "state_age_s": age, "unreadable": view.unreadable,
         "snapshot": {"at": view.snapshot.revision, "chunks": view.snapshot.chunks, "entries_since": view.entries_since_snapshot},
-        "standings": lock(&node.detector).statuses(node.uptime_s(), own),
+        "standings": node.peers.detector().statuses(node.context.uptime_s(), own),
         "members": view.members.keys().collect::<Vec<_>>(),
         "grants": grants, "machines": machines, "served": view.service_counts,
         "up_s": up_s, "busy_s": busy_s, "late_ms": node.runtime_lag.recent_lag().as_millis() as u64,
         "trouble": trouble, "last_trouble": last_trouble,
-        "connections": {"open": connections, "workers": workers}, "work": node.work_profile.summary(), "rentals": view.rentals.len(), "jobs_active": view.active.len(),
-        "jobs_live": view.with_tasks.len(), "waiting": waiting}))
+        "connections": {"open": connections, "workers": workers}, "work": node.work_profile.summary(), "rentals": view.rentals.len(), "jobs_active": view.queue.len(),
+        "jobs_live": view.jobs_with_tasks.len(), "waiting": waiting}))
 }
 
 #[derive(Deserialize)]
@@ -109,7 +108,7 @@
 /// Machines one by one, a page at a time, in the order of their names.
 #[handler]
 pub async fn page(node: Data<&Arc<Controller>>, from: Query<From>) -> Response {
-    let view = node.view();
+    let view = node.replica.state();
     let after = (Bound::Excluded(&*from.after), Bound::Unbounded);
     let mut rest = view.machines.range::<str, _>(after);
     let listed: Vec<_> = rest
@@ -120,7 +119,7 @@
             json!({"name": &**name, "type": &*m.machine_type, "zone": &*m.zone, "spot": m.spot,
                 "block": &*m.shard, "leaving": m.lifecycle != MachineLifecycle::Active, "up": m.ready_ms.is_some(),
                 "silent": m.unreachable_since_ms.is_some(), "images": m.images.len(),
-                "tasks": row.tasks.iter().map(|(u, i)| format!("{u}/{i}")).collect::<Vec<_>>()})
+                "tasks": row.tasks.iter().map(|id| id.to_string()).collect::<Vec<_>>()})
         })
         .collect();
     answer(json!({"machines": listed, "more": rest.next().is_some()}))
--- /dev/null
+++ b/crates/rushwalk/src/http/health.rs
@@ -0,0 +1,35 @@
+//! Whether users should be sent to this controller.
+
+use crate::context::Context;
+use crate::peers::PeerMonitor;
+use crate::store::Replica;
+
+/// Rounds after which a replica is too old to serve users by itself.
+const MAX_STALENESS_ROUNDS: u32 = 5;
+
+/// Whether users should be sent here: the store is in reach or, if it is out of reach of
+/// all, this controller is as good as any other.
+pub(super) fn is_healthy(context: &Context, replica: &Replica, peers: &PeerMonitor) -> bool {
+    let limit = context.timing.round * MAX_STALENESS_ROUNDS;
+    if replica.staleness() < limit {
+        return true;
+    }
+    if !replica.has_been_read() {
+        return false;
+    }
+    // In an outage all ages grow alike, and a peer's is known as of its last heartbeat: only
+    // one that is well below the limit by now is better off. A controller that hears no
+    // other has nothing to compare with and is rather the one that is cut off: users who
+    // kept to it got no answer for as long as that lasted.
+    let limit_s = limit.as_secs_f64();
+    let detector = peers.detector();
+    let now_s = context.uptime_s();
+    let hears_a_peer = context.settings.peers.is_empty()
+        || detector
+            .last_heartbeats(now_s)
+            .any(|(age_s, _)| age_s < limit_s);
+    let is_a_peer_better_off = detector
+        .last_heartbeats(now_s)
+        .any(|(age_s, heartbeat)| age_s + heartbeat.staleness_ms as f64 / 1000.0 < limit_s / 2.0);
+    hears_a_peer && !is_a_peer_better_off
+}
--- a/crates/rushwalk/src/http/users/tests.rs
+++ b/crates/rushwalk/src/http/responses/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 
 #[test]
-fn a_refusal_says_when_to_come_back() {
+fn a_rejection_says_when_to_come_back() {
     for (wait, seconds) in [(0.2, "1"), (1.2, "2"), (90.0, "30")] {
         let wait = Duration::from_secs_f64(wait);
-        let response = refuse_until(StatusCode::TOO_MANY_REQUESTS, "too many", wait);
+        let response = error_with_retry_after(StatusCode::TOO_MANY_REQUESTS, "too many", wait);
         assert_eq!(response.headers()["retry-after"], seconds);
     }
 }
--- a/crates/rushwalk/src/lib.rs
+++ b/crates/rushwalk/src/lib.rs
@@ -1,20 +1,23 @@
-//! One controller of a cluster scheduler: its loops, and what they share.
+//! One controller of a cluster scheduler: its parts, their loops, and its HTTP interfaces.
 //!
 //! The program is `main.rs`; this library is for it and for the simulator
 //! (`crates/simulator`). It is no stable interface.
 
 mod capacity;
+pub mod clock;
+pub mod context;
 pub mod controller;
+pub mod failure_detection;
 pub mod http;
 pub mod leadership;
 mod lock;
 pub mod observability;
 pub mod observable;
-mod random;
+pub mod peers;
+pub mod reporting;
+mod scheduler_inputs;
+pub mod scheduling;
 mod shards;
-mod store;
-pub mod view;
-mod workers;
-
-#[cfg(test)]
-mod size;
+pub mod store;
+pub mod timing;
+pub mod workers;
--- a/crates/rushwalk/src/main.rs
+++ b/crates/rushwalk/src/main.rs
@@ -4,7 +4,7 @@
 use poem::listener::TcpListener;
 use rushwalk::controller::{self, Controller};
 use rushwalk::http::admission::{AdmissionLimits, AdmissionListener};
-use rushwalk::http::{admin, peers, users};
+use rushwalk::http::{self, admin};
 use rushwalk_clients::HttpClient;
 use rushwalk_protocol::settings::Settings;
 use std::path::PathBuf;
@@ -126,32 +126,43 @@
 }
 
 async fn serve(settings: Settings) -> Result<(), String> {
-    let public = settings.public_addr.clone();
-    let mesh = settings.mesh_addr.clone();
-    let http = HttpClient::new(controller::kept(settings.site.limits.fd_limit));
-    let node = Controller::new(settings, http).map_err(|e| e.to_string())?;
-    tracing::info!(member = node.member(), nonce = node.incarnation, "started");
-    let _loops = controller::start(&node);
-    let mesh = poem::Server::new(TcpListener::bind(mesh)).run(peers::routes(node.clone()));
-    let public = async {
-        // Until the view is there nobody can be served. Behind a closed port the
-        // workers of a whole fleet, who ask again each second, cost nothing; at
-        // an open one they once held up a restarted node's listing for 7 s.
-        // Nor while its blocks belong to the process before: after an end
-        // of all, refusing two thousand workers a second left no time to elect a
-        // leader and to lend the blocks, for up to 14 s.
-        let _ = tokio::time::timeout(node.timing.member_lease, node.wait_until_registered()).await;
+    let public_address = settings.public_addr.clone();
+    let peer_address = settings.mesh_addr.clone();
+    let max_idle = controller::max_idle_connections(settings.site.limits.fd_limit);
+    let (controller, loops) =
+        Controller::new(settings, HttpClient::new(max_idle)).map_err(|e| e.to_string())?;
+    let context = &controller.context;
+    tracing::info!(
+        member = context.member(),
+        incarnation = context.incarnation,
+        "started"
+    );
+    let _loops = loops.spawn();
+    let peer_server =
+        poem::Server::new(TcpListener::bind(peer_address)).run(http::peer_routes(&controller));
+    let public_server = async {
+        // Until the state is listed nobody can be served. Behind a closed port the workers of
+        // a whole fleet, who ask again each second, cost nothing; at an open one they once
+        // held up a restarted controller's listing for 7 s. Nor while its shards belong to
+        // the previous process: after an end of all, rejecting two thousand workers a second
+        // left no time to elect a leader and to assign the shards, for up to 14 s.
+        let timing = &context.timing;
+        let registered = controller.replica.wait_until_registered();
+        let _ = tokio::time::timeout(timing.member_lease, registered).await;
         let limits = AdmissionLimits {
-            pass: node.timing.round / 16,
-            patience: node.timing.round * 3,
-            silent: node.timing.unreachable_after,
+            pass: timing.round / 16,
+            patience: timing.round * 3,
+            silent: timing.unreachable_after,
         };
-        let listener =
-            AdmissionListener::new(TcpListener::bind(public), node.connections.clone(), limits);
+        let listener = AdmissionListener::new(
+            TcpListener::bind(public_address),
+            controller.connections.clone(),
+            limits,
+        );
         poem::Server::new(listener)
-            .run(users::routes(node.clone()))
+            .run(http::public_routes(&controller))
             .await
     };
-    let (public, mesh) = tokio::join!(public, mesh);
-    public.and(mesh).map_err(|e| e.to_string())
+    let (public_result, peer_result) = tokio::join!(public_server, peer_server);
+    public_result.and(peer_result).map_err(|e| e.to_string())
 }
--- a/crates/rushwalk/src/observability.rs
+++ b/crates/rushwalk/src/observability.rs
@@ -2,5 +2,6 @@
 //! how long it did not serve as usual.
 
 pub mod incidents;
+pub mod rejections;
 pub mod runtime_lag;
 pub mod work_profile;
--- a/crates/rushwalk/src/observability/incidents.rs
+++ b/crates/rushwalk/src/observability/incidents.rs
@@ -1,13 +1,8 @@
 //! How long troubles last: since when this controller has not served as usual, what
 //! of it is to blame, and how long the last trouble took to be over.
 
-use crate::controller::{Controller, lock};
 use serde::Serialize;
 use std::collections::BTreeMap;
-use std::sync::Arc;
-use std::sync::atomic::Ordering;
-use std::time::Duration;
-use tokio::time::{Instant, sleep};
 
 /// What keeps a controller from serving as usual.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
@@ -95,74 +90,6 @@
     }
 }
 
-fn wrong(node: &Controller) -> Vec<IncidentCause> {
-    let mut out = Vec::new();
-    let mut found = |is: bool, cause: IncidentCause| {
-        if is {
-            out.push(cause);
-        }
-    };
-    let times = &node.timing;
-    found(
-        node.staleness() > times.round * 4,
-        IncidentCause::StoreUnreachable,
-    );
-    let view = node.view();
-    found(view.leader.is_none(), IncidentCause::NoLeader);
-    let held = |block| {
-        view.shard_leases
-            .get(block)
-            .is_some_and(|(_, g)| view.is_owner_registered(g))
-    };
-    let without = view.shards.iter().any(|(b, m)| !m.is_empty() && !held(b));
-    found(without, IncidentCause::UnownedShards);
-    let (mut all, mut unheard) = (0, 0);
-    let reports = lock(&node.workers_seen);
-    for (block, machines) in &view.shards {
-        if node.fencing_token(&view, block).is_none() {
-            continue;
-        }
-        for name in machines {
-            // Those known to be silent are a trouble of theirs, not of this node.
-            let row = view.machines.get(name);
-            if !row.is_some_and(|r| {
-                r.record.ready_ms.is_some() && r.record.unreachable_since_ms.is_none()
-            }) {
-                continue;
-            }
-            let heard = reports.sessions.get(name).and_then(|w| w.last_heard);
-            all += 1;
-            unheard += usize::from(heard.is_none_or(|at| at.elapsed() > times.unreachable_after));
-        }
-    }
-    found(unheard * 20 > all, IncidentCause::WorkersUnreachable);
-    found(node.runtime_lag.is_lagging(), IncidentCause::RuntimeLagging);
-    let refused = node.rejected_requests.swap(0, Ordering::Relaxed) > 0;
-    found(refused, IncidentCause::RequestsRejected);
-    out
-}
-
-/// Looks once a round. From the start it is a trouble until all is well.
-pub async fn recovery_loop(node: Arc<Controller>) {
-    let round = node.timing.round;
-    let calm = (round * 3).as_secs_f64();
-    let mut looked = Instant::now();
-    loop {
-        sleep(round).await;
-        let passed = looked.elapsed();
-        looked = Instant::now();
-        let wrong = wrong(&node);
-        let over = lock(&node.incidents).observe(passed.as_secs_f64(), &wrong, calm);
-        // A single late timer is no trouble that anybody wants to read of.
-        if let Some(trouble) = over
-            && Duration::from_secs_f64(trouble.took_s) > 3 * round
-        {
-            let causes = serde_json::to_string(&trouble.causes).unwrap_or_default();
-            tracing::info!(took_s = trouble.took_s, causes, "back to normal");
-        }
-    }
-}
-
 #[cfg(test)]
 mod tests {
     use super::*;
--- /dev/null
+++ b/crates/rushwalk/src/reporting/usage.rs
@@ -0,0 +1,75 @@
+//! Logs from time to time where the time went, and which jobs are served least.
+
+use crate::context::Context;
+use crate::http::connections::ConnectionTable;
+use crate::observability::runtime_lag::RuntimeLag;
+use crate::observability::work_profile::WorkProfile;
+use crate::store::Replica;
+use std::sync::Arc;
+use tokio::time::sleep;
+
+/// Logs once in a worker lease.
+pub struct UsageReport {
+    /// This process's context.
+    pub context: Arc<Context>,
+    /// Counts the jobs that are served.
+    pub replica: Arc<Replica>,
+    /// Counts the connections.
+    pub connections: Arc<ConnectionTable>,
+    /// Shows whether this controller keeps up.
+    pub runtime_lag: Arc<RuntimeLag>,
+    /// Where the time goes.
+    pub work_profile: Arc<WorkProfile>,
+}
+
+impl UsageReport {
+    /// Logs for good.
+    pub async fn run(self) {
+        loop {
+            sleep(self.context.timing.worker_lease).await;
+            self.log_time();
+            self.log_least_served();
+        }
+    }
+
+    fn log_time(&self) {
+        let times = self.context.process_times();
+        let (up_s, busy_s) = (times.up_s, times.busy_s);
+        let (connections, workers) = self.connections.count();
+        let recent_lag_ms = self.runtime_lag.recent_lag().as_millis() as u64;
+        let mean_lag_ms = self.runtime_lag.mean_lag().as_millis() as u64;
+        let work = self.work_profile.summary();
+        tracing::info!(
+            up_s,
+            busy_s,
+            recent_lag_ms,
+            mean_lag_ms,
+            connections,
+            workers,
+            %work,
+            "time spent"
+        );
+    }
+
+    fn log_least_served(&self) {
+        let state = self.replica.state();
+        let counts = &state.service_counts;
+        let (Some(class), Some(team)) = (counts.least_served_class(), counts.least_served_team())
+        else {
+            return;
+        };
+        tracing::info!(
+            class = class.name,
+            started_share = rounded(class.counts.started_share()),
+            class_counts = ?class.counts,
+            team = team.name,
+            team_started_share = rounded(team.counts.started_share()),
+            team_counts = ?team.counts,
+            "least served"
+        );
+    }
+}
+
+fn rounded(share: f64) -> f64 {
+    (share * 1000.0).round() / 1000.0
+}
--- /dev/null
+++ b/crates/rushwalk/src/scheduler_inputs.rs
@@ -0,0 +1,184 @@
+//! Machines and jobs as the scheduler sees them, made from the cluster's state.
+
+use crate::context::Context;
+use rushwalk_protocol::ids::MachineId;
+use rushwalk_protocol::jobs::JobSpec;
+use rushwalk_protocol::settings::SiteSettings;
+use rushwalk_scheduler::Resources;
+use rushwalk_scheduler::quota::{QuotaUsage, TasksPerZone};
+use rushwalk_scheduler::round::{PendingJob, SchedulingRound, TaskEstimate};
+use rushwalk_scheduler::timeline::MachineTimeline;
+use rushwalk_scheduler::timeline_index::TimelineIndex;
+use rushwalk_state::records::{JobPhase, MachineTypes};
+use rushwalk_state::{ClusterState, JobState, MachineState, TaskState, UnixMillis};
+use std::collections::BTreeSet;
+use std::sync::Arc;
+
+/// What a task that is to be stopped takes beyond saving its checkpoint, in seconds.
+const STOP_MARGIN_S: f64 = 1.0;
+
+/// A task that runs longer than predicted is expected to take this share of its predicted
+/// time more.
+const OVERRUN_SHARE: f64 = 0.25;
+
+/// A time of day in seconds, as the scheduler counts.
+pub fn seconds(time_ms: UnixMillis) -> f64 {
+    time_ms as f64 / 1000.0
+}
+
+/// All zones, in their order.
+pub fn zones(types: &MachineTypes, site: &SiteSettings) -> Vec<Arc<str>> {
+    let offered = types.types.iter().flat_map(|t| &t.zones);
+    let all: BTreeSet<&String> = offered.chain(&site.zones).collect();
+    all.into_iter().map(|zone| zone.as_str().into()).collect()
+}
+
+/// A round of scheduling without machines, with room for some.
+pub fn empty_round<'a>(
+    context: &'a Context,
+    now_s: f64,
+    zones: Vec<Arc<str>>,
+    machines: usize,
+) -> SchedulingRound<'a> {
+    SchedulingRound {
+        planned_time: now_s,
+        current_time: now_s,
+        zones,
+        machines: TimelineIndex::new(now_s, machines),
+        rentable: Vec::new(),
+        teams: &context.settings.site.teams,
+        usage: QuotaUsage::default(),
+        tie_s: context.timing.tie.as_secs_f64(),
+        first_rental: usize::MAX,
+        evaluations: Default::default(),
+    }
+}
+
+/// A job without tasks, with what a task takes on machines of each type.
+pub fn pending_job(state: &ClusterState, spec: &Arc<JobSpec>, types: &MachineTypes) -> PendingJob {
+    let durations = &state.durations;
+    let resources = Resources::of_task(spec);
+    let estimates = types.types.iter().map(|t| TaskEstimate {
+        run_s: durations.run_time(spec, &t.name),
+        fetch_s: durations.fetch_time(spec.image_gb, &t.name, t.fetch_gb_per_s),
+        boot_s: t.boot_s,
+        allowed: spec.types.as_ref().is_none_or(|n| n.contains(&t.name))
+            && resources.fits_in(&Resources::of_type(t)),
+    });
+    PendingJob {
+        spec: spec.clone(),
+        resources,
+        image: state.image_id(&spec.image),
+        estimates: estimates.collect(),
+        overhead_s: durations.overhead(),
+        tasks: Vec::new(),
+        tasks_per_zone: TasksPerZone::default(),
+        avoided_machines: Vec::new(),
+        price_bias: Vec::new(),
+        single_probe: false,
+    }
+}
+
+/// What is needed to see a machine as the scheduler does.
+pub struct TimelineInputs<'a> {
+    /// The state.
+    pub state: &'a ClusterState,
+    /// The machine types that the cloud offers.
+    pub types: &'a MachineTypes,
+    /// All zones, in their order.
+    pub zones: &'a [Arc<str>],
+    /// The present, in seconds.
+    pub now_s: f64,
+}
+
+impl TimelineInputs<'_> {
+    /// A machine that is ready, or boots and takes tasks from `ready_s` on, with the tasks
+    /// it has. `None` if its type or zone is not known.
+    pub fn timeline(
+        &self,
+        id: &MachineId,
+        machine: &MachineState,
+        ready_s: f64,
+    ) -> Option<MachineTimeline> {
+        let record = &machine.record;
+        let zone = self.zones.iter().position(|zone| *zone == record.zone)?;
+        let mut types = self.types.types.iter();
+        let group = types.position(|t| *t.name == *record.machine_type)?;
+        let machine_type = &self.types.types[group];
+        let name: Arc<str> = id.clone().into();
+        let mut timeline =
+            MachineTimeline::new(name, group, machine_type, zone, record.spot, ready_s);
+        timeline.shard = record.shard.clone().into();
+        timeline.up = record.ready_ms.is_some();
+        timeline.images = machine.image_ids.iter().map(|id| (*id, 0.0)).collect();
+        for task in &machine.tasks {
+            if let Some((job, task)) = self.state.task(task) {
+                self.add_task(&mut timeline, machine, job, task);
+            }
+        }
+        timeline.slowdown = machine.slowdown();
+        let boot_s = machine_type.boot_s;
+        timeline.pending_error = machine.prediction_error_s.clamp(-boot_s, boot_s);
+        Some(timeline)
+    }
+
+    /// Reserves what a placed task takes, with the fetch of its image.
+    fn add_task(
+        &self,
+        timeline: &mut MachineTimeline,
+        machine: &MachineState,
+        job: &JobState,
+        task: &TaskState,
+    ) {
+        let spec = &job.spec;
+        let ready_s = timeline.ready_s;
+        let end_s = predicted_end(self.state, job, task, machine, self.now_s);
+        timeline.reserve(Resources::of_task(spec), ready_s, end_s.max(ready_s + 1.0));
+        if task.record.started_ms.is_some() {
+            return;
+        }
+        let machine_type = &self.types.types[timeline.group];
+        let durations = &self.state.durations;
+        let fetch_s = durations.fetch_time(
+            spec.image_gb,
+            &machine_type.name,
+            machine_type.fetch_gb_per_s,
+        );
+        let fetched_s = seconds(task.record.scheduled_ms) + durations.overhead() + fetch_s;
+        let image = self.state.image_id(&spec.image);
+        timeline.record_fetch(image, fetched_s.max(self.now_s));
+    }
+}
+
+/// When a placed task should be off its machine, in seconds.
+pub fn predicted_end(
+    state: &ClusterState,
+    job: &JobState,
+    task: &TaskState,
+    machine: &MachineState,
+    now_s: f64,
+) -> f64 {
+    let spec = &job.spec;
+    let record = &task.record;
+    if job.phase != JobPhase::Active || record.stop_reason.is_some() {
+        return now_s + spec.save_s + STOP_MARGIN_S;
+    }
+    let machine_type = &machine.record.machine_type;
+    let run_s = state.durations.run_time(spec, machine_type) * machine.slowdown();
+    let end_s = match record.started_ms {
+        Some(started_ms) => seconds(started_ms) + run_s,
+        None => {
+            let fetch_s = if machine.has_image(&spec.image) {
+                0.0
+            } else {
+                state.durations.fetch_time(spec.image_gb, machine_type, 0.0)
+            };
+            seconds(record.scheduled_ms) + state.durations.overhead() + fetch_s + run_s
+        }
+    };
+    if run_s.is_finite() {
+        end_s.max(now_s + OVERRUN_SHARE * run_s)
+    } else {
+        end_s
+    }
+}
--- /dev/null
+++ b/crates/rushwalk/src/scheduling/assignment/tests.rs
@@ -0,0 +1,43 @@
+use super::*;
+
+/// The smallest value that a store has held so far, less its frame.
+const MIN_VALUE_BYTES: usize = (16 << 10) - 64;
+
+fn tasks_by_shard(tasks_per_shard: u32) -> TasksByShard {
+    let shard = |shard: u32| {
+        let first = shard * tasks_per_shard;
+        let tasks = (first..first + tasks_per_shard).map(|index| TaskOnMachine {
+            task: 98_000 + index,
+            machine: "i-000123".into(),
+        });
+        (format!("a-zone#{shard}").into(), tasks.collect())
+    };
+    (0..3).map(shard).collect()
+}
+
+fn count_tasks(mutation: &Mutation) -> usize {
+    match mutation {
+        Mutation::Assign(assign) => assign.shards.iter().map(|shard| shard.tasks.len()).sum(),
+        _ => 0,
+    }
+}
+
+#[test]
+fn whatever_is_assigned_in_a_round_fits_the_values() {
+    let id: JobId = "j-000001".into();
+    for (shape, n) in [
+        (Shape::Array, 700),
+        (Shape::Service, 266),
+        (Shape::Gang, 266),
+        (Shape::Gang, 400),
+    ] {
+        let mutations = assignments(&id, shape, 1_700_000_000_000, tasks_by_shard(n));
+        let tasks: usize = mutations.iter().map(count_tasks).sum();
+        assert_eq!(tasks, 3 * n as usize, "{shape:?}");
+        for mutation in &mutations {
+            let bytes = serde_json::to_string(mutation).unwrap().len();
+            assert!(bytes < MIN_VALUE_BYTES, "{shape:?}: {bytes} bytes");
+        }
+        assert_eq!(mutations.len() == 1, shape == Shape::Gang);
+    }
+}
--- /dev/null
+++ b/crates/rushwalk/src/scheduling/expected_demand.rs
@@ -0,0 +1,142 @@
+//! What is expected to arrive, or to come back.
+
+use super::queue::MIN_TASKS_PER_JOB;
+use crate::context::Context;
+use crate::scheduler_inputs::{self, seconds};
+use rushwalk_protocol::ids::JobId;
+use rushwalk_protocol::jobs::{JobSpec, Priority, Shape};
+use rushwalk_scheduler::Resources;
+use rushwalk_scheduler::arrivals;
+use rushwalk_scheduler::round::PendingJob;
+use rushwalk_state::cluster_state::Arrival;
+use rushwalk_state::records::{JobPhase, MachineTypes};
+use rushwalk_state::{ClusterState, UnixMillis};
+use std::collections::{BTreeMap, VecDeque};
+
+/// The time over which arrivals are counted together.
+const BUCKET_MS: UnixMillis = 30_000;
+
+/// So many of these times, the latest, tell the rate of arrivals.
+const MAX_BUCKETS: u64 = 5;
+
+/// Boot times before the end of a worker lease at which a place is made ready for a service.
+const LEAD_BOOT_TIMES: f64 = 1.5;
+
+/// A job that is expected.
+pub(super) struct ExpectedJob {
+    /// In how many seconds.
+    pub(super) in_s: f64,
+    /// The job.
+    pub(super) job: PendingJob,
+}
+
+/// Arrivals to be expected while a machine would boot, and services that may come back:
+/// they are planned as what waits is, so that they find a warm machine.
+pub(super) fn expected_jobs(
+    context: &Context,
+    state: &ClusterState,
+    types: &MachineTypes,
+    now_ms: UnixMillis,
+) -> Vec<ExpectedJob> {
+    let mut classes: Vec<(&VecDeque<Arrival>, &JobSpec)> = state
+        .arrivals
+        .values()
+        .filter_map(|arrivals| Some((arrivals, &*arrivals.back()?.spec)))
+        .collect();
+    classes.sort_by_key(|(_, spec)| (spec.priority, spec.class.clone()));
+    let mut expected = Vec::new();
+    for (arrivals, spec) in classes {
+        let rate = arrival_rate(arrivals, now_ms);
+        let lead_s = slowest_boot_s(spec, types);
+        let deviations = deviations(context, spec);
+        let times = arrivals::arrivals(rate, lead_s, deviations);
+        let latest = arrivals.iter().rev().cycle();
+        for (in_s, arrival) in times.into_iter().zip(latest) {
+            let mut job = scheduler_inputs::pending_job(state, &arrival.spec, types);
+            job.tasks = (0..arrival.spec.tasks.min(MIN_TASKS_PER_JOB as u32)).collect();
+            expected.push(ExpectedJob { in_s, job });
+        }
+    }
+    expected.extend(returning_services(context, state, types, now_ms));
+    expected.sort_by(|a, b| a.in_s.total_cmp(&b.in_s));
+    expected
+}
+
+/// Arrivals a second.
+fn arrival_rate(arrivals: &VecDeque<Arrival>, now_ms: UnixMillis) -> f64 {
+    let first_ms = arrivals.front().map_or(now_ms, |first| first.accepted_ms);
+    let known = now_ms.saturating_sub(first_ms) / BUCKET_MS + 1;
+    let mut buckets = vec![0u32; known.min(MAX_BUCKETS) as usize];
+    for arrival in arrivals {
+        let age = now_ms.saturating_sub(arrival.accepted_ms) / BUCKET_MS;
+        if let Some(count) = buckets.get_mut(age as usize) {
+            *count += 1;
+        }
+    }
+    arrivals::rate(&buckets, seconds(BUCKET_MS))
+}
+
+/// The longest boot time of a machine that a job may use, in seconds.
+fn slowest_boot_s(spec: &JobSpec, types: &MachineTypes) -> f64 {
+    let usable = types.types.iter().filter(|t| {
+        spec.types.as_ref().is_none_or(|n| n.contains(&t.name))
+            && Resources::of_task(spec).fits_in(&Resources::of_type(t))
+    });
+    usable.map(|t| t.boot_s).fold(0.0, f64::max)
+}
+
+/// For how many deviations from the mean number of arrivals there should be room. A job that
+/// only has to finish by a time can wait a little for the end of a burst.
+fn deviations(context: &Context, spec: &JobSpec) -> f64 {
+    let objectives = &context.settings.site.objectives;
+    let has_start_objective = objectives
+        .iter()
+        .any(|objective| objective.kind == "wait" && objective.class == spec.class);
+    match spec.priority {
+        Priority::Production | Priority::High => 1.5,
+        _ if has_start_objective => 1.0,
+        _ => 0.0,
+    }
+}
+
+/// Services on unreachable machines that may have to start anew when the worker leases have
+/// expired: a place is made ready for them while a machine would boot.
+fn returning_services(
+    context: &Context,
+    state: &ClusterState,
+    types: &MachineTypes,
+    now_ms: UnixMillis,
+) -> Vec<ExpectedJob> {
+    let timing = &context.timing;
+    let expiry = (timing.worker_lease + timing.lease_validity)
+        .saturating_sub(timing.unreachable_after)
+        .as_secs_f64();
+    let boot_times = types.types.iter().map(|t| t.boot_s);
+    let lead_s = boot_times.fold(0.0, f64::max) * LEAD_BOOT_TIMES;
+    let mut by_job: BTreeMap<&JobId, (f64, Vec<u32>)> = BTreeMap::new();
+    for machine in state.machines.values() {
+        let Some(unreachable_since_ms) = machine.record.unreachable_since_ms else {
+            continue;
+        };
+        let in_s = seconds(unreachable_since_ms) + expiry - seconds(now_ms);
+        if in_s > lead_s {
+            continue;
+        }
+        for id in &machine.tasks {
+            let job = state.jobs.get(&id.job);
+            let is_service = job.is_some_and(|job| {
+                job.phase == JobPhase::Active && job.spec.shape == Shape::Service
+            });
+            if is_service {
+                let entry = by_job.entry(&id.job).or_insert((in_s.max(0.0), Vec::new()));
+                entry.1.push(id.index);
+            }
+        }
+    }
+    let expected = by_job.into_iter().filter_map(|(id, (in_s, tasks))| {
+        let mut job = scheduler_inputs::pending_job(state, &state.jobs.get(id)?.spec, types);
+        job.tasks = tasks;
+        Some(ExpectedJob { in_s, job })
+    });
+    expected.collect()
+}
--- /dev/null
+++ b/crates/rushwalk/src/scheduling/queue.rs
@@ -0,0 +1,184 @@
+//! Jobs with tasks that have no place, in the order in which places are given.
+
+use crate::context::Context;
+use crate::scheduler_inputs::{self, seconds};
+use rushwalk_protocol::ids::JobId;
+use rushwalk_protocol::jobs::{Priority, Shape};
+use rushwalk_scheduler::Resources;
+use rushwalk_scheduler::deadlines::{TaskDurations, start_by};
+use rushwalk_scheduler::quota::QuotaUsage;
+use rushwalk_scheduler::retry::{FailureSummary, RetryDecision, retry};
+use rushwalk_scheduler::round::PendingJob;
+use rushwalk_state::records::MachineTypes;
+use rushwalk_state::{ClusterState, JobState, UnixMillis};
+
+/// Tasks of one job planned in a round, at least; as many as there are machines on a larger
+/// fleet. The rest comes next.
+pub(super) const MIN_TASKS_PER_JOB: usize = 160;
+
+/// A job that failed on more machines than this may as well be tried on any.
+const MAX_AVOIDED_MACHINES: usize = 3;
+
+/// A job with its place in the order.
+struct QueuedJob {
+    priority: Priority,
+    /// The time by which it should start, in seconds.
+    start_by_s: f64,
+    accepted_ms: UnixMillis,
+    id: JobId,
+}
+
+/// Jobs with tasks that are neither assigned nor completed, in order.
+pub(super) fn pending_jobs(
+    context: &Context,
+    state: &mut ClusterState,
+    types: &MachineTypes,
+    now_ms: UnixMillis,
+) -> Vec<PendingJob> {
+    let mut queued = queued_jobs(context, state, types, now_ms);
+    queued.sort_by(|a, b| {
+        (a.priority.cmp(&b.priority))
+            .then(a.start_by_s.total_cmp(&b.start_by_s))
+            .then(a.accepted_ms.cmp(&b.accepted_ms))
+    });
+    let mut pending = Vec::new();
+    for job in queued {
+        pending.extend(pending_job(context, state, types, now_ms, &job.id));
+    }
+    pending
+}
+
+fn queued_jobs(
+    context: &Context,
+    state: &ClusterState,
+    types: &MachineTypes,
+    now_ms: UnixMillis,
+) -> Vec<QueuedJob> {
+    let site = &context.settings.site;
+    // Of all unfinished jobs in order of arrival, per team: a job is within its team's
+    // guarantee if it fits into it together with the earlier ones.
+    let mut unfinished = QuotaUsage::default();
+    let queue = state.queue.iter();
+    let mut by_arrival: Vec<(UnixMillis, &JobId)> =
+        queue.map(|key| (key.accepted_ms, &key.job)).collect();
+    by_arrival.sort_unstable();
+    let mut queued = Vec::new();
+    for (_, id) in by_arrival {
+        let Some(job) = state.jobs.get(id) else {
+            continue;
+        };
+        let spec = &job.spec;
+        let resources = resources_of_job(job);
+        let team = site.teams.iter().find(|team| team.name == spec.team);
+        let guaranteed = team.is_some_and(|team| unfinished.is_within_guarantee(team, resources));
+        unfinished.add(&spec.team, resources);
+        if job.tasks.len() as u32 + job.completed.count() >= spec.tasks {
+            continue;
+        }
+        let durations = task_durations(state, job, types, guaranteed);
+        let accepted_s = seconds(job.accepted_ms);
+        let start_by_s = start_by(
+            spec,
+            accepted_s,
+            seconds(now_ms),
+            durations,
+            &site.objectives,
+        );
+        queued.push(QueuedJob {
+            priority: spec.priority,
+            start_by_s,
+            accepted_ms: job.accepted_ms,
+            id: id.clone(),
+        });
+    }
+    queued
+}
+
+/// What all tasks of a job use together, as far as quotas count it.
+fn resources_of_job(job: &JobState) -> Resources {
+    let task = Resources::of_task(&job.spec);
+    let tasks = f64::from(job.spec.tasks);
+    Resources {
+        cpus: task.cpus * tasks,
+        gpus: task.gpus * tasks,
+        memory_gb: 0.0,
+    }
+}
+
+/// As if on a machine without the job's image: the type is not known yet.
+fn task_durations(
+    state: &ClusterState,
+    job: &JobState,
+    types: &MachineTypes,
+    guaranteed: bool,
+) -> TaskDurations {
+    let spec = &job.spec;
+    let durations = &state.durations;
+    let machine_type = types.types.first();
+    TaskDurations {
+        fetch_s: machine_type.map_or(0.0, |t| {
+            durations.fetch_time(spec.image_gb, &t.name, t.fetch_gb_per_s)
+        }),
+        run_s: machine_type.map_or(0.0, |t| durations.run_time(spec, &t.name)),
+        guaranteed,
+    }
+}
+
+/// The tasks of a job to be planned in this round, if any.
+fn pending_job(
+    context: &Context,
+    state: &mut ClusterState,
+    types: &MachineTypes,
+    now_ms: UnixMillis,
+    id: &JobId,
+) -> Option<PendingJob> {
+    let job = state.jobs.get(id)?;
+    let spec = job.spec.clone();
+    if spec.shape == Shape::Gang && !job.tasks.is_empty() {
+        return None;
+    }
+    let retry = retry_decision(context, job, now_ms);
+    if retry == RetryDecision::BackOff {
+        return None;
+    }
+    let max_tasks = match (spec.shape, retry) {
+        (Shape::Gang, _) => spec.tasks as usize,
+        (_, RetryDecision::SingleProbe) => 1,
+        _ => MIN_TASKS_PER_JOB.max(state.machines.len()),
+    };
+    let mut pending = scheduler_inputs::pending_job(state, &spec, types);
+    for task in job.tasks.values() {
+        let machine = task.record.machine.as_ref();
+        let machine = machine.and_then(|machine| state.machines.get(machine));
+        let zone = machine.map(|machine| &*machine.record.zone);
+        let zone = zone.unwrap_or_else(|| task.record.shard.zone());
+        pending.tasks_per_zone.add(zone);
+    }
+    let failed_machines = &job.failures.machines;
+    if failed_machines.len() <= MAX_AVOIDED_MACHINES {
+        let avoided = failed_machines.iter().map(|id| id.clone().into());
+        pending.avoided_machines = avoided.collect();
+    }
+    pending.single_probe = retry == RetryDecision::SingleProbe;
+    let is_retried = pending.single_probe && job.tasks.is_empty();
+    let machines = failed_machines.len();
+    pending.tasks = state.unassigned_tasks(id, max_tasks);
+    if pending.tasks.is_empty() {
+        return None;
+    }
+    if is_retried {
+        tracing::debug!(job = &**id, machines, "failing job probed once more");
+    }
+    Some(pending)
+}
+
+fn retry_decision(context: &Context, job: &JobState, now_ms: UnixMillis) -> RetryDecision {
+    let mut tasks = job.tasks.values();
+    let is_running = tasks.any(|task| task.record.started_ms.is_some());
+    let failures = FailureSummary {
+        machines: job.failures.machines.len(),
+        succeeded_somewhere: job.completed.count() > 0 || is_running,
+        since_s: seconds(now_ms.saturating_sub(job.failures.last_ms)),
+    };
+    retry(failures, context.timing.round.as_secs_f64())
+}
--- /dev/null
+++ b/crates/rushwalk/src/scheduling/scheduler.rs
@@ -0,0 +1,388 @@
+//! The loop of the leader's rounds.
+
+use super::assignment::{assign, reserve_assigned};
+use super::expected_demand::{ExpectedJob, expected_jobs};
+use super::maintenance::maintenance;
+use super::queue::pending_jobs;
+use super::stragglers::Stragglers;
+use super::turns::TurnPlanner;
+use super::usage::log_usage;
+use crate::capacity::RentalTracker;
+use crate::capacity::boot_supervision::BootSupervisor;
+use crate::capacity::machines::RoundBuilder;
+use crate::capacity::scale_in::ScaleIn;
+use crate::capacity::scale_out::{DemandSeen, RentalBasis, ScaleOut};
+use crate::capacity::scarcity::PriceBias;
+use crate::clock::now_ms;
+use crate::context::Context;
+use crate::leadership::{LeaderVersion, Leadership};
+use crate::observability::runtime_lag::RuntimeLag;
+use crate::observability::work_profile::{WorkKind, WorkProfile};
+use crate::peers::PeerMonitor;
+use crate::scheduler_inputs::{self, seconds};
+use crate::store::{Replica, WritePriority};
+use parking_lot::{Mutex, MutexGuard};
+use rushwalk_clients::cloud::CloudClient;
+use rushwalk_protocol::ids::MachineId;
+use rushwalk_scheduler::round::{PendingJob, SchedulingDecisions, SchedulingRound};
+use rushwalk_state::mutation::SetLifecycle;
+use rushwalk_state::records::{MachineLifecycle, MachineTypes};
+use rushwalk_state::{ClusterState, Mutation, UnixMillis};
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// One in so many of the expected tasks may be late beyond those that were before.
+const LATE_TOLERANCE: usize = 50;
+
+/// Why jobs wait, by job, as of the latest round. The administration API shows it.
+#[derive(Default)]
+pub struct PendingReasons {
+    by_job: Mutex<BTreeMap<String, &'static str>>,
+}
+
+impl PendingReasons {
+    /// The reasons by job.
+    pub fn by_job(&self) -> MutexGuard<'_, BTreeMap<String, &'static str>> {
+        self.by_job.lock()
+    }
+}
+
+/// The parts that scheduling uses.
+pub struct SchedulerParts {
+    /// This process's context.
+    pub context: Arc<Context>,
+    /// Shows jobs and machines.
+    pub replica: Arc<Replica>,
+    /// Only the leader schedules.
+    pub leadership: Arc<Leadership>,
+    /// Shows which owners may get more work.
+    pub peers: Arc<PeerMonitor>,
+    /// Tells how many calls the cloud takes.
+    pub cloud: Arc<CloudClient>,
+    /// Shows what the cloud has to rent.
+    pub tracker: Arc<RentalTracker>,
+    /// Where the reasons to wait are shown.
+    pub pending_reasons: Arc<PendingReasons>,
+    /// Lets others have their turn.
+    pub runtime_lag: Arc<RuntimeLag>,
+    /// Where the time goes.
+    pub work_profile: Arc<WorkProfile>,
+}
+
+/// Makes scheduling rounds while this process leads.
+pub struct Scheduler {
+    parts: SchedulerParts,
+    boots: BootSupervisor,
+    scale_out: ScaleOut,
+    scale_in: ScaleIn,
+    stragglers: Stragglers,
+    turns: TurnPlanner,
+    /// When the number of machines was last planned by what is expected.
+    expected_planned: Option<Instant>,
+    /// Expected tasks that would have to wait on the whole fleet.
+    expected_late: usize,
+}
+
+/// What a round begins with.
+struct RoundStart<'a> {
+    round: SchedulingRound<'a>,
+    pending: Vec<PendingJob>,
+    types: Arc<MachineTypes>,
+}
+
+impl Scheduler {
+    /// A scheduler that has made no round.
+    pub fn new(parts: SchedulerParts) -> Scheduler {
+        let turns = TurnPlanner {
+            round: parts.context.timing.round,
+            runtime_lag: parts.runtime_lag.clone(),
+            work_profile: parts.work_profile.clone(),
+        };
+        Scheduler {
+            parts,
+            turns,
+            boots: BootSupervisor::default(),
+            scale_out: ScaleOut::default(),
+            scale_in: ScaleIn::default(),
+            stragglers: Stragglers::default(),
+            expected_planned: None,
+            expected_late: 0,
+        }
+    }
+
+    /// Makes rounds, for good.
+    pub async fn run(mut self) {
+        let context = self.parts.context.clone();
+        let leadership = self.parts.leadership.clone();
+        loop {
+            let started = Instant::now();
+            if let Some(version) = leadership.version_to_act() {
+                self.make_round(&context, version).await;
+                leadership.record_round();
+            }
+            // A round each second or so; one that took long leaves as much time to the
+            // others on this thread.
+            let took = started.elapsed();
+            let pause = context.timing.round.saturating_sub(took).max(took);
+            // Who has just come to lead begins at once.
+            leadership.wait_acquired(pause).await;
+        }
+    }
+
+    async fn make_round(&mut self, context: &Context, version: LeaderVersion) {
+        let leadership = self.parts.leadership.clone();
+        let mutations = self.maintain(context);
+        let priority = WritePriority::Scheduling;
+        if !leadership.append(version, &mutations, priority).await {
+            return;
+        }
+        if leadership.current_version() != Some(version) {
+            return;
+        }
+        let mutations = self.schedule(context, version).await;
+        leadership.append(version, &mutations, priority).await;
+    }
+
+    fn maintain(&mut self, context: &Context) -> Vec<Mutation> {
+        let work_profile = self.parts.work_profile.clone();
+        let _timer = work_profile.start(WorkKind::Schedule);
+        let replica = self.parts.replica.clone();
+        let state = replica.state();
+        let now_ms = now_ms();
+        let abandoned = match state.machine_types.clone() {
+            Some(types) => self.supervise_boots(context, &state, &types, now_ms),
+            None => BTreeSet::new(),
+        };
+        maintenance(context, &state, &abandoned, now_ms)
+    }
+
+    fn supervise_boots(
+        &mut self,
+        context: &Context,
+        state: &ClusterState,
+        types: &MachineTypes,
+        now_ms: UnixMillis,
+    ) -> BTreeSet<MachineId> {
+        let timing = &context.timing;
+        let zones = scheduler_inputs::zones(types, &context.settings.site);
+        let heartbeat_s = timing.heartbeat.as_secs_f64();
+        self.boots.update(state, types, &zones, now_ms, heartbeat_s);
+        // A controller that has just come to lead does not know what the shards' owners are
+        // about to commit.
+        let leading_for = self.parts.leadership.leading_for();
+        if leading_for.is_none_or(|leading| leading <= timing.unreachable_after) {
+            return BTreeSet::new();
+        }
+        let jobs_wait = !self.parts.pending_reasons.by_job().is_empty();
+        self.boots.abandon_late(state, types, &zones, jobs_wait)
+    }
+
+    /// Plans what waits, then how many machines there should be.
+    async fn schedule(&mut self, context: &Context, version: LeaderVersion) -> Vec<Mutation> {
+        let now_ms = now_ms();
+        let Some(start) = self.begin_round(context, now_ms) else {
+            return Vec::new();
+        };
+        let RoundStart {
+            mut round,
+            pending,
+            types,
+        } = start;
+        let decisions = self.turns.plan_pending(&mut round, &pending).await;
+        let mut mutations = self.assign_and_restart(&mut round, decisions, &types, now_ms);
+        log_usage(&round, &types);
+        let basis = RentalBasis {
+            leader: version,
+            began_ms: now_ms,
+            for_waiting: round.machines.len(),
+        };
+        if !self.is_expected_demand_due(context) {
+            mutations.extend(self.rent(context, &round, &types, basis, DemandSeen::Waiting));
+            return mutations;
+        }
+        // Would fewer machines do, for what waits and what is expected? Tried before what
+        // was placed shows in the state: a machine with a new task is not emptied.
+        let emptied = self.try_to_empty_machines(&mut round, &types, now_ms);
+        // What was placed need not wait for the rest, which took seconds on the largest
+        // fleets.
+        let appended = self
+            .parts
+            .leadership
+            .append(version, &mutations, WritePriority::Scheduling);
+        if !appended.await {
+            return Vec::new();
+        }
+        let emptied = self
+            .plan_expected(context, &mut round, &types, emptied, now_ms)
+            .await;
+        self.scale(context, &round, &types, basis, emptied)
+    }
+
+    fn begin_round<'a>(
+        &mut self,
+        context: &'a Context,
+        now_ms: UnixMillis,
+    ) -> Option<RoundStart<'a>> {
+        let _timer = self.parts.work_profile.start(WorkKind::Schedule);
+        let mut state = self.parts.replica.state();
+        let types = state.machine_types.clone()?;
+        let mut rentals = self.parts.tracker.state();
+        let builder = RoundBuilder {
+            context,
+            state: &state,
+            types: &types,
+            zones: scheduler_inputs::zones(&types, &context.settings.site),
+            boots: &self.boots,
+            now_s: seconds(now_ms),
+        };
+        let mut round = builder.build(&mut rentals);
+        reserve_assigned(&state, &types, &mut round);
+        let mut pending = pending_jobs(context, &mut state, &types, now_ms);
+        let bias = PriceBias::new(&state, &rentals.capacity, &types);
+        pending.iter_mut().for_each(|job| bias.apply(job));
+        Some(RoundStart {
+            round,
+            pending,
+            types,
+        })
+    }
+
+    fn assign_and_restart(
+        &mut self,
+        round: &mut SchedulingRound,
+        decisions: SchedulingDecisions,
+        types: &MachineTypes,
+        now_ms: UnixMillis,
+    ) -> Vec<Mutation> {
+        let _timer = self.parts.work_profile.start(WorkKind::Schedule);
+        let state = self.parts.replica.state();
+        let peers = &self.parts.peers;
+        let mut mutations = assign(&state, round, &decisions, now_ms, |shard| {
+            peers.accepts_more_work(&state, shard)
+        });
+        *self.parts.pending_reasons.by_job() = decisions.pending_reasons.into_iter().collect();
+        mutations.extend(self.stragglers.stop(&state, round, types, now_ms));
+        mutations
+    }
+
+    /// Whether to plan what is expected: in every third round only, since it is a plan of
+    /// many jobs, most of which come out as they did a moment ago.
+    fn is_expected_demand_due(&mut self, context: &Context) -> bool {
+        let pause = context.timing.round * 5 / 2;
+        let is_due = self.expected_planned.is_none_or(|at| at.elapsed() > pause);
+        if is_due {
+            self.expected_planned = Some(Instant::now());
+        }
+        is_due
+    }
+
+    fn rent(
+        &mut self,
+        context: &Context,
+        round: &SchedulingRound,
+        types: &MachineTypes,
+        basis: RentalBasis,
+        seen: DemandSeen,
+    ) -> Vec<Mutation> {
+        let took = Duration::from_millis(now_ms().saturating_sub(basis.began_ms));
+        self.scale_out
+            .update_shortfall(round, types, basis.for_waiting, seen);
+        let calls_per_s = self.parts.cloud.rate();
+        self.scale_out
+            .rent(context, &self.parts.tracker, calls_per_s, took, basis)
+    }
+
+    /// Closes machines in the round that might be done without; none if some are lacking.
+    fn try_to_empty_machines(
+        &mut self,
+        round: &mut SchedulingRound,
+        types: &MachineTypes,
+        now_ms: UnixMillis,
+    ) -> Vec<MachineId> {
+        let _timer = self.parts.work_profile.start(WorkKind::ScaleOut);
+        if round.machines.len() > round.first_rental {
+            return Vec::new();
+        }
+        let state = self.parts.replica.state();
+        self.scale_in.empty_machines(&state, round, types, now_ms)
+    }
+
+    /// Plans what is expected, without the emptied machines if that does; returns those to be
+    /// done without.
+    async fn plan_expected(
+        &mut self,
+        context: &Context,
+        round: &mut SchedulingRound<'_>,
+        types: &MachineTypes,
+        emptied: Vec<MachineId>,
+        now_ms: UnixMillis,
+    ) -> Vec<MachineId> {
+        let expected = self.expected_jobs(context, types, now_ms);
+        let before = (!emptied.is_empty()).then(|| round.machines.clone());
+        let late = self.turns.plan_expected(round, &expected).await;
+        let Some(before) = before else {
+            self.expected_late = late;
+            return emptied;
+        };
+        // Not more may be late than were with all machines, but for a few.
+        let tasks: usize = expected.iter().map(|e| e.job.tasks.len()).sum();
+        let max_late = self.expected_late + tasks / LATE_TOLERANCE;
+        let is_enough = round.machines.len() == round.first_rental && late <= max_late;
+        self.scale_in.record_trial(is_enough);
+        if is_enough {
+            return emptied;
+        }
+        // Not without them: planned once more, with all.
+        round.restore(before);
+        for index in 0..round.machines.len() {
+            round.machines.set_closed(index, false);
+        }
+        self.expected_late = self.turns.plan_expected(round, &expected).await;
+        Vec::new()
+    }
+
+    fn expected_jobs(
+        &self,
+        context: &Context,
+        types: &MachineTypes,
+        now_ms: UnixMillis,
+    ) -> Vec<ExpectedJob> {
+        let _timer = self.parts.work_profile.start(WorkKind::ScaleOut);
+        let state = self.parts.replica.state();
+        let bias = PriceBias::new(&state, &self.parts.tracker.state().capacity, types);
+        let mut expected = expected_jobs(context, &state, types, now_ms);
+        for expected in &mut expected {
+            bias.apply(&mut expected.job);
+        }
+        expected
+    }
+
+    /// The mutations that change the number of machines.
+    fn scale(
+        &mut self,
+        context: &Context,
+        round: &SchedulingRound,
+        types: &MachineTypes,
+        basis: RentalBasis,
+        emptied: Vec<MachineId>,
+    ) -> Vec<Mutation> {
+        let work_profile = self.parts.work_profile.clone();
+        let _timer = work_profile.start(WorkKind::ScaleOut);
+        let rentals = self.rent(context, round, types, basis, DemandSeen::WaitingAndExpected);
+        let mut mutations = {
+            let state = self.parts.replica.state();
+            self.scale_in.remove_idle(&state, round)
+        };
+        if !emptied.is_empty() {
+            tracing::info!(machines = ?emptied, "scale in: machines emptied");
+            mutations.push(Mutation::SetLifecycle(SetLifecycle {
+                lifecycle: MachineLifecycle::Draining,
+                machines: emptied,
+            }));
+        }
+        mutations.extend(rentals);
+        mutations
+    }
+}
--- /dev/null
+++ b/crates/rushwalk/src/scheduling/stragglers.rs
@@ -0,0 +1,145 @@
+//! Stragglers: tasks that run much longer than predicted.
+
+use crate::scheduler_inputs::{self, seconds};
+use rushwalk_protocol::ids::{JobId, MachineId, TaskId};
+use rushwalk_protocol::jobs::Shape;
+use rushwalk_scheduler::round::SchedulingRound;
+use rushwalk_state::mutation::{MAX_BATCH, StopTasks};
+use rushwalk_state::records::{JobPhase, MachineTypes, StopReason};
+use rushwalk_state::{ClusterState, JobState, Mutation, TaskState, UnixMillis};
+use std::collections::BTreeSet;
+
+/// A task that runs this many times its predicted time is a straggler (§4.4 of the paper).
+const STRAGGLER_RATIO: f64 = 2.0;
+
+/// The shortest tasks there are last a while: most need no look at their predicted time, in
+/// seconds.
+const MIN_ELAPSED_S: f64 = 10.0;
+
+/// Stops stragglers, each at most once.
+#[derive(Default)]
+pub(super) struct Stragglers {
+    restarted: BTreeSet<TaskId>,
+}
+
+impl Stragglers {
+    /// Stops batch tasks that are late and would be finished sooner elsewhere. Not while
+    /// their job's run time is unknown: a wrong guess is not a slow machine. Each restart
+    /// takes a place of its own in the plan, so that the tasks of one machine, whose times
+    /// run out together, don't pile up.
+    pub(super) fn stop(
+        &mut self,
+        state: &ClusterState,
+        round: &mut SchedulingRound,
+        types: &MachineTypes,
+        now_ms: UnixMillis,
+    ) -> Vec<Mutation> {
+        let mut mutations = Vec::new();
+        self.restarted.retain(|task| {
+            let job = state.jobs.get(&task.job);
+            job.is_some_and(|job| job.phase == JobPhase::Active)
+        });
+        for id in &state.jobs_with_tasks {
+            let Some(job) = state.jobs.get(id) else {
+                continue;
+            };
+            if job.phase != JobPhase::Active || job.spec.shape != Shape::Array {
+                continue;
+            }
+            for (index, task) in &job.tasks {
+                let Some(straggler) = find_straggler(state, id, job, *index, task, now_ms) else {
+                    continue;
+                };
+                if self.restarted.contains(&straggler.task)
+                    || !reserve_place_elsewhere(state, round, types, job, &straggler)
+                {
+                    continue;
+                }
+                mutations.push(straggler.stop(task));
+                self.restarted.insert(straggler.task);
+                if mutations.len() >= MAX_BATCH {
+                    return mutations;
+                }
+            }
+        }
+        mutations
+    }
+}
+
+/// A task that runs much longer than predicted.
+struct Straggler<'a> {
+    task: TaskId,
+    machine: &'a MachineId,
+    elapsed_s: f64,
+    predicted_s: f64,
+}
+
+impl Straggler<'_> {
+    fn stop(&self, task: &TaskState) -> Mutation {
+        tracing::info!(
+            task = %self.task,
+            machine = &**self.machine,
+            elapsed_s = self.elapsed_s,
+            predicted_s = self.predicted_s,
+            "straggler stopped"
+        );
+        Mutation::Stop(StopTasks {
+            job: self.task.job.clone(),
+            attempt: task.record.attempt,
+            reason: StopReason::Straggler,
+            tasks: vec![self.task.index],
+        })
+    }
+}
+
+fn find_straggler<'a>(
+    state: &ClusterState,
+    id: &JobId,
+    job: &JobState,
+    index: u32,
+    task: &'a TaskState,
+    now_ms: UnixMillis,
+) -> Option<Straggler<'a>> {
+    let record = &task.record;
+    let machine = record.machine.as_ref()?;
+    let elapsed_s = seconds(now_ms) - seconds(record.started_ms?);
+    if record.stop_reason.is_some() || elapsed_s < MIN_ELAPSED_S {
+        return None;
+    }
+    let machine_state = state.machines.get(machine)?;
+    let machine_type = &machine_state.record.machine_type;
+    let predicted_s = state.durations.run_time(&job.spec, machine_type);
+    if elapsed_s < STRAGGLER_RATIO * predicted_s {
+        return None;
+    }
+    let is_known = state.durations.has_run_time(id, machine_type)
+        || machine_state.slowdown() > STRAGGLER_RATIO;
+    is_known.then(|| Straggler {
+        task: TaskId {
+            job: id.clone(),
+            index,
+        },
+        machine,
+        elapsed_s,
+        predicted_s,
+    })
+}
+
+/// Plans the restart of a straggler on another machine; false if there is no place.
+fn reserve_place_elsewhere(
+    state: &ClusterState,
+    round: &mut SchedulingRound,
+    types: &MachineTypes,
+    job: &JobState,
+    straggler: &Straggler,
+) -> bool {
+    let mut restart = scheduler_inputs::pending_job(state, &job.spec, types);
+    restart
+        .avoided_machines
+        .push(straggler.machine.clone().into());
+    let Some((machine, finish)) = round.best_machine(&restart, true) else {
+        return false;
+    };
+    round.machines.place(machine, &restart, &finish);
+    true
+}
--- /dev/null
+++ b/crates/rushwalk/src/shards/outcomes.rs
@@ -0,0 +1,237 @@
+//! Reconciliation of what workers report with the cluster's state.
+
+use super::findings::HeartbeatFindings;
+use crate::clock::now_ms;
+use crate::timing::Timing;
+use crate::workers::WorkerSession;
+use crate::workers::registry::Sessions;
+use rushwalk_protocol::ids::{AttemptId, MachineId, ShardId};
+use rushwalk_protocol::worker::{ExitCause, TaskPhase, TaskStatus};
+use rushwalk_state::records::{AttemptOutcome, JobPhase};
+use rushwalk_state::{ClusterState, JobState, MachineState, Mutation, Revision, TaskState};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Compares the sessions of some machines with the state, and tells what must be committed.
+pub(super) fn outcomes(
+    state: &ClusterState,
+    sessions: &mut Sessions,
+    owned: &BTreeMap<ShardId, Revision>,
+    machines: &BTreeSet<MachineId>,
+    timing: &Timing,
+) -> Vec<Mutation> {
+    let mut findings = HeartbeatFindings::default();
+    for id in machines {
+        let Some(machine) = state.machines.get(id) else {
+            continue;
+        };
+        let Some(&token) = owned.get(&machine.record.shard) else {
+            continue;
+        };
+        let Some(session) = sessions.by_machine.get_mut(id) else {
+            continue;
+        };
+        let observer = Observer {
+            state,
+            timing,
+            id,
+            machine,
+            token,
+        };
+        observer.observe_machine(session, &mut findings);
+        observer.observe_tasks(session, &mut findings);
+    }
+    findings.into_mutations(now_ms())
+}
+
+/// Looks at one machine.
+struct Observer<'a> {
+    state: &'a ClusterState,
+    timing: &'a Timing,
+    id: &'a MachineId,
+    machine: &'a MachineState,
+    /// The fencing token of its shard.
+    token: Revision,
+}
+
+/// What to make of a placed task.
+enum TaskVerdict {
+    Unchanged,
+    Started,
+    Ended(AttemptOutcome),
+}
+
+impl Observer<'_> {
+    /// Whether it is ready, reclaimed, unreachable.
+    fn observe_machine(&self, session: &mut WorkerSession, findings: &mut HeartbeatFindings) {
+        let record = &self.machine.record;
+        if session.last_heard.is_some() {
+            if record.ready_ms.is_none() || *record.address != *session.address {
+                findings.machine_ready(self.id, &session.address);
+            }
+            if let Some(reclaim_ms) = session.reclaim_ms
+                && record.reclaim_ms.is_none()
+            {
+                tracing::info!(machine = &**self.id, "spot reclaim notice");
+                findings.machine_reclaimed(self.id, reclaim_ms);
+            }
+        }
+        if record.ready_ms.is_some() {
+            self.observe_reachability(session, findings);
+        }
+    }
+
+    /// A new owner gives every worker time to find it, and asks those that it does not hear:
+    /// a lost heartbeat does not make a machine unreachable.
+    fn observe_reachability(&self, session: &mut WorkerSession, findings: &mut HeartbeatFindings) {
+        let owned_since = session.owned.map(|owned| owned.since);
+        let Some(last) = session.last_heard.max(owned_since) else {
+            return;
+        };
+        let has_loss = session.has_inbound_loss(self.timing)
+            || session.has_outbound_loss(self.token, self.timing);
+        let is_silent = last.elapsed() > self.timing.unreachable_after;
+        if is_silent || has_loss {
+            // One that can be told nothing, or can report nothing, is of no more use.
+            let was_asked = has_loss || session.last_probe.is_some_and(|at| at > last);
+            let is_known = self.machine.record.unreachable_since_ms.is_some();
+            if !is_known && was_asked && session.call_in_flight.is_none() {
+                if !std::mem::replace(&mut session.unreachable_logged, true) {
+                    tracing::info!(machine = &**self.id, "machine unreachable");
+                }
+                findings.machine_unreachable(self.id);
+            }
+        } else if self.machine.record.unreachable_since_ms.is_some()
+            && self.is_heard_and_hears(session)
+        {
+            findings.machine_reachable(self.id);
+        }
+    }
+
+    /// It must have heard us, too: each new owner took a machine that hears nobody to be
+    /// well, and gave it work.
+    fn is_heard_and_hears(&self, session: &WorkerSession) -> bool {
+        let heard = session.last_heard;
+        session.token >= self.token
+            && heard.is_some_and(|at| at.elapsed() <= self.timing.unreachable_after)
+    }
+
+    fn observe_tasks(&self, session: &mut WorkerSession, findings: &mut HeartbeatFindings) {
+        self.forget_ended_attempts(session);
+        let is_unreachable = self.machine.record.unreachable_since_ms.is_some();
+        let is_lost = is_unreachable && session.lease_surely_expired(self.token, self.timing);
+        for id in &self.machine.tasks {
+            let Some((job, task)) = self.state.task(id) else {
+                continue;
+            };
+            let attempt = AttemptId {
+                task: id.clone(),
+                attempt: task.record.attempt,
+            };
+            match self.judge_task(session, &attempt, job, task, is_lost) {
+                TaskVerdict::Unchanged => {}
+                TaskVerdict::Started => findings.task_started(&attempt),
+                TaskVerdict::Ended(outcome) => {
+                    findings.task_ended(&attempt, outcome);
+                    session.ended_attempts.insert(attempt);
+                }
+            }
+        }
+    }
+
+    /// Forgets ended attempts that are no longer the current ones.
+    fn forget_ended_attempts(&self, session: &mut WorkerSession) {
+        session.ended_attempts.retain(|ended| {
+            let task = self.state.task(&ended.task);
+            task.is_some_and(|(_, task)| task.record.attempt == ended.attempt)
+        });
+    }
+
+    /// `is_lost` if its worker's lease has surely expired.
+    fn judge_task(
+        &self,
+        session: &WorkerSession,
+        attempt: &AttemptId,
+        job: &JobState,
+        task: &TaskState,
+        is_lost: bool,
+    ) -> TaskVerdict {
+        let id = &attempt.task;
+        match session.reported(attempt) {
+            Some(status) if status.phase == TaskPhase::Exited => {
+                TaskVerdict::Ended(self.outcome_of_exit(status))
+            }
+            _ if is_lost => {
+                tracing::info!(task = %id, machine = &**self.id, "task lease expired");
+                TaskVerdict::Ended(AttemptOutcome::Lost)
+            }
+            Some(status) => {
+                if status.phase != TaskPhase::Running || task.record.started_ms.is_some() {
+                    return TaskVerdict::Unchanged;
+                }
+                self.log_start(status, job, task);
+                TaskVerdict::Started
+            }
+            None => {
+                if !self.is_surely_absent(session, attempt, job, task) {
+                    return TaskVerdict::Unchanged;
+                }
+                tracing::info!(task = %id, machine = &**self.id, "task gone");
+                TaskVerdict::Ended(AttemptOutcome::Lost)
+            }
+        }
+    }
+
+    fn outcome_of_exit(&self, status: &TaskStatus) -> AttemptOutcome {
+        let outcome = match status.exit_cause {
+            Some(ExitCause::Done) => AttemptOutcome::Completed,
+            Some(ExitCause::Error | ExitCause::Unknown | ExitCause::NoRoom) => {
+                AttemptOutcome::Failed
+            }
+            _ => AttemptOutcome::Lost,
+        };
+        if outcome != AttemptOutcome::Completed {
+            let cause = status.exit_cause;
+            tracing::info!(
+                task = status.task,
+                machine = &**self.id,
+                ?cause,
+                "task ended"
+            );
+        }
+        outcome
+    }
+
+    /// Whether a task that its worker does not report is surely not there, and is not to be
+    /// started there.
+    fn is_surely_absent(
+        &self,
+        session: &WorkerSession,
+        attempt: &AttemptId,
+        job: &JobState,
+        task: &TaskState,
+    ) -> bool {
+        let is_over = job.phase != JobPhase::Active
+            || task.record.stop_reason.is_some()
+            || task.record.started_ms.is_some();
+        let has_ended = session.ended_attempts.contains(attempt);
+        // What a machine that can't be told of it has not started goes elsewhere.
+        let is_unreachable = self.machine.record.unreachable_since_ms.is_some();
+        let is_unwanted = is_over || has_ended || is_unreachable;
+        is_unwanted && session.proves_absence(self.token) || session.lease_expired(self.token)
+    }
+
+    fn log_start(&self, status: &TaskStatus, job: &JobState, task: &TaskState) {
+        let now_ms = now_ms();
+        tracing::debug!(
+            task = status.task,
+            machine = &**self.id,
+            class = job.spec.class,
+            kind = &*self.machine.record.machine_type,
+            spot = self.machine.record.spot,
+            since_accepted_ms = now_ms.saturating_sub(job.accepted_ms),
+            since_placed_ms = now_ms.saturating_sub(task.record.scheduled_ms),
+            image_gb = job.spec.image_gb,
+            "task started"
+        );
+    }
+}
--- /dev/null
+++ b/crates/rushwalk/src/shards/placement.rs
@@ -0,0 +1,155 @@
+//! Places the tasks that are assigned to our shards on machines.
+
+use crate::clock::now_ms;
+use crate::context::Context;
+use crate::scheduler_inputs::{self, TimelineInputs};
+use rushwalk_protocol::ids::{JobId, MachineId, ShardId, TaskId};
+use rushwalk_protocol::jobs::{Priority, Shape};
+use rushwalk_scheduler::round::SchedulingRound;
+use rushwalk_state::mutation::{PlaceTasks, TaskOnMachine, in_batches};
+use rushwalk_state::records::{MachineLifecycle, MachineTypes};
+use rushwalk_state::{ClusterState, Mutation, Revision, UnixMillis};
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+
+/// A task that waits for its place, in the order in which places are given.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
+struct WaitingTask {
+    priority: Priority,
+    accepted_ms: UnixMillis,
+    task: TaskId,
+}
+
+/// Placed tasks, by job and attempt.
+type Placements = BTreeMap<(JobId, Revision), Vec<TaskOnMachine>>;
+
+/// Picks machines for the tasks assigned to our shards.
+pub(super) fn placements(
+    context: &Context,
+    state: &ClusterState,
+    owned: &BTreeMap<ShardId, Revision>,
+) -> Vec<Mutation> {
+    let Some(types) = state.machine_types.clone() else {
+        return Vec::new();
+    };
+    let now_ms = now_ms();
+    let zones = scheduler_inputs::zones(&types, &context.settings.site);
+    let mut placements = Placements::new();
+    for (shard, mut tasks) in waiting_tasks(state, owned) {
+        tasks.sort();
+        let inputs = TimelineInputs {
+            state,
+            types: &types,
+            zones: &zones,
+            now_s: scheduler_inputs::seconds(now_ms),
+        };
+        let mut round = round_of_shard(context, &inputs, shard);
+        // A job's tasks in one go.
+        for tasks in tasks.chunk_by(|a, b| a.task.job == b.task.job) {
+            place_tasks_of_job(state, &types, &mut round, tasks, &mut placements);
+        }
+    }
+    let mut mutations = Vec::new();
+    for ((job, attempt), tasks) in &placements {
+        mutations.extend(in_batches(tasks, |tasks| {
+            Mutation::Place(PlaceTasks {
+                job: job.clone(),
+                attempt: *attempt,
+                placed_ms: now_ms,
+                tasks,
+            })
+        }));
+    }
+    mutations
+}
+
+/// The tasks that are assigned to our shards and not placed, by shard. A gang is placed
+/// once all of its tasks are assigned.
+fn waiting_tasks<'a>(
+    state: &'a ClusterState,
+    owned: &BTreeMap<ShardId, Revision>,
+) -> BTreeMap<&'a ShardId, Vec<WaitingTask>> {
+    let mut by_shard: BTreeMap<&ShardId, Vec<WaitingTask>> = BTreeMap::new();
+    for id in &state.unplaced {
+        let Some((job, task)) = state.task(id) else {
+            continue;
+        };
+        let is_whole = job.spec.shape != Shape::Gang || job.tasks.len() == job.spec.tasks as usize;
+        if is_whole && owned.contains_key(&task.record.shard) {
+            let waiting = WaitingTask {
+                priority: job.spec.priority,
+                accepted_ms: job.accepted_ms,
+                task: id.clone(),
+            };
+            by_shard
+                .entry(&task.record.shard)
+                .or_default()
+                .push(waiting);
+        }
+    }
+    by_shard
+}
+
+/// A scheduling round with the usable machines of a shard.
+fn round_of_shard<'a>(
+    context: &'a Context,
+    inputs: &TimelineInputs,
+    shard: &ShardId,
+) -> SchedulingRound<'a> {
+    let state = inputs.state;
+    let machines = state.shards.get(shard);
+    let zones = inputs.zones.to_vec();
+    let count = machines.map_or(0, BTreeSet::len);
+    let mut round = scheduler_inputs::empty_round(context, inputs.now_s, zones, count);
+    for id in machines.into_iter().flatten() {
+        let Some(machine) = state.machines.get(id) else {
+            continue;
+        };
+        let record = &machine.record;
+        let is_usable = record.lifecycle == MachineLifecycle::Active
+            && record.ready_ms.is_some()
+            && record.unreachable_since_ms.is_none();
+        if is_usable && let Some(timeline) = inputs.timeline(id, machine, inputs.now_s) {
+            round.machines.push(timeline);
+        }
+    }
+    round
+}
+
+fn place_tasks_of_job(
+    state: &ClusterState,
+    types: &MachineTypes,
+    round: &mut SchedulingRound,
+    tasks: &[WaitingTask],
+    placements: &mut Placements,
+) {
+    let id = &tasks[0].task.job;
+    let Some(job) = state.jobs.get(id) else {
+        return;
+    };
+    let mut pending = scheduler_inputs::pending_job(state, &job.spec, types);
+    pending.tasks = tasks.iter().map(|waiting| waiting.task.index).collect();
+    pending.avoided_machines = machine_names(&job.failures.machines);
+    let hint = |waiting: &WaitingTask| -> Option<Arc<str>> {
+        let task = job.tasks.get(&waiting.task.index)?;
+        Some(task.record.placement_hint.clone()?.into())
+    };
+    let hints: Vec<Option<Arc<str>>> = tasks.iter().map(hint).collect();
+    for (index, machine) in round.start_now(&pending, &hints) {
+        let Some(task) = job.tasks.get(&index) else {
+            continue;
+        };
+        let key = (id.clone(), task.record.attempt);
+        let machine = MachineId::from(round.machines[machine].name.clone());
+        let placed = TaskOnMachine {
+            task: index,
+            machine,
+        };
+        placements.entry(key).or_default().push(placed);
+    }
+}
+
+/// Machines as the scheduler names them.
+fn machine_names(machines: &[MachineId]) -> Vec<Arc<str>> {
+    machines.iter().map(|id| id.clone().into()).collect()
+}
--- /dev/null
+++ b/crates/rushwalk/src/shards/reachability.rs
@@ -0,0 +1,74 @@
+//! Whether the machines of a shard reach another controller than its owner.
+
+use crate::context::Context;
+use crate::failure_detection::HeartbeatSource;
+use rushwalk_failure_detector::reachability::enough;
+use rushwalk_protocol::ids::ShardId;
+use rushwalk_protocol::peers::PeerHeartbeat;
+use std::collections::BTreeMap;
+
+/// Rounds after which a peer's heartbeat is too old to go by.
+const MAX_HEARTBEAT_ROUNDS: f64 = 2.0;
+
+/// The recent heartbeats of all controllers, this one's included.
+pub struct ShardReachability {
+    heartbeats: BTreeMap<String, PeerHeartbeat>,
+}
+
+impl ShardReachability {
+    /// What is known at this moment.
+    pub fn now(context: &Context, source: &HeartbeatSource) -> ShardReachability {
+        let mut heartbeats: BTreeMap<String, PeerHeartbeat> = {
+            let detector = source.peers.detector();
+            let max_age_s = detector.config().round_s * MAX_HEARTBEAT_ROUNDS;
+            detector
+                .last_heartbeats(context.uptime_s())
+                .filter(|(age_s, _)| *age_s < max_age_s)
+                .map(|(_, heartbeat)| (heartbeat.member.clone(), heartbeat.clone()))
+                .collect()
+        };
+        let own = PeerHeartbeat {
+            member: context.member().into(),
+            unreachable_shards: source.unreachable_shards(),
+            misrouted_workers: source.peers.misrouted_workers(),
+            ..PeerHeartbeat::default()
+        };
+        heartbeats.insert(context.member().into(), own);
+        ShardReachability { heartbeats }
+    }
+
+    /// If the owner of a shard says that it hears none of its machines, and enough of these
+    /// turned up at other controllers: the names of those. `machines` are those of the shard
+    /// that should be heard.
+    pub fn reachable_from(&self, shard: &ShardId, owner: &str, machines: usize) -> Vec<&str> {
+        let owner_heartbeat = self.heartbeats.get(owner);
+        if !owner_heartbeat.is_some_and(|heartbeat| says_unreachable(heartbeat, shard)) {
+            return Vec::new();
+        }
+        let others = self.heartbeats.values().filter(|h| h.member != owner);
+        let mut members = Vec::new();
+        let mut workers = 0;
+        for heartbeat in others {
+            if let Some(count) = misrouted_of(heartbeat, shard) {
+                members.push(heartbeat.member.as_str());
+                workers += count as usize;
+            }
+        }
+        if workers >= enough(machines) {
+            members
+        } else {
+            Vec::new()
+        }
+    }
+}
+
+fn says_unreachable(heartbeat: &PeerHeartbeat, shard: &ShardId) -> bool {
+    let mut shards = heartbeat.unreachable_shards.iter();
+    shards.any(|unreachable| **unreachable == **shard)
+}
+
+fn misrouted_of(heartbeat: &PeerHeartbeat, shard: &ShardId) -> Option<u32> {
+    let mut counts = heartbeat.misrouted_workers.iter();
+    let (_, count) = counts.find(|(misrouted, _)| **misrouted == **shard)?;
+    Some(*count)
+}
--- /dev/null
+++ b/crates/rushwalk/src/store/committer.rs
@@ -0,0 +1,131 @@
+//! Commits to the store within this controller's share of the write budget.
+
+use super::replica::Replica;
+use crate::context::Context;
+use parking_lot::Mutex;
+use rushwalk_clients::Error;
+use rushwalk_clients::rate_limiter::RateLimiter;
+use rushwalk_clients::store::{CommitOutcome, StoreClient};
+use rushwalk_protocol::store::Transaction;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::time::{Instant, sleep};
+
+/// HTTP 429: too many requests.
+const TOO_MANY_REQUESTS: u16 = 429;
+
+/// How long the store may take for a commit before its outcome is unknown.
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(2);
+
+/// The shortest wait for the write budget.
+const MIN_BUDGET_WAIT: Duration = Duration::from_millis(5);
+
+/// Of the store's limit, what all controllers together use: some is left for misjudgement.
+const USED_SHARE: f64 = 0.9;
+
+/// Whom a write serves. Users' requests go before maintenance.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum WritePriority {
+    /// Membership, leadership and shard leases: without them nothing goes on.
+    Coordination,
+    /// A user's request.
+    UserRequest,
+    /// Placement, and what became of tasks and machines.
+    Scheduling,
+    /// What can wait.
+    Maintenance,
+}
+
+impl WritePriority {
+    /// Writes of the burst that are left for more urgent ones.
+    fn reserve(self) -> f64 {
+        match self {
+            WritePriority::Coordination | WritePriority::UserRequest => 0.0,
+            WritePriority::Scheduling => 2.0,
+            WritePriority::Maintenance => 4.0,
+        }
+    }
+
+    /// How long a commit may wait for the budget before it is rejected.
+    fn patience(self) -> Duration {
+        match self {
+            WritePriority::UserRequest => Duration::from_millis(400),
+            _ => Duration::from_secs(3),
+        }
+    }
+}
+
+/// Commits transactions.
+pub struct Committer {
+    client: StoreClient,
+    replica: Arc<Replica>,
+    budget: Mutex<RateLimiter>,
+}
+
+impl Committer {
+    /// A committer with this controller's share of the store's write limit.
+    pub fn new(context: &Context, client: StoreClient, replica: Arc<Replica>) -> Committer {
+        let writes = USED_SHARE * context.settings.site.store.write_rps;
+        let share = writes / context.controllers() as f64;
+        Committer {
+            client,
+            replica,
+            budget: Mutex::new(RateLimiter::with_share(share, writes, Instant::now())),
+        }
+    }
+
+    /// Commits a transaction within the write budget. The watch brings its result.
+    pub async fn commit(&self, transaction: Transaction, priority: WritePriority) -> CommitOutcome {
+        let writes = transaction.writes.len() as f64;
+        if !self.wait_for_budget(writes, priority).await {
+            return CommitOutcome::Rejected(Error::Status(TOO_MANY_REQUESTS));
+        }
+        let outcome = self.client.commit(&transaction, COMMIT_TIMEOUT).await;
+        self.record(&outcome);
+        outcome
+    }
+
+    /// Waits for the budget of so many writes; false if that would take too long.
+    async fn wait_for_budget(&self, writes: f64, priority: WritePriority) -> bool {
+        let started = Instant::now();
+        let reserve = priority.reserve();
+        loop {
+            let wait = {
+                let mut budget = self.budget.lock();
+                let now = Instant::now();
+                if budget.try_take(writes, reserve, now) {
+                    return true;
+                }
+                budget.time_until(writes, reserve, now)
+            };
+            if started.elapsed() + wait > priority.patience() {
+                return false;
+            }
+            sleep(wait.max(MIN_BUDGET_WAIT)).await;
+        }
+    }
+
+    fn record(&self, outcome: &CommitOutcome) {
+        match outcome {
+            CommitOutcome::Committed(revision) => {
+                self.replica.record_commit(*revision);
+                self.budget.lock().on_success();
+            }
+            CommitOutcome::Rejected(error) => {
+                if error.status() == Some(TOO_MANY_REQUESTS) {
+                    self.budget.lock().on_throttled(Instant::now());
+                }
+                tracing::debug!(%error, "commit rejected");
+            }
+            CommitOutcome::Unanswered(error) => {
+                tracing::info!(%error, "commit unanswered: its outcome is unknown");
+            }
+            CommitOutcome::Conflict | CommitOutcome::LeaseExpired => self.replica.request_read(),
+        }
+    }
+
+    /// How long until the budget has a write again.
+    pub fn time_until_write(&self) -> Duration {
+        self.budget.lock().time_until(1.0, 0.0, Instant::now())
+    }
+}
--- a/crates/rushwalk/src/store/log_writer.rs
+++ b/crates/rushwalk/src/store/log_writer.rs
@@ -1,241 +1,167 @@
-//! Appending to the log: many changes in one key, keys used again.
+//! Appending to the log: many mutations in one key, keys used again.
 
-#[cfg(test)]
-mod tests;
-
-use crate::controller::{Controller, WritePriority, lock};
-use crate::view::ClusterState;
+use super::committer::{Committer, WritePriority};
+use super::replica::Replica;
+use crate::context::Context;
+use parking_lot::Mutex;
 use rushwalk_clients::Error;
 use rushwalk_clients::store::CommitOutcome;
 use rushwalk_protocol::jobs::JobSpec;
-use rushwalk_protocol::records::{Mutation, entry_key};
 use rushwalk_protocol::store::{Transaction, Write};
-use serde_json::value::RawValue;
-use std::collections::{HashMap, VecDeque};
+use rushwalk_state::mutation::{Mutation, SubmitJob};
+use rushwalk_state::{EntryKeyAllocator, Revision, UnixMillis, codec, keys};
+use std::iter::Peekable;
 use std::sync::Arc;
-use std::time::Duration;
-use tokio::sync::{mpsc, oneshot};
-use tokio::time::sleep;
+use std::vec;
+
+/// The store's limit for a transaction in bytes, less what its conditions may take.
+pub(super) const MAX_TRANSACTION_BYTES: usize = 56 << 10;
 
-/// The limit of a transaction, less what its conditions may take.
-const TRANSACTION: usize = 56 << 10;
+/// Values larger than this are not used even if the store takes them, in KiB.
+const MAX_VALUE_KB: f64 = 48.0;
 
-/// Keys of our own part of the log: one whose entry is in the snapshot may be
-/// used again. Every use is conditioned on the version that the key then has,
-/// so a commit that comes late can't overwrite an entry that still counts.
-#[derive(Default)]
-pub struct EntryKeyAllocator {
-    free: VecDeque<u64>,
-    next: u64,
-    /// Under way, or of unknown fate, with the version they had.
-    using: HashMap<u64, u64>,
-    /// The snapshot for which `free` was made.
-    base: Option<u64>,
+/// What the frame of a value takes, in bytes.
+const FRAME_BYTES: usize = 64;
+
+/// A key that must have a version for a transaction to be carried out.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct Precondition {
+    /// The key.
+    pub key: String,
+    /// The version that it must have.
+    pub version: Revision,
 }
 
-impl EntryKeyAllocator {
-    /// A slot, with the version that its key has.
-    fn take(&mut self, view: &ClusterState, member: &str) -> (u64, u64) {
-        if self.base != Some(view.snapshot.revision) {
-            self.base = Some(view.snapshot.revision);
-            let prefix = entry_key(member, 0);
-            let prefix = prefix.trim_end_matches('0');
-            let mut mine: Vec<(u64, u64)> = view
-                .log_versions
-                .iter()
-                .filter_map(|(key, version)| {
-                    Some((key.strip_prefix(prefix)?.parse().ok()?, *version))
-                })
-                .collect();
-            mine.sort_unstable();
-            self.next = mine.last().map_or(0, |(n, _)| n + 1).max(self.next);
-            for (n, version) in &mine {
-                if self.using.get(n).is_some_and(|before| version > before) {
-                    self.using.remove(n);
-                }
-            }
-            let free = mine.iter().filter(|(n, version)| {
-                *version <= view.snapshot.revision && !self.using.contains_key(n)
-            });
-            self.free = free.map(|(n, _)| *n).collect();
-        }
-        loop {
-            let n = self.free.pop_front().unwrap_or_else(|| {
-                self.next += 1;
-                self.next - 1
-            });
-            let before = view
-                .log_versions
-                .get(&entry_key(member, n))
-                .copied()
-                .unwrap_or(0);
-            // Written since, by a commit of the process before this one that came
-            // late: its entry is in no snapshot, and would be lost to whoever lists.
-            if before > view.snapshot.revision {
-                continue;
-            }
-            self.using.insert(n, before);
-            return (n, before);
-        }
-    }
+/// A submission is too large for a value of the store.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+#[error("its lists are too long")]
+pub struct SubmissionTooLarge;
 
-    /// Nothing was written: it can be used at once.
-    fn put_back(&mut self, n: u64) {
-        if self.using.remove(&n).is_some() {
-            self.free.push_back(n);
-        }
-    }
+/// Appends mutations to this controller's part of the log.
+pub struct LogWriter {
+    context: Arc<Context>,
+    replica: Arc<Replica>,
+    committer: Arc<Committer>,
+    entry_keys: Mutex<EntryKeyAllocator>,
 }
 
-/// Changes as text, in groups that fit a value, `limit` bytes.
-pub fn pack(ops: &[Mutation], limit: usize) -> Vec<String> {
-    let mut out: Vec<String> = Vec::new();
-    pack_more(&mut out, ops, limit);
-    out
+/// A transaction with some log entries, and the numbers of their keys.
+struct Batch {
+    transaction: Transaction,
+    entry_numbers: Vec<u64>,
 }
 
-/// Packs more changes behind those that are packed already.
-pub fn pack_more(out: &mut Vec<String>, ops: &[Mutation], limit: usize) {
-    for op in ops {
-        let Ok(text) = serde_json::to_string(op) else {
-            continue;
-        };
-        if text.len() > limit {
-            // Lists are split and submissions refused before they come here.
-            tracing::error!(bytes = text.len(), "a change that fits no value");
-            continue;
-        }
-        match out.last_mut() {
-            Some(last) if last.len() + 1 + text.len() <= limit => {
-                last.push(',');
-                last.push_str(&text);
-            }
-            _ => out.push(text),
+impl LogWriter {
+    /// A writer that has used no key yet.
+    pub fn new(
+        context: Arc<Context>,
+        replica: Arc<Replica>,
+        committer: Arc<Committer>,
+    ) -> LogWriter {
+        LogWriter {
+            context,
+            replica,
+            committer,
+            entry_keys: Mutex::default(),
         }
     }
-}
-
-/// An entry, or a chunk, from packed changes.
-pub fn value(before: u64, packed: &str) -> Option<Box<RawValue>> {
-    RawValue::from_string(format!(r#"{{"p":{before},"o":[{packed}]}}"#)).ok()
-}
 
-impl Controller {
-    /// Bytes of changes that one value holds, its frame left out.
-    pub fn packed_limit(&self) -> usize {
-        let kb = self.settings.site.store.value_kb.clamp(1.0, 48.0);
-        (kb * 1024.0) as usize - 64
+    /// Bytes of packed mutations that one value of the store holds.
+    pub fn max_packed_bytes(&self) -> usize {
+        let value_kb = self.context.settings.site.store.value_kb;
+        (value_kb.clamp(1.0, MAX_VALUE_KB) * 1024.0) as usize - FRAME_BYTES
     }
 
-    /// A submission whose record would fit no value is refused before it is accepted.
-    pub fn fits_a_value(&self, spec: &JobSpec) -> Result<(), String> {
-        let op = Mutation::Submit(Arc::new(spec.clone()), u64::MAX);
-        let size = serde_json::to_string(&op).map_or(0, |t| t.len());
-        match size > self.packed_limit() {
-            true => Err("its lists are too long".into()),
-            false => Ok(()),
+    /// Checks that a submission fits a value of the store.
+    ///
+    /// # Errors
+    ///
+    /// [`SubmissionTooLarge`]
+    pub fn check_size(&self, spec: &JobSpec) -> Result<(), SubmissionTooLarge> {
+        let submit = Mutation::Submit(SubmitJob {
+            spec: Arc::new(spec.clone()),
+            accepted_ms: UnixMillis::MAX,
+        });
+        if codec::packed_size(&submit) > self.max_packed_bytes() {
+            return Err(SubmissionTooLarge);
         }
+        Ok(())
     }
 
-    /// Appends changes to the log under conditions, and waits until they are in
-    /// the view: only there it shows which of them took effect.
+    /// Appends mutations under preconditions, and waits until they are applied here: only
+    /// the replica shows which of them took effect.
     pub async fn append(
         &self,
-        conditions: &[(String, u64)],
-        ops: &[Mutation],
-        whom: WritePriority,
+        preconditions: &[Precondition],
+        mutations: &[Mutation],
+        priority: WritePriority,
     ) -> CommitOutcome {
         let mut last = CommitOutcome::Committed(0);
-        let mut packed = pack(ops, self.packed_limit()).into_iter().peekable();
+        let packed = codec::pack(mutations, self.max_packed_bytes());
+        let mut packed = packed.into_iter().peekable();
         while packed.peek().is_some() {
-            let mut txn = Transaction::default();
-            for (key, version) in conditions {
-                txn = txn.expect_version(key, *version);
-            }
-            let mut used = Vec::new();
-            let mut size = 0;
-            while let Some(text) = packed.next() {
-                size += text.len();
-                let (n, before) = lock(&self.entry_keys).take(&self.view(), self.member());
-                used.push(n);
-                let key = entry_key(self.member(), n);
-                txn = txn.expect_version(&key, before);
-                txn.writes.push(Write {
-                    put: Some(key),
-                    value: value(before, &text),
-                    ..Write::default()
-                });
-                let next = packed.peek().map_or(0, String::len);
-                if txn.writes.len() >= self.settings.site.store.txn_ops || size + next > TRANSACTION
-                {
-                    break;
-                }
-            }
-            last = self.commit(txn, whom).await;
+            let batch = self.next_batch(preconditions, &mut packed);
+            last = self.committer.commit(batch.transaction, priority).await;
             match &last {
                 CommitOutcome::Committed(revision) => {
-                    if !self
-                        .wait_for_revision(*revision, self.timing.round * 4)
-                        .await
-                    {
+                    let patience = self.context.timing.round * 4;
+                    if !self.replica.wait_for_revision(*revision, patience).await {
                         return CommitOutcome::Unanswered(Error::Unanswered("not seen yet".into()));
                     }
                 }
                 CommitOutcome::Unanswered(_) => return last,
                 _ => {
-                    let mut slots = lock(&self.entry_keys);
-                    used.into_iter().for_each(|n| slots.put_back(n));
+                    self.release(batch.entry_numbers);
                     return last;
                 }
             }
         }
         last
     }
-}
-
-/// A user's change, and who waits for what becomes of it.
-pub type PendingWrite = (Mutation, oneshot::Sender<CommitOutcome>);
 
-/// Users' changes that arrive while a commit is under way go into the next one
-/// together. Each is answered when it is committed; what the budget can't take
-/// is refused at once.
-pub async fn users_loop(node: Arc<Controller>, mut asked: mpsc::Receiver<PendingWrite>) {
-    let nodes = 1.0 + node.settings.peers.len() as f64;
-    let gap = Duration::from_secs_f64(0.5 * nodes / node.settings.site.store.write_rps);
-    let mut held: Option<PendingWrite> = None;
-    loop {
-        let first = match held.take() {
-            Some(first) => first,
-            None => match asked.recv().await {
-                Some(first) => first,
-                None => return,
-            },
-        };
-        sleep(gap).await;
-        let size = |op: &Mutation| serde_json::to_string(op).map_or(0, |t| t.len());
-        let mut bytes = size(&first.0);
-        let (mut ops, mut waiting) = (vec![first.0], vec![first.1]);
-        // One transaction's worth, so that all have the same fate.
-        while let Ok((op, tell)) = asked.try_recv() {
-            bytes += size(&op);
-            if bytes > TRANSACTION / 2 {
-                held = Some((op, tell));
-                break;
-            }
-            ops.push(op);
-            waiting.push(tell);
+    /// Takes as many packed texts as one transaction holds.
+    fn next_batch(
+        &self,
+        preconditions: &[Precondition],
+        packed: &mut Peekable<vec::IntoIter<String>>,
+    ) -> Batch {
+        let mut transaction = Transaction::default();
+        for precondition in preconditions {
+            transaction = transaction.expect_version(&precondition.key, precondition.version);
         }
-        let mut outcome = node.append(&[], &ops, WritePriority::UserRequest).await;
-        for _ in 0..3 {
-            if !matches!(outcome, CommitOutcome::Conflict) {
+        let mut entry_numbers = Vec::new();
+        let mut bytes = 0;
+        while let Some(text) = packed.next() {
+            bytes += text.len();
+            let member = self.context.member();
+            let entry = {
+                let state = self.replica.state();
+                self.entry_keys.lock().allocate(&state, member)
+            };
+            entry_numbers.push(entry.number);
+            let key = keys::log_entry(member, entry.number);
+            transaction = transaction.expect_version(&key, entry.version);
+            transaction.writes.push(Write {
+                put: Some(key),
+                value: codec::frame(entry.version, &text),
+                ..Write::default()
+            });
+            let next = packed.peek().map_or(0, String::len);
+            let max_writes = self.context.settings.site.store.txn_ops;
+            if transaction.writes.len() >= max_writes || bytes + next > MAX_TRANSACTION_BYTES {
                 break;
             }
-            // Another entry had the key first.
-            node.linearizable_read(node.timing.round / 2).await;
-            outcome = node.append(&[], &ops, WritePriority::UserRequest).await;
         }
-        for tell in waiting {
-            let _ = tell.send(outcome.clone());
+        Batch {
+            transaction,
+            entry_numbers,
+        }
+    }
+
+    fn release(&self, entry_numbers: Vec<u64>) {
+        let mut entry_keys = self.entry_keys.lock();
+        for number in entry_numbers {
+            entry_keys.release(number);
         }
     }
 }
--- a/crates/rushwalk/src/store/replica.rs
+++ b/crates/rushwalk/src/store/replica.rs
@@ -1,246 +1,194 @@
-//! Keeping the view new, and the member lease and key alive.
-
-use crate::controller::{Controller, WritePriority, lock, now_ms};
-use crate::observability::work_profile::WorkKind;
-use crate::view::ClusterState;
-use rushwalk_clients::Error;
-use rushwalk_clients::store::CommitOutcome;
-use rushwalk_protocol::records::{self as rec, ROOT};
-use rushwalk_protocol::store::{Transaction, WatchResponse};
+//! This controller's replica of the cluster's state, and how fresh it is.
+
+mod follow;
+
+pub use follow::{read_loop, watch_loop};
+
+use crate::context::Context;
+use crate::observable::Observable;
+use parking_lot::{Mutex, MutexGuard};
+use rushwalk_clients::store::StoreClient;
+use rushwalk_protocol::ids::ShardId;
+use rushwalk_scheduler::durations::DurationEstimator;
+use rushwalk_state::{ClusterState, Revision};
+use std::collections::BTreeMap;
 use std::sync::Arc;
-use std::sync::atomic::Ordering;
+use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
-use tokio::sync::Semaphore;
-use tokio::time::{Instant, sleep};
-
-/// Reads everything; used at the start and when a watch is too old.
-async fn list(node: &Controller) -> Result<(), Error> {
-    let sent = Instant::now();
-    let (mut items, mut since, mut revision) = (Vec::new(), String::new(), None);
-    let mut last;
-    loop {
-        let page = node.store.list(ROOT, &since).await?;
-        revision.get_or_insert(page.revision);
-        last = page.revision;
-        if let Some(last) = page.entries.last() {
-            since = last.key.clone();
-        }
-        let more = page.more && !page.entries.is_empty();
-        items.extend(page.entries);
-        if !more {
-            break;
+use tokio::sync::Notify;
+use tokio::time::{Instant, timeout};
+
+/// The latest samples of which a predicted duration is the mean.
+const DURATION_SAMPLES: usize = 10;
+
+/// The replica, and what is known of its freshness.
+pub struct Replica {
+    context: Arc<Context>,
+    client: StoreClient,
+    state: Mutex<ClusterState>,
+    /// Counts the changes of the state.
+    changes: Observable<u64>,
+    /// When the newest read of the store that succeeded was sent.
+    last_read_sent: Observable<Option<Instant>>,
+    /// Somebody waits for a read.
+    read_requested: Notify,
+    /// The newest commit of this process: nothing is decided before it is applied.
+    last_commit: AtomicU64,
+}
+
+impl Replica {
+    /// An empty replica, which [`watch_loop`] fills.
+    pub fn new(context: Arc<Context>, client: StoreClient) -> Replica {
+        let start_overhead_s = 0.25 * context.settings.site.workers.heartbeat_s;
+        let durations = DurationEstimator::new(DURATION_SAMPLES, start_overhead_s);
+        Replica {
+            context,
+            client,
+            state: Mutex::new(ClusterState::new(durations)),
+            changes: Observable::default(),
+            last_read_sent: Observable::default(),
+            read_requested: Notify::new(),
+            last_commit: AtomicU64::new(0),
         }
     }
-    // Changes during the listing come again with the watch from its start, and
-    // in their order. So the new view is made beside the old one, and takes its
-    // place once it has passed all that the listing may have shown.
-    let revision = revision.unwrap_or(0);
-    let mut last = last.max(node.view().revision);
-    let turn = node.work_profile.start(WorkKind::List);
-    let listed = ClusterState::from_listing(items, revision, now_ms());
-    drop(turn);
-    let Some(mut view) = listed else {
-        return Err(Error::Unanswered(
-            "the snapshot was replaced meanwhile".into(),
-        ));
-    };
-    loop {
-        while view.revision < last {
-            let block = Duration::from_millis(100);
-            let since = view.revision;
-            let patience = node.timing.round * 4;
-            let call = node.store.watch(ROOT, since, block, patience);
-            view.apply_watch(since, call.await?, now_ms());
-        }
-        if view.has_gap {
-            return Err(Error::Unanswered("changes were missed".into()));
-        }
-        // Fresh reads for users may have brought the old one further meanwhile.
-        let mut old = node.view();
-        match old.replace_with(view) {
-            Ok(()) => break,
-            Err(back) => (view, last) = (*back, old.revision),
-        }
+
+    /// The state as it is known now. This lock is taken before any other of the controller
+    /// (see `docs/ARCHITECTURE.md`).
+    pub fn state(&self) -> MutexGuard<'_, ClusterState> {
+        self.state.lock()
     }
-    tracing::info!(revision, "view listed");
-    synced(node, sent);
-    Ok(())
-}
 
-fn synced(node: &Controller, sent: Instant) {
-    node.last_read_sent
-        .update(|at| *at = Some(at.map_or(sent, |old| old.max(sent))));
-    node.notify_changed();
-}
+    /// The number of changes of the state so far, for [`Replica::changed_since`].
+    pub fn change_count(&self) -> u64 {
+        self.changes.get()
+    }
 
-/// Takes a watch's answer into the view.
-fn take(node: &Controller, since: u64, sent: Instant, answer: WatchResponse) {
-    let mut turn = node.work_profile.start(WorkKind::Watch);
-    turn.add_items(answer.events.len());
-    let whole = {
-        let mut view = node.view();
-        view.apply_watch(since, answer, now_ms()) && !view.has_gap
-    };
-    drop(turn);
-    // Nobody is answered from a view that lacks a change: it is listed anew.
-    match whole {
-        true => synced(node, sent),
-        false => node.notify_changed(),
+    /// Waits until the state has changed since [`Replica::change_count`] gave `seen`.
+    pub async fn changed_since(&self, seen: u64) {
+        self.changes.wait_for(|count| count != seen).await;
+    }
+
+    /// Wakes those who wait for a change of the state.
+    pub fn notify_changed(&self) {
+        self.changes.update(|count| *count += 1);
+    }
+
+    /// Whether the store was read at least once.
+    pub fn has_been_read(&self) -> bool {
+        self.last_read_sent.get().is_some()
+    }
+
+    /// How long ago the newest read that succeeded was sent; `None` if none has.
+    pub fn last_read_age(&self) -> Option<Duration> {
+        self.last_read_sent.get().map(|sent| sent.elapsed())
+    }
+
+    /// The same, infinitely long ago if no read has succeeded.
+    pub fn staleness(&self) -> Duration {
+        self.last_read_age().unwrap_or(Duration::MAX)
+    }
+
+    fn record_read(&self, sent: Instant) {
+        self.last_read_sent
+            .update(|last| *last = Some(last.map_or(sent, |before| before.max(sent))));
+        self.notify_changed();
     }
-}
 
-/// Follows the state service by long polls.
-pub async fn watch_loop(node: Arc<Controller>) {
-    let mut listed = false;
-    let block = node.timing.round * 2;
-    loop {
-        if !listed {
-            match list(&node).await {
-                Ok(()) => listed = true,
-                Err(error) => {
-                    tracing::debug!(%error, "listing failed");
-                    sleep(node.timing.round / 3).await;
-                    continue;
-                }
+    /// Notes the revision of a commit of this process.
+    pub fn record_commit(&self, revision: Revision) {
+        self.last_commit.fetch_max(revision, Ordering::Relaxed);
+    }
+
+    /// Asks for a read without waiting for it.
+    pub fn request_read(&self) {
+        self.read_requested.notify_one();
+    }
+
+    /// Waits for a read that was sent after this call, so that the state holds all that was
+    /// committed before it; false if none succeeded in time.
+    pub async fn linearizable_read(&self, patience: Duration) -> bool {
+        let called = Instant::now();
+        self.read_requested.notify_one();
+        let read = self
+            .last_read_sent
+            .wait_for(|sent| sent.is_some_and(|sent| sent >= called));
+        timeout(patience, read).await.is_ok()
+    }
+
+    /// Waits until a revision is applied; false if it was not in time.
+    pub async fn wait_for_revision(&self, revision: Revision, patience: Duration) -> bool {
+        let until = Instant::now() + patience;
+        loop {
+            let seen = self.last_read_sent.get();
+            if self.state().revision >= revision {
+                return true;
             }
-        }
-        let (since, missed) = {
-            let view = node.view();
-            (view.revision, view.has_gap)
-        };
-        if missed {
-            tracing::warn!("a change was missed: listing again");
-            listed = false;
-            continue;
-        }
-        let sent = Instant::now();
-        let patience = node.timing.round * 4;
-        match node.store.watch(ROOT, since, block, patience).await {
-            Ok(answer) => take(&node, since, sent, answer),
-            Err(error) if error.status() == Some(410) => listed = false,
-            // More than can be held at once: a listing comes in pages.
-            Err(Error::ResponseTooLarge) => listed = false,
-            Err(error) => {
-                tracing::debug!(%error, "watch failed");
-                sleep(node.timing.round / 4).await;
+            // The watch brings it at once, unless its response is late.
+            let step = (patience / 40).min(until.saturating_duration_since(Instant::now()));
+            let read = self.last_read_sent.wait_for(|sent| sent != seen);
+            if timeout(step, read).await.is_err() {
+                self.read_requested.notify_one();
+            }
+            if Instant::now() >= until {
+                return self.state().revision >= revision;
             }
         }
     }
-}
 
-/// One cheap read serves all requests that wait for a fresh view.
-pub async fn fresh_loop(node: Arc<Controller>) {
-    // The readers of all nodes together take at most a third of the budget.
-    let nodes = 1.0 + node.settings.peers.len() as f64;
-    let gap = Duration::from_secs_f64(3.0 * nodes / node.settings.site.store.rps);
-    let reads = Arc::new(Semaphore::new(READS));
-    loop {
-        node.read_requested.notified().await;
-        if node.last_read_sent.get().is_none() {
-            sleep(gap).await;
-            continue;
-        }
-        let Ok(permit) = reads.clone().acquire_owned().await else {
-            return;
-        };
-        let reader = node.clone();
-        let mut read = tokio::spawn(async move {
-            fresh_read(&reader, gap).await;
-            drop(permit);
-        });
-        // Behind a read that takes long nobody has to wait for its end and then as long
-        // again: others begin meanwhile.
-        let _ = tokio::time::timeout(node.timing.round / 8, &mut read).await;
-        sleep(gap).await;
+    /// Whether the owner of a shard may act on its lease, as far as the age of the replica
+    /// tells.
+    pub fn shard_leases_valid(&self) -> bool {
+        self.staleness() < self.context.timing.lease_validity
     }
-}
 
-/// Fresh reads under way at once, if they take long.
-const READS: usize = 4;
-
-async fn fresh_read(node: &Controller, gap: Duration) {
-    let since = node.view().revision;
-    let sent = Instant::now();
-    let call = node
-        .store
-        .watch(ROOT, since, Duration::ZERO, node.timing.round * 2);
-    match call.await {
-        Ok(answer) => take(node, since, sent, answer),
-        Err(error) => {
-            tracing::debug!(%error, "fresh read failed");
-            sleep(gap * 4).await;
-            node.read_requested.notify_one();
-        }
+    /// Whether the state lacks nothing that this process ever saw or did.
+    pub fn is_complete(&self, state: &ClusterState) -> bool {
+        has_no_gap(state) && state.revision >= self.last_commit.load(Ordering::Relaxed)
+    }
+
+    /// The fencing token under which this process owns a shard: the version of its lease.
+    /// `None` if it does not own it, or may not act on the lease any more.
+    pub fn fencing_token(&self, state: &ClusterState, shard: &str) -> Option<Revision> {
+        let lease = state.shard_leases.get(shard)?;
+        let is_ours = lease.value.owner == self.context.member()
+            && lease.value.incarnation == self.context.incarnation;
+        (is_ours && has_no_gap(state) && self.shard_leases_valid()).then_some(lease.version)
+    }
+
+    /// The shards that this process owns, with their fencing tokens.
+    pub fn owned_shards(&self, state: &ClusterState) -> BTreeMap<ShardId, Revision> {
+        let shards = state.shard_leases.keys();
+        let owned =
+            shards.filter_map(|shard| Some((shard.clone(), self.fencing_token(state, shard)?)));
+        owned.collect()
+    }
+
+    /// Whether this process is registered as a member.
+    pub fn is_registered(&self) -> bool {
+        let state = self.state();
+        let member = state.members.get(self.context.member());
+        member.is_some_and(|member| member.incarnation == self.context.incarnation)
     }
-}
 
-/// Keeps the member lease and key.
-pub async fn member_loop(node: Arc<Controller>) {
-    let every = node.timing.member_lease / 5;
-    loop {
-        let lease = *lock(&node.member_lease);
-        match lease {
-            None => match node.store.grant_lease(node.timing.member_lease).await {
-                Ok(lease) => {
-                    *lock(&node.member_lease) = Some(lease);
-                    continue;
-                }
-                Err(error) => tracing::debug!(%error, "no lease"),
-            },
-            Some(lease) => {
-                match node.store.renew_lease(lease, every * 2).await {
-                    Ok(()) => {}
-                    Err(error) if error.status() == Some(404) => {
-                        tracing::info!("member lease ended");
-                        *lock(&node.member_lease) = None;
-                        continue;
-                    }
-                    Err(error) => tracing::debug!(%error, "lease not renewed"),
-                }
-                if node.last_read_sent.get().is_some() {
-                    register(&node, lease).await;
-                    if !node.is_registered() {
-                        // Its earlier process's key was in the way, and ended just
-                        // then.
-                        node.linearizable_read(node.timing.round / 2).await;
-                        sleep(every / 8).await;
-                        continue;
-                    }
-                }
+    /// Waits until this process is registered and owns all shards that are leased to its
+    /// name. Not until others own theirs: workers are redirected to them, and would come
+    /// back every second to closed ports.
+    pub async fn wait_until_registered(&self) {
+        loop {
+            let seen = self.change_count();
+            if self.is_registered() && !self.has_stale_lease() {
+                return;
             }
+            self.changed_since(seen).await;
         }
-        sleep(every).await;
     }
-}
 
-async fn register(node: &Controller, lease: u64) {
-    let key = rec::member_key(node.member());
-    if node.is_registered() {
-        return;
-    }
-    let txn = {
-        let view = node.view();
-        let before = view.members.get(node.member());
-        if let Some(before) = before.filter(|m| m.incarnation != node.incarnation) {
-            let soon =
-                now_ms() < before.registered_ms + node.timing.member_lease.as_millis() as u64;
-            node.crash_looping.store(soon, Ordering::Relaxed);
-        }
-        let member = rec::MemberRecord {
-            zone: node.settings.zone.clone(),
-            incarnation: node.incarnation,
-            registered_ms: now_ms(),
-        };
-        Transaction::default()
-            .expect_version(&key, view.key_version(&key))
-            .put_leased(&key, &member, lease)
-    };
-    match node.commit(txn, WritePriority::Coordination).await {
-        CommitOutcome::LeaseExpired => *lock(&node.member_lease) = None,
-        CommitOutcome::Committed(revision) => {
-            node.wait_for_revision(revision, node.timing.round * 2)
-                .await;
-        }
-        _ => {}
+    fn has_stale_lease(&self) -> bool {
+        self.state()
+            .has_stale_lease(self.context.member(), self.context.incarnation)
     }
 }
+
+fn has_no_gap(state: &ClusterState) -> bool {
+    state.unreadable.is_none() && !state.has_gap
+}
--- /dev/null
+++ b/crates/rushwalk/src/store/user_writes.rs
@@ -0,0 +1,126 @@
+//! Users' writes: those that arrive while a commit is in flight share the next one.
+
+use super::committer::WritePriority;
+use super::log_writer::{LogWriter, MAX_TRANSACTION_BYTES};
+use super::replica::Replica;
+use crate::context::Context;
+use rushwalk_clients::store::CommitOutcome;
+use rushwalk_state::codec;
+use rushwalk_state::mutation::Mutation;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::sync::{mpsc, oneshot};
+use tokio::time::sleep;
+
+/// Writes that may wait at once; more are rejected.
+const MAX_WAITING: usize = 1024;
+
+/// How often a commit is repeated whose key another entry has taken first.
+const CONFLICT_RETRIES: usize = 3;
+
+/// A user's write, and who waits for its outcome.
+struct PendingWrite {
+    mutation: Mutation,
+    done: oneshot::Sender<CommitOutcome>,
+}
+
+/// Where users' writes are handed in.
+#[derive(Clone)]
+pub struct UserWrites {
+    queue: mpsc::Sender<PendingWrite>,
+}
+
+/// Too many users' writes wait.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+#[error("too many writes are waiting")]
+pub struct TooManyWrites;
+
+impl UserWrites {
+    /// The way in, and the queue that [`UserWriteQueue::run`] works off.
+    pub fn new() -> (UserWrites, UserWriteQueue) {
+        let (queue, waiting) = mpsc::channel(MAX_WAITING);
+        (UserWrites { queue }, UserWriteQueue { waiting })
+    }
+
+    /// Writes a mutation together with those that arrive beside it.
+    ///
+    /// # Errors
+    ///
+    /// [`TooManyWrites`] if it was not taken.
+    pub async fn write(&self, mutation: Mutation) -> Result<CommitOutcome, TooManyWrites> {
+        let (done, outcome) = oneshot::channel();
+        let write = PendingWrite { mutation, done };
+        self.queue.try_send(write).map_err(|_| TooManyWrites)?;
+        outcome.await.map_err(|_| TooManyWrites)
+    }
+}
+
+/// Users' writes that wait to be committed.
+pub struct UserWriteQueue {
+    waiting: mpsc::Receiver<PendingWrite>,
+}
+
+impl UserWriteQueue {
+    /// Commits what waits, one transaction after the other, until no user can come any more.
+    pub async fn run(mut self, context: Arc<Context>, replica: Arc<Replica>, log: Arc<LogWriter>) {
+        let write_rps = context.settings.site.store.write_rps;
+        let gap = Duration::from_secs_f64(0.5 * context.controllers() as f64 / write_rps);
+        let mut left_over: Option<PendingWrite> = None;
+        loop {
+            let first = match left_over.take() {
+                Some(write) => write,
+                None => match self.waiting.recv().await {
+                    Some(write) => write,
+                    None => return,
+                },
+            };
+            sleep(gap).await;
+            let writes = self.take_batch(first, &mut left_over);
+            let (mutations, waiting): (Vec<_>, Vec<_>) = writes
+                .into_iter()
+                .map(|write| (write.mutation, write.done))
+                .unzip();
+            let outcome = commit(&context, &replica, &log, &mutations).await;
+            for done in waiting {
+                // A user that has given up needs no answer.
+                let _ = done.send(outcome.clone());
+            }
+        }
+    }
+
+    /// Takes what fits one transaction, so that all have the same outcome.
+    fn take_batch(
+        &mut self,
+        first: PendingWrite,
+        left_over: &mut Option<PendingWrite>,
+    ) -> Vec<PendingWrite> {
+        let mut bytes = codec::packed_size(&first.mutation);
+        let mut batch = vec![first];
+        while let Ok(write) = self.waiting.try_recv() {
+            bytes += codec::packed_size(&write.mutation);
+            if bytes > MAX_TRANSACTION_BYTES / 2 {
+                *left_over = Some(write);
+                break;
+            }
+            batch.push(write);
+        }
+        batch
+    }
+}
+
+async fn commit(
+    context: &Context,
+    replica: &Replica,
+    log: &LogWriter,
+    mutations: &[Mutation],
+) -> CommitOutcome {
+    let mut outcome = log.append(&[], mutations, WritePriority::UserRequest).await;
+    for _ in 0..CONFLICT_RETRIES {
+        if !matches!(outcome, CommitOutcome::Conflict) {
+            break;
+        }
+        replica.linearizable_read(context.timing.round / 2).await;
+        outcome = log.append(&[], mutations, WritePriority::UserRequest).await;
+    }
+    outcome
+}
--- /dev/null
+++ b/crates/rushwalk/src/timing.rs
@@ -0,0 +1,53 @@
+//! Intervals and time-outs, all of which follow from the settings.
+
+use rushwalk_protocol::settings::Settings;
+use std::time::Duration;
+
+/// Intervals and time-outs of one controller.
+#[derive(Debug, Clone)]
+pub struct Timing {
+    /// For how long after its last read of the store an owner may act on its shard leases.
+    /// A cancellation that another controller confirms must reach every task within
+    /// `cancel_s`, and an owner that does not know of it renews worker leases for at most
+    /// this long.
+    pub lease_validity: Duration,
+    /// The lease of a member's record; its expiry shows the others that the member is gone.
+    pub member_lease: Duration,
+    /// The interval of the leader's scheduling rounds, from which most others derive.
+    pub round: Duration,
+    /// The interval between two heartbeats to the same peer.
+    pub peer_heartbeat: Duration,
+    /// The interval of a worker's heartbeats.
+    pub heartbeat: Duration,
+    /// The lease of a worker, which ends its tasks when it expires.
+    pub worker_lease: Duration,
+    /// A machine that was not heard from for this long is unreachable.
+    pub unreachable_after: Duration,
+    /// Predicted finishes closer than this count as equal.
+    pub tie: Duration,
+}
+
+impl Timing {
+    /// The intervals that follow from the settings.
+    pub fn new(settings: &Settings) -> Timing {
+        let workers = &settings.site.workers;
+        let seconds = Duration::from_secs_f64;
+        let round_s = (workers.heartbeat_s / 3.0).min(workers.lease_s / 40.0);
+        // With many peers each is sent fewer heartbeats: others tell of it too.
+        let peer_factor = (settings.peers.len() as f64 / 4.0).max(1.0);
+        let member_lease_s = (2.0 * workers.heartbeat_s)
+            .min(workers.lease_s / 7.0)
+            .max(1.0);
+        let unreachable_after_s = (3.0 * workers.heartbeat_s).min(workers.lease_s / 3.0);
+        Timing {
+            lease_validity: seconds(0.8 * (workers.cancel_s - workers.lease_s)),
+            member_lease: seconds(member_lease_s),
+            round: seconds(round_s),
+            peer_heartbeat: seconds(round_s / 3.0 * peer_factor),
+            heartbeat: seconds(workers.heartbeat_s),
+            worker_lease: seconds(workers.lease_s),
+            unreachable_after: seconds(unreachable_after_s),
+            tie: seconds(workers.heartbeat_s.min(workers.lease_s / 14.0)),
+        }
+    }
+}
--- /dev/null
+++ b/crates/rushwalk/src/workers/commands.rs
@@ -0,0 +1,119 @@
+//! The commands that bring a machine from what its worker reports to what is wanted.
+
+use super::session::{ReportedTask, SentStart, WorkerSession};
+use rushwalk_protocol::ids::{AttemptId, MachineId, TaskId};
+use rushwalk_protocol::jobs::task_name;
+use rushwalk_protocol::worker::{Command, TaskPhase, TaskStatus};
+use rushwalk_state::records::JobPhase;
+use rushwalk_state::{ClusterState, JobState, Revision, TaskState};
+
+/// What a task gets beyond its time to save a checkpoint before it is killed, in seconds.
+const CHECKPOINT_MARGIN_S: f64 = 1.0;
+
+/// The commands for a machine, under a fencing token.
+pub fn commands(
+    state: &ClusterState,
+    session: &WorkerSession,
+    machine: &MachineId,
+    token: Revision,
+) -> Vec<Command> {
+    let Some(machine_state) = state.machines.get(machine) else {
+        return Vec::new();
+    };
+    let mut commands = Vec::new();
+    for id in &machine_state.tasks {
+        if let Some((job, task)) = state.task(id) {
+            commands.extend(command_for_task(session, token, id, job, task));
+        }
+    }
+    for reported in &session.tasks {
+        if !is_wanted(state, machine, reported) {
+            commands.extend(command_for_unwanted(session, token, &reported.status));
+        }
+    }
+    commands
+}
+
+/// The start that a command carries.
+pub fn start_in(command: &Command) -> Option<SentStart> {
+    match command {
+        Command::Run { task, attempt } => Some(SentStart {
+            task: task.clone(),
+            attempt: *attempt,
+        }),
+        _ => None,
+    }
+}
+
+/// The command for a task that is placed on the machine.
+fn command_for_task(
+    session: &WorkerSession,
+    token: Revision,
+    id: &TaskId,
+    job: &JobState,
+    task: &TaskState,
+) -> Option<Command> {
+    let attempt = task.record.attempt;
+    let is_cancelled = job.phase != JobPhase::Active;
+    let must_stop = is_cancelled || task.record.stop_reason.is_some();
+    let attempt_id = AttemptId {
+        task: id.clone(),
+        attempt,
+    };
+    match session.reported(&attempt_id) {
+        // A task that ran and is gone was lost; it is not started again under the same
+        // attempt.
+        None if must_stop || task.record.started_ms.is_some() => None,
+        None if session.lease_expired(token) => None,
+        None if session.ended_attempts.contains(&attempt_id) => None,
+        None => Some(Command::Run {
+            task: task_name(&id.job, id.index),
+            attempt,
+        }),
+        Some(status) if status.phase == TaskPhase::Exited || !must_stop => None,
+        // It is saving a checkpoint.
+        Some(status) if status.phase == TaskPhase::Saving && !is_cancelled => None,
+        Some(_) => Some(Command::Stop {
+            task: task_name(&id.job, id.index),
+            attempt,
+            grace_s: grace_s(job, is_cancelled),
+        }),
+    }
+}
+
+/// How long a task may go on to save a checkpoint.
+fn grace_s(job: &JobState, is_cancelled: bool) -> f64 {
+    if !is_cancelled && job.spec.checkpoint_s > 0.0 {
+        job.spec.save_s + CHECKPOINT_MARGIN_S
+    } else {
+        0.0
+    }
+}
+
+/// Whether a reported attempt is placed on the machine.
+fn is_wanted(state: &ClusterState, machine: &MachineId, reported: &ReportedTask) -> bool {
+    let Some((_, task)) = state.task(&reported.task) else {
+        return false;
+    };
+    task.record.attempt == reported.status.attempt && task.record.machine.as_ref() == Some(machine)
+}
+
+/// The command for an attempt that is not to be on the machine.
+fn command_for_unwanted(
+    session: &WorkerSession,
+    token: Revision,
+    status: &TaskStatus,
+) -> Option<Command> {
+    let task = status.task.clone();
+    let attempt = status.attempt;
+    if status.phase != TaskPhase::Exited {
+        return Some(Command::Stop {
+            task,
+            attempt,
+            grace_s: 0.0,
+        });
+    }
+    // A start that may arrive late must find the task still known.
+    let is_resolved = session.unresolved_start.is_none() && session.call_in_flight.is_none();
+    (is_resolved && session.token <= token).then_some(Command::Forget { task, attempt })
+}
--- /dev/null
+++ b/crates/rushwalk/src/workers/heartbeats.rs
@@ -0,0 +1,102 @@
+//! How a worker's heartbeat is answered.
+
+use super::commands::{commands, start_in};
+use super::registry::WorkerRegistry;
+use super::session::HeartbeatSource;
+use crate::clock::now_ms;
+use crate::context::Context;
+use crate::peers::PeerMonitor;
+use crate::store::Replica;
+use rushwalk_protocol::worker::{Heartbeat, HeartbeatResponse};
+use rushwalk_state::{ClusterState, MachineState};
+use std::sync::Arc;
+
+/// What a worker's heartbeat is answered with.
+#[derive(Debug)]
+pub enum HeartbeatReply {
+    /// Its owner's response.
+    Accepted(HeartbeatResponse),
+    /// Another controller owns its shard; its name, if it is known and lives.
+    Redirected(Option<String>),
+    /// Its owner is not known here.
+    Unavailable,
+}
+
+/// Answers workers' heartbeats.
+#[derive(Clone)]
+pub struct HeartbeatHandler {
+    /// This process's context.
+    pub context: Arc<Context>,
+    /// Tells who owns the worker's shard, and what its machine should do.
+    pub replica: Arc<Replica>,
+    /// Where heartbeats are kept.
+    pub workers: Arc<WorkerRegistry>,
+    /// Tells where to redirect workers.
+    pub peers: Arc<PeerMonitor>,
+}
+
+impl HeartbeatHandler {
+    /// Answers a heartbeat. Costs what its machine's tasks cost, however many other
+    /// machines there are.
+    pub fn handle(&self, heartbeat: &Heartbeat) -> HeartbeatReply {
+        let state = self.replica.state();
+        let known = state.machines.get_key_value(heartbeat.machine.as_str());
+        let Some((machine, machine_state)) = known else {
+            return HeartbeatReply::Unavailable;
+        };
+        let shard = &machine_state.record.shard;
+        let Some(token) = self.replica.fencing_token(&state, shard) else {
+            return self.redirect(&state, machine_state, heartbeat);
+        };
+        if heartbeat.token > token {
+            // Another controller owns the shard by a newer lease that we have not seen.
+            self.replica.request_read();
+            return HeartbeatReply::Redirected(None);
+        }
+        let mut sessions = self.workers.sessions();
+        sessions.changed.insert(machine.clone());
+        sessions.record_heard(shard);
+        let session = sessions.session_mut(machine);
+        let is_newer = session.receive(heartbeat, token, &self.context.timing);
+        // A late heartbeat is no base for commands, but it may be answered.
+        let mut commands = if session.is_newest(heartbeat) && session.call_in_flight.is_none() {
+            commands(&state, session, machine, token)
+        } else {
+            Vec::new()
+        };
+        if session.withhold_starts() {
+            commands.retain(|command| start_in(command).is_none());
+        }
+        let start = commands.iter().find_map(start_in);
+        session.record_response(heartbeat, is_newer, token, start);
+        HeartbeatReply::Accepted(HeartbeatResponse { token, commands })
+    }
+
+    /// The reply to a worker whose shard this process does not own.
+    fn redirect(
+        &self,
+        state: &ClusterState,
+        machine: &MachineState,
+        heartbeat: &Heartbeat,
+    ) -> HeartbeatReply {
+        let shard = &machine.record.shard;
+        let lease = state.shard_leases.get(shard);
+        let Some(lease) = lease.filter(|l| l.value.owner != self.context.member()) else {
+            // Not entitled to answer, but it shows that the worker lives.
+            if let Some((machine, _)) = state.machines.get_key_value(heartbeat.machine.as_str()) {
+                let mut sessions = self.workers.sessions();
+                let session = sessions.session_mut(machine);
+                session.apply_heartbeat(heartbeat, HeartbeatSource::Worker);
+            }
+            return HeartbeatReply::Unavailable;
+        };
+        // A machine that has just booted looks for its owner.
+        let settled_ms = 2 * self.context.timing.heartbeat.as_millis() as u64;
+        let ready_ms = machine.record.ready_ms;
+        if ready_ms.is_some_and(|at| now_ms() > at + settled_ms) {
+            self.peers
+                .record_misrouted(shard, lease.version, &heartbeat.machine);
+        }
+        HeartbeatReply::Redirected(self.peers.redirect_target(shard, &lease.value))
+    }
+}
--- /dev/null
+++ b/crates/rushwalk/src/workers/session/tests.rs
@@ -0,0 +1,138 @@
+use super::*;
+use rushwalk_protocol::settings::Settings;
+use std::time::Duration;
+use tokio::time::advance;
+
+const SECOND: Duration = Duration::from_secs(1);
+
+fn timing() -> Timing {
+    let text = include_str!("../../../../protocol/tests/settings.toml");
+    Timing::new(&Settings::parse(text).unwrap())
+}
+
+fn heartbeat(sequence: u64, token: u64) -> Heartbeat {
+    let text = format!(r#"{{"rig":"i-1","stint":1,"tally":{sequence},"baton":{token}}}"#);
+    serde_json::from_str(&text).unwrap()
+}
+
+fn owned_since(token: u64, since: Instant) -> Option<Ownership> {
+    Some(Ownership { token, since })
+}
+
+fn owned_session(token: u64) -> WorkerSession {
+    WorkerSession {
+        owned: owned_since(token, Instant::now()),
+        ..WorkerSession::default()
+    }
+}
+
+/// Declaring tasks gone a moment too soon would run them twice.
+#[tokio::test(start_paused = true)]
+async fn a_lease_has_surely_expired_only_when_nobody_can_have_renewed_it() {
+    let timing = timing();
+    let mut session = WorkerSession::default();
+    assert!(!session.lease_surely_expired(7, &timing), "never owned");
+    session.owned = owned_since(7, Instant::now());
+    advance(timing.worker_lease + 2 * SECOND).await;
+    assert!(
+        !session.lease_surely_expired(7, &timing),
+        "a previous owner may have answered"
+    );
+    advance(timing.lease_validity).await;
+    assert!(session.lease_surely_expired(7, &timing));
+    assert!(
+        !session.lease_surely_expired(8, &timing),
+        "owned by others in between"
+    );
+    session.record_response(&heartbeat(0, 0), true, 7, None);
+    advance(timing.worker_lease).await;
+    assert!(!session.lease_surely_expired(7, &timing), "clocks drift");
+    advance(SECOND).await;
+    assert!(session.lease_surely_expired(7, &timing));
+}
+
+/// A machine that hears nothing has lost its tasks when the validity of a shard lease and a
+/// worker lease are over. But its response may have been received: only the next heartbeat
+/// tells, not a copy of the last.
+#[tokio::test(start_paused = true)]
+async fn a_lease_expires_only_if_a_newer_heartbeat_shows_that_no_response_was_received() {
+    let timing = timing();
+    let (lease, validity) = (timing.worker_lease, timing.lease_validity);
+    let wait = lease + validity + SECOND;
+    let mut session = owned_session(7);
+    assert!(session.receive(&heartbeat(5, 3), 7, &timing));
+    session.record_response(&heartbeat(5, 3), true, 7, None);
+    advance(wait).await;
+    assert!(!session.receive(&heartbeat(5, 3), 7, &timing));
+    assert!(!session.lease_expired(7), "a copy");
+    session.record_response(&heartbeat(5, 3), false, 7, None);
+    session.receive(&heartbeat(6, 3), 7, &timing);
+    assert!(
+        !session.lease_expired(7),
+        "the response to the copy may have been received"
+    );
+    advance(lease + SECOND).await;
+    session.receive(&heartbeat(7, 3), 7, &timing);
+    assert!(session.lease_expired(7));
+    session.receive(&heartbeat(8, 7), 7, &timing);
+    assert!(!session.lease_expired(7), "it has heard us");
+}
+
+#[tokio::test(start_paused = true)]
+async fn a_lease_does_not_expire_that_may_have_been_renewed_or_with_a_start_in_doubt() {
+    let timing = timing();
+    let (lease, validity) = (timing.worker_lease, timing.lease_validity);
+    let wait = lease + validity + SECOND;
+    let mut session = owned_session(7);
+    advance(validity + lease / 2).await;
+    session.receive(&heartbeat(5, 3), 7, &timing);
+    assert!(
+        !session.lease_expired(7),
+        "a previous owner may have answered"
+    );
+    session.record_response(&heartbeat(5, 3), true, 7, None);
+    session.receive(&heartbeat(6, 7), 7, &timing);
+    session.record_response(&heartbeat(6, 7), true, 9, None);
+    advance(lease).await;
+    session.owned = owned_since(9, Instant::now() - wait);
+    session.receive(&heartbeat(7, 7), 9, &timing);
+    assert!(!session.lease_expired(9), "renewed under our token before");
+    session.record_response(&heartbeat(7, 7), true, 9, None);
+    advance(SECOND).await;
+    session.unresolved_start = Some(UnresolvedStart {
+        token: 9,
+        session: 1,
+    });
+    session.receive(&heartbeat(8, 7), 9, &timing);
+    assert!(!session.lease_expired(9), "a start of ours is in doubt");
+    session.unresolved_start = None;
+    session.receive(&heartbeat(9, 7), 9, &timing);
+    assert!(session.lease_expired(9));
+}
+
+/// A shard that comes back to an owner brings what it last knew of its machines.
+#[tokio::test(start_paused = true)]
+async fn what_was_known_under_an_earlier_token_shows_no_outbound_loss() {
+    let timing = timing();
+    let mut session = owned_session(7);
+    session.apply_heartbeat(&heartbeat(5, 7), HeartbeatSource::Worker);
+    advance(timing.worker_lease + SECOND).await;
+    assert!(
+        session.has_outbound_loss(7, &timing),
+        "no heartbeat for a lease"
+    );
+    assert!(!session.has_outbound_loss(9, &timing), "just come back");
+    session.owned = owned_since(9, Instant::now());
+    session.apply_heartbeat(&heartbeat(6, 7), HeartbeatSource::Call);
+    assert!(
+        !session.has_outbound_loss(9, &timing),
+        "answers when asked, and has time to report"
+    );
+    advance(timing.worker_lease + SECOND).await;
+    assert!(session.has_outbound_loss(9, &timing));
+    session.apply_heartbeat(&heartbeat(7, 9), HeartbeatSource::Worker);
+    assert!(
+        !session.has_outbound_loss(9, &timing),
+        "it sends heartbeats again"
+    );
+}
--- a/crates/simulator/src/cluster.rs
+++ b/crates/simulator/src/cluster.rs
@@ -2,8 +2,9 @@
 
 use poem::endpoint::{BoxEndpoint, EndpointExt};
 use poem::{Endpoint, Response};
-use rushwalk::controller::{Controller, start, virtual_time};
-use rushwalk::http::{peers, users};
+use rushwalk::clock::use_virtual_time;
+use rushwalk::controller::Controller;
+use rushwalk::http;
 use rushwalk_clients::HttpClient;
 use rushwalk_protocol::jobs::{JobSpec, JobStatus, StatusPhase};
 use rushwalk_protocol::settings::{PeerSettings, Settings, Team};
@@ -161,7 +162,7 @@
     }
 
     pub fn with(setup: Setup, seed: u64) -> Site {
-        virtual_time(seed);
+        use_virtual_time(seed);
         let report = Duration::from_secs(3);
         let world = World::new(setup.controllers, seed, report, Duration::from_secs(40));
         world.keep_changes(setup.kept_changes);
@@ -230,14 +231,15 @@
             node: i,
             alive: alive.clone(),
         };
-        let node = Controller::new(self.settings(i), HttpClient::over(Arc::new(link))).unwrap();
-        let public = users::routes(node.clone()).map_to_response().boxed();
-        let between = peers::routes(node.clone()).map_to_response().boxed();
+        let (node, loops) =
+            Controller::new(self.settings(i), HttpClient::over(Arc::new(link))).unwrap();
+        let public = http::public_routes(&node).map_to_response().boxed();
+        let between = http::peer_routes(&node).map_to_response().boxed();
         self.world.clear(Fault::Dead(i));
-        self.world.open(i, node.member(), door(public));
+        self.world.open(i, node.context.member(), door(public));
         self.world.open_mesh(i, door(between));
         self.processes[i] = Some(Process {
-            loops: start(&node),
+            loops: loops.spawn(),
             alive,
             node,
         });
@@ -370,10 +372,8 @@
     }
 
     pub fn leads(&self) -> Option<usize> {
-        let leads = |node: &Arc<Controller>| {
-            let view = node.view();
-            node.leadership(&view).is_some()
-        };
-        self.nodes().find(|(_, node)| leads(node)).map(|(i, _)| i)
+        self.nodes()
+            .find(|(_, node)| node.leadership.is_leader())
+            .map(|(i, _)| i)
     }
 }
--- a/crates/simulator/src/failover.rs
+++ b/crates/simulator/src/failover.rs
@@ -4,8 +4,7 @@
 use crate::cluster::job;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
-use rushwalk::controller::{Controller, lock};
-use rushwalk::leadership::election;
+use rushwalk::controller::Controller;
 use rushwalk_failure_detector::{PeerHealth, SuspicionReason};
 use rushwalk_testkit::Fault;
 use serde::Serialize;
@@ -124,8 +123,8 @@
             heard: Vec::new(),
         };
         if let Some((_, node)) = site.nodes().next() {
-            let view = node.view();
-            let of = |block: &str| view.shard_leases.get(block).map(|(_, g)| g.owner.clone());
+            let view = node.replica.state();
+            let of = |block: &str| view.shard_leases.get(block).map(|g| g.value.owner.clone());
             for (name, row) in &view.machines {
                 let holder = of(&row.record.shard);
                 let failed = failed.iter().any(|i| holder == Some(format!("node-{i}")));
@@ -133,8 +132,10 @@
                     watch.waiting.insert(name.to_string());
                 }
             }
-            for (block, (_, grant)) in &view.shard_leases {
-                watch.holders.insert(block.to_string(), grant.owner.clone());
+            for (block, grant) in &view.shard_leases {
+                watch
+                    .holders
+                    .insert(block.to_string(), grant.value.owner.clone());
             }
         }
         watch.look(site);
@@ -144,7 +145,7 @@
     fn look(&mut self, site: &Site) {
         let now = Instant::now();
         for (i, node) in site.nodes() {
-            let planned = *lock(&node.last_round);
+            let planned = node.leadership.last_round();
             self.planned = self.planned.max(planned.filter(|_| !self.mute(site, i)));
             self.standings(i, node);
             self.machines(node, now);
@@ -154,15 +155,19 @@
             self.longest = self.longest.max(gap);
         }
         // Whoever reads the state service has the newest view.
-        let newest = site.nodes().max_by_key(|(_, node)| node.view().revision);
+        let newest = site
+            .nodes()
+            .max_by_key(|(_, node)| node.replica.state().revision);
         if let Some((_, node)) = newest {
-            let view = node.view();
-            if let Some((version, _)) = &view.leader {
-                self.leaders.insert(*version);
+            let view = node.replica.state();
+            if let Some(leader) = &view.leader {
+                self.leaders.insert(leader.version);
             }
-            for (block, (_, grant)) in &view.shard_leases {
-                let before = self.holders.insert(block.to_string(), grant.owner.clone());
-                self.moved += usize::from(before.is_some_and(|b| b != grant.owner));
+            for (block, grant) in &view.shard_leases {
+                let before = self
+                    .holders
+                    .insert(block.to_string(), grant.value.owner.clone());
+                self.moved += usize::from(before.is_some_and(|b| b != grant.value.owner));
             }
         }
     }
@@ -173,8 +178,8 @@
     }
 
     fn standings(&mut self, i: usize, node: &Arc<Controller>) {
-        let own = election::own(node);
-        let told = lock(&node.detector).statuses(node.uptime_s(), own);
+        let own = node.local_health.local_health();
+        let told = node.peers.detector().statuses(node.context.uptime_s(), own);
         for peer in told
             .into_iter()
             .filter(|p| p.standing != PeerHealth::Healthy)
@@ -189,7 +194,7 @@
             } else if peer.standing == PeerHealth::Failed
                 && peer.why != Some(SuspicionReason::LeaseExpired)
             {
-                let since = ((node.uptime_s() - peer.since_s) * 2.0) as u64;
+                let since = ((node.context.uptime_s() - peer.since_s) * 2.0) as u64;
                 self.accused.insert((i, peer.member, since));
             }
         }
@@ -199,13 +204,13 @@
         if self.waiting.is_empty() {
             return;
         }
-        let view = node.view();
-        let reports = lock(&node.workers_seen);
+        let view = node.replica.state();
+        let reports = node.workers.sessions();
         let began = self.began;
         let heard = |name: &String| {
             let row = view.machines.get(name.as_str())?;
-            node.fencing_token(&view, &row.record.shard)?;
-            let heard = reports.sessions.get(name.as_str())?.last_heard?;
+            node.replica.fencing_token(&view, &row.record.shard)?;
+            let heard = reports.by_machine.get(name.as_str())?.last_heard?;
             (heard > began).then_some(())
         };
         let all = self.waiting.len();
@@ -427,7 +432,7 @@
                     let all = site.nodes().filter(|(i, _)| !one || *i == leader);
                     all.for_each(|(_, node)| {
                         node.runtime_lag
-                            .set_simulated_lag(node.timing.round * halves / 4)
+                            .set_simulated_lag(node.context.timing.round * halves / 4)
                     });
                 }
             }
--- a/crates/simulator/tests/days.rs
+++ b/crates/simulator/tests/days.rs
@@ -255,7 +255,13 @@
         assert!(n < 400, "no snapshot was made");
         jobs.push(day.submit(n, "sweep", 2, 1.0, 8.0).await);
         day.pass(2).await;
-        let base = day.processes[0].as_ref().unwrap().node.view().snapshot;
+        let base = day.processes[0]
+            .as_ref()
+            .unwrap()
+            .node
+            .replica
+            .state()
+            .snapshot;
         snapshots = snapshots.max(base.generation);
         assert_eq!(day.world.holds("w/base"), base.generation > 0);
     }
@@ -317,13 +323,16 @@
     day.pass(4).await;
     (0..3).for_each(|i| day.start(i));
     for process in day.processes.iter().flatten() {
-        let opens =
-            tokio::time::timeout(Duration::from_secs(8), process.node.wait_until_registered());
+        let opens = tokio::time::timeout(
+            Duration::from_secs(8),
+            process.node.replica.wait_until_registered(),
+        );
         opens.await.unwrap();
-        let (me, view) = (&process.node, process.node.view());
-        assert!(view.members[me.member()].incarnation == me.incarnation);
+        let (me, view) = (&process.node, process.node.replica.state());
+        assert!(view.members[me.context.member()].incarnation == me.context.incarnation);
         let mut grants = view.shard_leases.values();
-        assert!(grants.all(|(_, g)| g.owner != me.member() || g.incarnation == me.incarnation));
+        assert!(grants.all(|g| g.value.owner != me.context.member()
+            || g.value.incarnation == me.context.incarnation));
     }
     day.check();
 }
@@ -462,11 +471,7 @@
     let process = day.processes[0].as_ref().unwrap();
     process.loops.iter().for_each(JoinHandle::abort);
     let node = &process.node;
-    let lease = node
-        .store
-        .grant_lease(node.timing.member_lease)
-        .await
-        .unwrap();
-    rushwalk::leadership::election::elect(node, lease).await;
+    let lease = node.membership.new_lease().await.unwrap();
+    node.election().campaign(lease).await;
     assert!(!day.world.holds("w/leader"));
 }
--- a/crates/simulator/tests/fault_combinations.rs
+++ b/crates/simulator/tests/fault_combinations.rs
@@ -256,12 +256,12 @@
     for n in 0..3u32 {
         // Other work fills the log: a snapshot is made.
         let base = day.processes.iter().flatten().next().unwrap();
-        let before = base.node.view().snapshot.generation;
+        let before = base.node.replica.state().snapshot.generation;
         for k in 0..40 {
             day.submit(100 + n * 40 + k, "sweep", 1, 1.0, 2.0).await;
             day.pass(1).await;
             let (_, node) = day.nodes().next().unwrap();
-            if node.view().snapshot.generation > before {
+            if node.replica.state().snapshot.generation > before {
                 break;
             }
         }
--- a/crates/simulator/tests/real_machines.rs
+++ b/crates/simulator/tests/real_machines.rs
@@ -2,10 +2,10 @@
 //! no other test brings about, on virtual time with whole controllers. What each guards
 //! against is in `docs/MEETINGS.md`.
 
-use rushwalk::view::ClusterState;
 use rushwalk_protocol::jobs::StatusPhase;
 use rushwalk_simulator::cluster::{close_look, job, job_with, request};
 use rushwalk_simulator::{Setup, Site as Day};
+use rushwalk_state::ClusterState;
 use rushwalk_testkit::{Build, Fault, Request, ZONES};
 use serde_json::json;
 use std::time::Duration;
@@ -34,7 +34,7 @@
 }
 
 fn view<T>(day: &Day, look: impl Fn(&ClusterState) -> T) -> T {
-    look(&day.nodes().next().unwrap().1.view())
+    look(&day.nodes().next().unwrap().1.replica.state())
 }
 
 /// Submits at one controller and cancels at others while that is under way, then asks.
@@ -154,7 +154,7 @@
     day.pass(20).await;
     // Every controller knows the same jobs, and what became of them.
     let known = |node: &rushwalk::controller::Controller| -> Vec<_> {
-        let view = node.view();
+        let view = node.replica.state();
         day.jobs.keys().map(|uid| view.job_status(uid)).collect()
     };
     let all: Vec<_> = day.nodes().map(|(_, node)| known(node)).collect();
