--- a/crates/rushwalk/src/capacity/round/expecting.rs
+++ b/crates/rushwalk/src/capacity/round/expecting.rs
@@ -45,7 +45,7 @@
                 false => a,
             }
         });
-        let rate = arrivals::rate(&buckets, span as f64 / 1000.0);
+        let rate = arrivals::arrival_rate(&buckets, span as f64 / 1000.0);
         // Who only has to finish by a time can wait a little for a heap's end.
         let aims = &node.settings.site.objectives;
         let hurried = aims
@@ -57,7 +57,10 @@
             _ => 0.0,
         };
         let latest = times.iter().rev().cycle();
-        for (at, (_, spec)) in arrivals::arrivals(rate, slowest, z).into_iter().zip(latest) {
+        for (at, (_, spec)) in arrivals::expected_arrival_times(rate, slowest, z)
+            .into_iter()
+            .zip(latest)
+        {
             let mut phantom = timelines::waiting(view, spec, types);
             phantom.tasks = (0..spec.tasks.min(PLANNED_EACH as u32)).collect();
             // What is expected is no reason to go beyond a team's limit.
--- a/crates/rushwalk/src/capacity/round/placing.rs
+++ b/crates/rushwalk/src/capacity/round/placing.rs
@@ -8,9 +8,9 @@
 use rushwalk_protocol::jobs::{Priority, Shape};
 use rushwalk_protocol::records::{JobPhase, MachineTypes, Mutation, StopReason};
 use rushwalk_scheduler::Resources;
-use rushwalk_scheduler::deadlines::{TaskDurations, start_by};
+use rushwalk_scheduler::deadlines::{TaskDurations, latest_useful_start};
 use rushwalk_scheduler::quota::QuotaUsage;
-use rushwalk_scheduler::retry::{FailureSummary, RetryDecision, retry};
+use rushwalk_scheduler::retry::{FailureSummary, RetryDecision, retry_decision};
 use rushwalk_scheduler::round::{PendingJob, SchedulingDecisions, SchedulingRound};
 use std::collections::BTreeMap;
 
@@ -100,7 +100,7 @@
             guaranteed,
         };
         let at = job.accepted_ms as f64 / 1000.0;
-        let by = start_by(spec, at, now as f64 / 1000.0, needs, &site.objectives);
+        let by = latest_useful_start(spec, at, now as f64 / 1000.0, needs, &site.objectives);
         order.push((spec.priority, by, job.accepted_ms, uid.clone()));
     }
     order.sort_by(|a, b| {
@@ -125,7 +125,7 @@
                 || job.tasks.values().any(|t| t.record.started_ms.is_some()),
             since_s: now.saturating_sub(trouble.last_ms) as f64 / 1000.0,
         };
-        let retry = retry(failures, node.timing.round.as_secs_f64());
+        let retry = retry_decision(failures, node.timing.round.as_secs_f64());
         if retry == RetryDecision::BackOff {
             continue;
         }
--- a/crates/rushwalk/src/capacity/round/sizing.rs
+++ b/crates/rushwalk/src/capacity/round/sizing.rs
@@ -9,7 +9,7 @@
 use rushwalk_protocol::records::{
     JobPhase, MachineLifecycle, MachineTypes, Mutation, RentalRequest,
 };
-use rushwalk_scheduler::capacity::{self, InstanceKind, Shortfall};
+use rushwalk_scheduler::capacity::{InstanceKind, RentalCall, Shortfall, plan_rental_calls};
 use rushwalk_scheduler::round::{PendingJob, SchedulingRound};
 use rushwalk_scheduler::timeline::MachineTimeline;
 use std::collections::{BTreeMap, BTreeSet};
@@ -57,7 +57,7 @@
 ) -> Vec<Mutation> {
     let free = most.saturating_sub(memory.rentals_in_flight.len());
     let mut ops = Vec::new();
-    for (kind, count) in capacity::calls(&mut memory.shortfall, free, MAX_RENT) {
+    for RentalCall { kind, count } in plan_rental_calls(&mut memory.shortfall, free, MAX_RENT) {
         let rental = RentalRequest {
             machine_type: kind.machine_type.to_string(),
             zone: kind.zone.to_string(),
--- a/crates/rushwalk/src/http/users.rs
+++ b/crates/rushwalk/src/http/users.rs
@@ -16,7 +16,7 @@
 use rushwalk_protocol::peers::ForwardedRequest;
 use rushwalk_protocol::records::Mutation;
 use rushwalk_protocol::worker::{Heartbeat, Redirect};
-use rushwalk_scheduler::quota::can_ever_run;
+use rushwalk_scheduler::quota::check_satisfiable;
 use serde::Serialize;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -176,8 +176,10 @@
                 return not_now(node, "the machine types are not known yet");
             };
             let site = &node.settings.site;
-            let can = can_ever_run(spec, &site.teams, &types.types, &site.zones);
-            let can = can.and_then(|()| node.fits_a_value(spec));
+            let can = check_satisfiable(spec, &site.teams, &types.types, &site.zones);
+            let can = can
+                .map_err(|e| e.to_string())
+                .and_then(|()| node.fits_a_value(spec));
             can.err().map(|why| (StatusCode::UNPROCESSABLE_ENTITY, why))
         }
         Err(why) => Some((StatusCode::BAD_REQUEST, why.clone())),
--- a/crates/scheduler/src/deadlines.rs
+++ b/crates/scheduler/src/deadlines.rs
@@ -1,88 +1,79 @@
 //! In which order jobs of one priority are placed.
 //!
-//! The paper assumes arrival order. Exception: where the settings say by when
-//! a class is expected to start or finish, the job whose latest useful start
-//! comes first goes first, for on a full fleet arrival order makes every job a
-//! little late. One that can't meet its aim any more waits behind those that
-//! can, until its age puts it in front.
+//! The paper assumes arrival order. Exception: where the settings give service-level
+//! objectives by when a class is expected to start or finish, the job whose latest useful
+//! start comes first goes first, for on a full fleet arrival order makes every job a little
+//! late. A job that can't meet its objective any more waits behind those that can, until
+//! its age puts it in front.
 
 use rushwalk_protocol::jobs::JobSpec;
 use rushwalk_protocol::settings::Objective;
 
-/// What a job needs before it runs, and how long it then runs.
+#[cfg(test)]
+mod tests;
+
+/// What a job's tasks are predicted to take.
 #[derive(Debug, Clone, Copy)]
 pub struct TaskDurations {
+    /// Seconds to fetch the image.
     pub fetch_s: f64,
+    /// Seconds that a task runs.
     pub run_s: f64,
-    /// It fits into its team's guarantee.
+    /// Whether the job fits into its team's guaranteed resources.
     pub guaranteed: bool,
 }
 
-/// The time by which the job should start; the least goes first.
-pub fn start_by(
+/// Without any objective a job should start within this many times its run time.
+const DEFAULT_RUN_TIMES: f64 = 4.0;
+/// A run time counts at most this much towards the default, in seconds.
+const LONGEST_DEFAULT_RUN_S: f64 = 3600.0;
+/// A job that is past all its objectives ranks this many times the widest after its
+/// submission.
+const MISSED_OBJECTIVE_FACTOR: f64 = 4.0;
+
+/// The time by which the job should start; the job with the earliest goes first.
+///
+/// `submitted_s` and `now_s` are in seconds since the Unix epoch, as is the result.
+pub fn latest_useful_start(
     spec: &JobSpec,
-    at: f64,
-    now: f64,
-    needs: TaskDurations,
-    aims: &[Objective],
+    submitted_s: f64,
+    now_s: f64,
+    durations: TaskDurations,
+    objectives: &[Objective],
 ) -> f64 {
-    let mut widest: f64 = 0.0;
-    let mut best: Option<f64> = None;
-    for aim in aims {
-        let by = match aim.kind.as_str() {
-            "wait" if aim.class == spec.class => at + aim.within_s - needs.fetch_s,
-            "finished" if aim.class == spec.class => {
-                at + aim.within_s - needs.fetch_s - needs.run_s
-            }
-            "guarantee" if needs.guaranteed => at + aim.within_s - needs.fetch_s,
-            _ => continue,
+    let mut widest_s: f64 = 0.0;
+    let mut earliest: Option<f64> = None;
+    for objective in objectives {
+        let Some(start) = start_for_objective(spec, submitted_s, durations, objective) else {
+            continue;
         };
-        widest = widest.max(aim.within_s);
-        if by >= now && best.is_none_or(|b| by < b) {
-            best = Some(by);
+        widest_s = widest_s.max(objective.within_s);
+        if start >= now_s && earliest.is_none_or(|time| start < time) {
+            earliest = Some(start);
         }
     }
-    match best {
-        Some(by) => by,
-        // No aim can be met any more, or none is set.
-        None if widest > 0.0 => at + 4.0 * widest,
-        None => at + spec.deadline_s.unwrap_or(4.0 * needs.run_s.min(3600.0)),
+    match earliest {
+        Some(start) => start,
+        None if widest_s > 0.0 => submitted_s + MISSED_OBJECTIVE_FACTOR * widest_s,
+        None => {
+            let run_s = durations.run_s.min(LONGEST_DEFAULT_RUN_S);
+            submitted_s + spec.deadline_s.unwrap_or(DEFAULT_RUN_TIMES * run_s)
+        }
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn spec(class: &str) -> JobSpec {
-        let text = format!(
-            r#"{{"uid":"j-1","lane":"{class}","crew":"a","shape":"sweep","rank":"normal",
-            "pieces":1,"cpus":1,"gpus":0,"memoryGb":1,"kit":"i","sizeGb":1,"together":false,
-            "spread":false,"loaners":false,"guessS":60,"waypointS":0,"stashS":0}}"#
-        );
-        JobSpec::parse(text.as_bytes()).unwrap()
-    }
-
-    #[test]
-    fn a_job_that_cannot_be_in_time_waits_behind_one_that_can() {
-        let aim = |kind: &str, class: &str, within_s| Objective {
-            kind: kind.into(),
-            class: class.into(),
-            within_s,
-            share: 0.9,
-        };
-        let aims = [aim("finished", "scan", 120.0), aim("wait", "sim", 60.0)];
-        let needs = TaskDurations {
-            fetch_s: 10.0,
-            run_s: 60.0,
-            guaranteed: false,
-        };
-        let early = start_by(&spec("scan"), 0.0, 40.0, needs, &aims);
-        let late = start_by(&spec("scan"), 0.0, 60.0, needs, &aims);
-        let sim = start_by(&spec("sim"), 30.0, 60.0, needs, &aims);
-        assert_eq!(early, 50.0);
-        assert!(sim < late, "{sim} {late}");
-        // Age decides in the end: a job that arrives later can't pass for ever.
-        assert!(late < start_by(&spec("sim"), 500.0, 500.0, needs, &aims));
+/// The latest start that meets an objective; `None` if that isn't set for the job.
+fn start_for_objective(
+    spec: &JobSpec,
+    submitted_s: f64,
+    durations: TaskDurations,
+    objective: &Objective,
+) -> Option<f64> {
+    let fetched = submitted_s + objective.within_s - durations.fetch_s;
+    match objective.kind.as_str() {
+        "wait" if objective.class == spec.class => Some(fetched),
+        "finished" if objective.class == spec.class => Some(fetched - durations.run_s),
+        "guarantee" if durations.guaranteed => Some(fetched),
+        _ => None,
     }
 }
--- a/crates/scheduler/src/quota.rs
+++ b/crates/scheduler/src/quota.rs
@@ -1,117 +1,175 @@
-//! Teams' limits and guarantees, and where a job's tasks may be.
+//! Teams' limits and guarantees, and constraints on where a job's tasks may be.
 
 use crate::Resources;
+use crate::resources::ROUNDING_TOLERANCE;
+use rushwalk_protocol::cloud::MachineType;
 use rushwalk_protocol::jobs::{JobSpec, Shape};
 use rushwalk_protocol::settings::Team;
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
+use thiserror::Error;
 
-/// What teams use: tasks count until they are surely gone.
+/// Resources in use per team. A task counts until it is known to have ended.
 #[derive(Debug, Clone, Default)]
 pub struct QuotaUsage(HashMap<String, Resources>);
 
 impl QuotaUsage {
+    /// Adds an amount to what a team uses.
     pub fn add(&mut self, team: &str, amount: Resources) {
         let used = self.0.entry(team.to_string()).or_default();
         *used = *used + amount;
     }
 
-    pub fn of(&self, team: &str) -> Resources {
+    fn of_team(&self, team: &str) -> Resources {
         self.0.get(team).copied().unwrap_or_default()
     }
 
-    /// How many of `n` tasks stay within the team's limit.
-    pub fn tasks_within_limit(&self, team: &Team, amount: Resources, n: usize) -> usize {
-        let used = self.of(&team.name);
-        let fit = |used: f64, each: f64, limit: f64| match limit > 0.0 && each > 0.0 {
-            true => ((limit + 1e-6 - used) / each).max(0.0) as usize,
-            false => n,
-        };
-        n.min(fit(used.cpus, amount.cpus, team.cpus_max)).min(fit(
-            used.gpus,
-            amount.gpus,
-            team.gpus_max,
-        ))
+    /// How many of `count` tasks, each requesting `amount`, stay within the team's limit.
+    pub fn tasks_within_limit(&self, team: &Team, amount: Resources, count: usize) -> usize {
+        let used = self.of_team(&team.name);
+        let within_cpus = count_within(used.cpus, amount.cpus, team.cpus_max);
+        let within_gpus = count_within(used.gpus, amount.gpus, team.gpus_max);
+        [within_cpus, within_gpus]
+            .into_iter()
+            .flatten()
+            .fold(count, usize::min)
     }
 
     /// Whether `amount` more stays within what the team is guaranteed.
     pub fn is_within_guarantee(&self, team: &Team, amount: Resources) -> bool {
-        let used = self.of(&team.name) + amount;
-        (team.cpus > 0.0 || team.gpus > 0.0) && within(used, team.cpus, team.gpus)
+        let used = self.of_team(&team.name) + amount;
+        (team.cpus > 0.0 || team.gpus > 0.0) && is_within(used, team.cpus, team.gpus)
     }
 }
 
-fn within(used: Resources, cpus: f64, gpus: f64) -> bool {
-    let ok = |used: f64, limit: f64| limit <= 0.0 || used <= limit + 1e-6;
-    ok(used.cpus, cpus) && ok(used.gpus, gpus)
+/// How many times `each` fits between `used` and `limit`; `None` without a limit (0).
+fn count_within(used: f64, each: f64, limit: f64) -> Option<usize> {
+    let limited = limit > 0.0 && each > 0.0;
+    limited.then(|| ((limit + ROUNDING_TOLERANCE - used) / each).max(0.0) as usize)
 }
 
-/// What can never run is refused for good; `Err` says why.
-pub fn can_ever_run(
+/// Whether `used` is within limits on CPUs and GPUs, of which 0 means none.
+fn is_within(used: Resources, cpus_limit: f64, gpus_limit: f64) -> bool {
+    let within = |used: f64, limit: f64| limit <= 0.0 || used <= limit + ROUNDING_TOLERANCE;
+    within(used.cpus, cpus_limit) && within(used.gpus, gpus_limit)
+}
+
+/// Why a job can never run. Users get the text as the answer to their submission.
+#[derive(Debug, Clone, PartialEq, Eq, Error)]
+pub enum Unsatisfiable {
+    /// The settings have no team of this name.
+    #[error("unknown team {0}")]
+    UnknownTeam(String),
+    /// The settings have no zone of this name.
+    #[error("unknown zone {0}")]
+    UnknownZone(String),
+    /// No machine type that the job allows is large enough in a zone that it allows.
+    #[error("a task fits no allowed machine type")]
+    NoMachineTypeFits,
+    /// The tasks should be spread over zones, but only one zone is possible.
+    #[error("spread: its tasks can't be in two zones at least")]
+    SpreadImpossible,
+    /// The tasks that must run together exceed the limit of this team.
+    #[error("more than the limit of team {0}")]
+    TeamLimitExceeded(String),
+}
+
+/// Checks that a job could run on an empty fleet of any size.
+///
+/// # Errors
+/// The first reason found why it can never run.
+pub fn check_satisfiable(
     spec: &JobSpec,
     teams: &[Team],
-    types: &[rushwalk_protocol::cloud::MachineType],
+    types: &[MachineType],
     zones: &[String],
-) -> Result<(), String> {
-    let Some(team) = teams.iter().find(|t| t.name == spec.team) else {
-        return Err(format!("unknown team {}", spec.team));
+) -> Result<(), Unsatisfiable> {
+    let Some(team) = teams.iter().find(|team| team.name == spec.team) else {
+        return Err(Unsatisfiable::UnknownTeam(spec.team.clone()));
     };
     if let Some(zone) = &spec.zone
         && !zones.contains(zone)
     {
-        return Err(format!("unknown zone {zone}"));
+        return Err(Unsatisfiable::UnknownZone(zone.clone()));
     }
-    let amount = Resources::of_task(spec);
-    let fit = types.iter().filter(|t| {
-        let names = spec.types.as_ref();
-        names.is_none_or(|names| names.contains(&t.name)) && amount.fits_in(&Resources::of_type(t))
-    });
-    let allowed = |z: &&String| spec.zone.as_ref().is_none_or(|only| only == *z);
-    let open: BTreeSet<&String> = fit.flat_map(|t| t.zones.iter().filter(allowed)).collect();
-    if open.is_empty() {
-        return Err("a task fits no allowed machine type".into());
+    let possible_zones = possible_zones(spec, types);
+    if possible_zones.is_empty() {
+        return Err(Unsatisfiable::NoMachineTypeFits);
     }
-    // Of an array as many run at a time as may be in its zone.
-    let together = spec.one_zone || open.len() == 1;
-    if spec.spread && together && spec.tasks > 1 && spec.shape != Shape::Array {
-        return Err("spread: its tasks can't be in two zones at least".into());
+    // An array runs as many tasks at a time as its zone may have.
+    let single_zone = spec.one_zone || possible_zones.len() == 1;
+    if spec.spread && single_zone && spec.tasks > 1 && spec.shape != Shape::Array {
+        return Err(Unsatisfiable::SpreadImpossible);
     }
-    let n = match spec.shape {
+    if !is_within(least_at_a_time(spec), team.cpus_max, team.gpus_max) {
+        return Err(Unsatisfiable::TeamLimitExceeded(team.name.clone()));
+    }
+    Ok(())
+}
+
+/// Zones in which a machine type that a job allows and fits is offered.
+fn possible_zones<'a>(spec: &JobSpec, types: &'a [MachineType]) -> BTreeSet<&'a String> {
+    let amount = Resources::of_task(spec);
+    let type_allowed = |name: &String| {
+        let allowed = spec.types.as_ref();
+        allowed.is_none_or(|names| names.contains(name))
+    };
+    let zone_allowed = |zone: &&String| spec.zone.as_ref().is_none_or(|only| only == *zone);
+    types
+        .iter()
+        .filter(|t| type_allowed(&t.name) && amount.fits_in(&Resources::of_type(t)))
+        .flat_map(|t| t.zones.iter().filter(zone_allowed))
+        .collect()
+}
+
+/// CPUs and GPUs that a job needs at the same time: one task of an array, all tasks of any
+/// other job.
+fn least_at_a_time(spec: &JobSpec) -> Resources {
+    let tasks = match spec.shape {
         Shape::Array => 1.0,
         _ => f64::from(spec.tasks),
     };
-    if !within(
-        Resources {
-            cpus: amount.cpus * n,
-            gpus: amount.gpus * n,
-            memory_gb: 0.0,
-        },
-        team.cpus_max,
-        team.gpus_max,
-    ) {
-        return Err(format!("more than the limit of team {}", team.name));
+    let amount = Resources::of_task(spec);
+    Resources {
+        cpus: amount.cpus * tasks,
+        gpus: amount.gpus * tasks,
+        memory_gb: 0.0,
     }
-    Ok(())
 }
 
-/// The zones in which a job's tasks are, lingering ones included.
+/// How many tasks of a job each zone has, terminating ones included.
 #[derive(Debug, Clone, Default)]
-pub struct TasksPerZone(Vec<(Arc<str>, u32)>);
+pub struct TasksPerZone(Vec<ZoneTasks>);
+
+#[derive(Debug, Clone)]
+struct ZoneTasks {
+    zone: Arc<str>,
+    count: u32,
+}
 
 impl TasksPerZone {
+    /// Counts one more task in a zone.
     pub fn add(&mut self, zone: &str) {
-        match self.0.iter_mut().find(|(z, _)| **z == *zone) {
-            Some((_, n)) => *n += 1,
-            None => self.0.push((zone.into(), 1)),
+        match self.0.iter_mut().find(|entry| *entry.zone == *zone) {
+            Some(entry) => entry.count += 1,
+            None => self.0.push(ZoneTasks {
+                zone: zone.into(),
+                count: 1,
+            }),
         }
     }
 
-    /// Whether one more task may go to `zone`.
+    /// Whether one more task may go to a zone, by what the job says of one zone for all
+    /// tasks and of spreading them.
     pub fn allows(&self, spec: &JobSpec, zone: &str) -> bool {
-        if spec.one_zone && self.0.iter().any(|(z, _)| **z != *zone) {
+        if spec.one_zone && self.0.iter().any(|entry| *entry.zone != *zone) {
             return false;
         }
-        let there = self.0.iter().find(|(z, _)| **z == *zone);
-        !spec.spread || there.map_or(0, |(_, n)| *n) < spec.tasks.div_ceil(2)
+        !spec.spread || self.count_in(zone) < spec.tasks.div_ceil(2)
+    }
+
+    fn count_in(&self, zone: &str) -> u32 {
+        let entry = self.0.iter().find(|entry| *entry.zone == *zone);
+        entry.map_or(0, |entry| entry.count)
     }
 }
--- a/crates/scheduler/src/resources.rs
+++ b/crates/scheduler/src/resources.rs
@@ -1,19 +1,24 @@
-//! Amounts of a machine's resources.
+//! Amounts of the resources that tasks request and machines have.
 
 use rushwalk_protocol::{cloud::MachineType, jobs::JobSpec};
 use std::ops::{Add, Sub};
 
+/// An amount of each kind of resource.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Resources {
+    /// CPU cores; fractions are allowed.
     pub cpus: f64,
+    /// GPUs; fractions are allowed.
     pub gpus: f64,
+    /// Memory in gigabytes.
     pub memory_gb: f64,
 }
 
-/// Sums of decimal amounts miss by a little; this much is forgiven.
-const SLACK: f64 = 1e-6;
+/// Sums of decimal amounts are off by a rounding error; comparisons tolerate this much.
+pub(crate) const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 impl Resources {
+    /// What one task of a job requests.
     pub fn of_task(spec: &JobSpec) -> Resources {
         Resources {
             cpus: spec.cpus,
@@ -22,58 +27,63 @@
         }
     }
 
-    pub fn of_type(kind: &MachineType) -> Resources {
+    /// What an empty machine of a type has.
+    pub fn of_type(machine_type: &MachineType) -> Resources {
         Resources {
-            cpus: kind.cpus,
-            gpus: kind.gpus,
-            memory_gb: kind.memory_gb,
+            cpus: machine_type.cpus,
+            gpus: machine_type.gpus,
+            memory_gb: machine_type.memory_gb,
         }
     }
 
-    pub fn fits_in(&self, room: &Resources) -> bool {
-        self.cpus <= room.cpus + SLACK
-            && self.gpus <= room.gpus + SLACK
-            && self.memory_gb <= room.memory_gb + SLACK
+    /// Whether this amount fits into `available`.
+    pub fn fits_in(&self, available: &Resources) -> bool {
+        self.cpus <= available.cpus + ROUNDING_TOLERANCE
+            && self.gpus <= available.gpus + ROUNDING_TOLERANCE
+            && self.memory_gb <= available.memory_gb + ROUNDING_TOLERANCE
     }
 
-    /// The largest share that this takes of any resource of `whole`.
+    /// The largest share that this amount takes of any resource of `whole`.
     pub fn dominant_share_of(&self, whole: &Resources) -> f64 {
-        [
-            (self.cpus, whole.cpus),
-            (self.gpus, whole.gpus),
-            (self.memory_gb, whole.memory_gb),
-        ]
-        .into_iter()
-        .filter(|(part, _)| *part > 0.0)
-        .map(|(part, whole)| part / whole.max(SLACK))
-        .fold(0.0, f64::max)
+        self.paired_with(whole)
+            .into_iter()
+            .filter(|(part, _)| *part > 0.0)
+            .map(|(part, whole)| part / whole.max(ROUNDING_TOLERANCE))
+            .fold(0.0, f64::max)
     }
 
-    /// The least share that is left of any resource of `whole`.
+    /// The smallest share that this amount is of any resource that `whole` has.
     pub fn least_share_of(&self, whole: &Resources) -> f64 {
+        self.paired_with(whole)
+            .into_iter()
+            .filter(|(_, whole)| *whole > 0.0)
+            .map(|(part, whole)| part / whole)
+            .fold(1.0, f64::min)
+    }
+
+    /// How many of this amount fit into `available`, at most `limit`.
+    pub fn count_in(&self, available: &Resources, limit: u32) -> u32 {
+        let share = self.dominant_share_of(available);
+        if share > 0.0 {
+            ((1.0 / share + ROUNDING_TOLERANCE) as u32).min(limit)
+        } else {
+            limit
+        }
+    }
+
+    /// Each resource of this amount beside the same resource of `whole`.
+    fn paired_with(&self, whole: &Resources) -> [(f64, f64); 3] {
         [
             (self.cpus, whole.cpus),
             (self.gpus, whole.gpus),
             (self.memory_gb, whole.memory_gb),
         ]
-        .into_iter()
-        .filter(|(_, whole)| *whole > 0.0)
-        .map(|(part, whole)| part / whole)
-        .fold(1.0, f64::min)
-    }
-
-    /// How many of this fit into `room`, at most `most`.
-    pub fn count_in(&self, room: &Resources, most: u32) -> u32 {
-        let share = self.dominant_share_of(room);
-        match share > 0.0 {
-            true => ((1.0 / share + SLACK) as u32).min(most),
-            false => most,
-        }
     }
 }
 
 impl Add for Resources {
     type Output = Resources;
+
     fn add(self, other: Resources) -> Resources {
         Resources {
             cpus: self.cpus + other.cpus,
@@ -85,6 +95,7 @@
 
 impl Sub for Resources {
     type Output = Resources;
+
     fn sub(self, other: Resources) -> Resources {
         Resources {
             cpus: self.cpus - other.cpus,
--- a/crates/scheduler/src/retry.rs
+++ b/crates/scheduler/src/retry.rs
@@ -1,15 +1,18 @@
-//! What to try again of a job whose tasks failed.
+//! Whether a job whose tasks failed is tried again.
 //!
-//! Failures of one job on several machines are the job's, if none of its tasks was ever
-//! seen to work; failures of several jobs on one machine are the machine's. One event
-//! tells neither.
+//! Failures of one job on several machines are attributed to the job, if none of its tasks
+//! was ever seen to work; failures of several jobs on one machine to the machine. A single
+//! failure shows neither.
+
+#[cfg(test)]
+mod tests;
 
 /// What is known of a job's failures.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FailureSummary {
-    /// Different machines on which its tasks failed.
+    /// Number of different machines on which its tasks failed.
     pub machines: usize,
-    /// Whether a task of it finished, or is seen running.
+    /// Whether one of its tasks finished or is running.
     pub succeeded_somewhere: bool,
     /// Seconds since the latest failure.
     pub since_s: f64,
@@ -18,70 +21,33 @@
 /// How a job with failures is planned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// As any other.
+    /// As any other job.
     Normal,
-    /// One task, or one gang, where there is room now: nothing is rented for it, and no
-    /// place is kept.
+    /// One task, or one gang, where it can start now: no machine is rented and no capacity
+    /// is reserved for it.
     SingleProbe,
-    /// Not yet.
+    /// Not planned until its back-off is over.
     BackOff,
 }
 
-/// On so many machines a job may fail by chance.
-const CHANCE: usize = 2;
-/// The pause between two tries doubles so often at most.
-const DOUBLED: u32 = 6;
+/// A job may fail on this many machines by coincidence.
+const COINCIDENTAL_MACHINES: usize = 2;
+/// The back-off doubles with each machine, at most this many times.
+const MAX_DOUBLINGS: u32 = 6;
 
-/// `step_s` is the pause after a failure on one machine, halved.
-pub fn retry(failures: FailureSummary, step_s: f64) -> RetryDecision {
+/// Decides how to plan a job with `failures`; `step_s` is the back-off in seconds after a
+/// failure on one machine, halved.
+pub fn retry_decision(failures: FailureSummary, step_s: f64) -> RetryDecision {
     if failures.succeeded_somewhere || failures.machines <= 1 {
         return RetryDecision::Normal;
     }
-    let doubled = (failures.machines as u32).min(DOUBLED);
-    if failures.since_s < step_s * f64::from(1u32 << doubled) {
+    let doublings = (failures.machines as u32).min(MAX_DOUBLINGS);
+    if failures.since_s < step_s * f64::from(1u32 << doublings) {
         return RetryDecision::BackOff;
     }
-    match failures.machines > CHANCE {
-        true => RetryDecision::SingleProbe,
-        false => RetryDecision::Normal,
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Eight tasks of one job that failed on one faulty machine held up the other
-    /// seventy for a minute.
-    #[test]
-    fn machines_are_counted_not_tasks() {
-        let retry = |machines, works, since_s| {
-            let failures = FailureSummary {
-                machines,
-                succeeded_somewhere: works,
-                since_s,
-            };
-            retry(failures, 1.0)
-        };
-        assert_eq!(
-            retry(1, false, 0.0),
-            RetryDecision::Normal,
-            "a faulty machine"
-        );
-        assert_eq!(retry(2, false, 1.0), RetryDecision::BackOff);
-        assert_eq!(retry(2, false, 5.0), RetryDecision::Normal);
-        assert_eq!(retry(3, false, 7.0), RetryDecision::BackOff);
-        assert_eq!(retry(3, false, 9.0), RetryDecision::SingleProbe);
-        assert_eq!(retry(8, false, 60.0), RetryDecision::BackOff);
-        assert_eq!(
-            retry(8, false, 65.0),
-            RetryDecision::SingleProbe,
-            "the pause has an end"
-        );
-        assert_eq!(
-            retry(8, true, 0.0),
-            RetryDecision::Normal,
-            "it works elsewhere"
-        );
+    if failures.machines > COINCIDENTAL_MACHINES {
+        RetryDecision::SingleProbe
+    } else {
+        RetryDecision::Normal
     }
 }
