--- a/crates/rushwalk/src/capacity/round/machines.rs
+++ b/crates/rushwalk/src/capacity/round/machines.rs
@@ -70,7 +70,7 @@
         };
         let boots = memory
             .boot_times
-            .expected_boot_s((group, zone), kind.boot_s);
+            .expected_boot_s(BootGroup::new(group, zone), kind.boot_s);
         let ready = (rental.requested_ms as f64 / 1000.0 + boots).max(seconds + 1.0);
         let slot = MachineTimeline::new("".into(), group, kind, zone, rental.spot, ready);
         let all = std::iter::repeat_n(slot, rental.count as usize);
@@ -125,7 +125,7 @@
         .types
         .iter()
         .position(|t| *t.name == *machine.machine_type)?;
-    Some(((kind, zone), &types.types[kind]))
+    Some((BootGroup::new(kind, zone), &types.types[kind]))
 }
 
 /// When one that boots should be up.
@@ -191,7 +191,7 @@
                 let ready = seconds
                     + memory
                         .boot_times
-                        .expected_boot_s((group, zone), kind.boot_s);
+                        .expected_boot_s(BootGroup::new(group, zone), kind.boot_s);
                 out.push(RentableCapacity {
                     machine: MachineTimeline::new("".into(), group, kind, zone, spot, ready),
                     owned_in_zone: all,
