--- a/crates/rushwalk/src/leadership/leader.rs
+++ b/crates/rushwalk/src/leadership/leader.rs
@@ -16,7 +16,9 @@
 use rushwalk_protocol::store::Transaction;
 use rushwalk_scheduler::boot_times::{BootGroup, BootLateness, BootSample, BootTimeEstimator};
 use rushwalk_scheduler::capacity::{CapacityEstimator, InstanceKind, Shortfall};
-use rushwalk_scheduler::shards::{self, OwnerCandidate, ShardStatus};
+use rushwalk_scheduler::shard_assignment::{
+    OwnerCandidate, ShardMove, ShardStatus, plan_shard_moves,
+};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -336,7 +338,7 @@
     let more = !lately(memory.rebalanced.as_ref(), node.timing.round);
     let mut txn = Transaction::default().expect_version(LEADER, version);
     let mut needed = Vec::new();
-    for (i, to) in shards::lend(&members, &lent, more) {
+    for ShardMove { shard: i, to } in plan_shard_moves(&members, &lent, more) {
         if txn.writes.len() >= node.settings.site.store.txn_ops {
             break;
         }
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -9,7 +9,7 @@
 pub mod resources;
 pub mod retry;
 pub mod round;
-pub mod shards;
+pub mod shard_assignment;
 pub mod timeline;
 pub mod timeline_index;
 
