--- a/crates/rushwalk/src/capacity/round.rs
+++ b/crates/rushwalk/src/capacity/round.rs
@@ -75,7 +75,7 @@
         let mut ops = assign(&view, &round, &decisions, now, |block| {
             election::takes_more(node, &view, block)
         });
-        memory.pending_reasons = decisions.pending_reasons.into_iter().collect();
+        memory.pending_reasons = decisions.pending_reasons;
         ops.extend(overdue(&view, &mut memory, &mut round, &types, now));
         ops
     };
@@ -141,7 +141,7 @@
         if again {
             // Not without them: planned once more, with all.
             round.restore(before);
-            (0..round.machines.len()).for_each(|i| round.machines.set_closed(i, false));
+            (0..round.machines.len()).for_each(|i| round.machines.set_cordoned(i, false));
             closed.clear();
             lock(&node.leader_state).expected_late = expect(node, &mut round, &expected).await;
         }
@@ -222,7 +222,7 @@
         group.2 += usize::from(slot.tasks == 0);
         group.3 += 1.0
             - slot
-                .free_at(round.planned_time)
+                .free_at(round.planned_time_s)
                 .least_share_of(&slot.capacity);
     }
     for ((kind, spot), (all, up, idle, used)) in groups {
@@ -245,7 +245,7 @@
         let mut done = 0;
         while done < rest.len() && goes_on(node, done, started) {
             let (at, job) = &rest[done];
-            round.planned_time = round.current_time + at;
+            round.planned_time_s = round.current_time_s + at;
             let decisions = round.schedule(std::slice::from_ref(job));
             late += job.tasks.len() - decisions.placements.len();
             done += 1;
@@ -255,6 +255,6 @@
         rest = &rest[done..];
         node.runtime_lag.give_way(started.elapsed()).await;
     }
-    round.planned_time = round.current_time;
+    round.planned_time_s = round.current_time_s;
     late
 }
--- a/crates/rushwalk/src/capacity/round/machines.rs
+++ b/crates/rushwalk/src/capacity/round/machines.rs
@@ -26,8 +26,8 @@
     let seconds = now as f64 / 1000.0;
     let zones = timelines::zones(types, &node.settings.site);
     let mut round = SchedulingRound {
-        planned_time: seconds,
-        current_time: seconds,
+        planned_time_s: seconds,
+        current_time_s: seconds,
         machines: TimelineIndex::new(seconds, view.machines.len() + 64),
         rentable: offers(view, memory, types, &zones, seconds, node.uptime_s()),
         zones,
--- a/crates/rushwalk/src/capacity/round/placing.rs
+++ b/crates/rushwalk/src/capacity/round/placing.rs
@@ -50,7 +50,7 @@
             .machines
             .partition_point(|s| !s.name.is_empty() && s.name < *hint);
         if let Some(slot) = round.machines.get(at).filter(|s| s.name == *hint)
-            && let Some(finish) = slot.predict(waiting, round.planned_time)
+            && let Some(finish) = slot.predict(waiting, round.planned_time_s)
         {
             round.machines.place(at, waiting, &finish);
         }
@@ -293,10 +293,10 @@
             }
             let mut probe = timelines::waiting(view, spec, types);
             probe.avoided_machines.push(machine.clone());
-            let Some((i, finish)) = round.best_machine(&probe, true) else {
+            let Some(choice) = round.best_machine(&probe, true) else {
                 continue;
             };
-            round.machines.place(i, &probe, &finish);
+            round.machines.place(choice.machine, &probe, &choice.finish);
             memory.restarted_stragglers.insert(name);
             tracing::info!(
                 job = &**uid,
--- a/crates/rushwalk/src/capacity/round/sizing.rs
+++ b/crates/rushwalk/src/capacity/round/sizing.rs
@@ -10,7 +10,7 @@
     JobPhase, MachineLifecycle, MachineTypes, Mutation, RentalRequest,
 };
 use rushwalk_scheduler::capacity::{InstanceKind, RentalCall, Shortfall, plan_rental_calls};
-use rushwalk_scheduler::round::{PendingJob, SchedulingRound};
+use rushwalk_scheduler::round::{MachineChoice, PendingJob, SchedulingRound};
 use rushwalk_scheduler::timeline::MachineTimeline;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -157,7 +157,7 @@
         let fixed = slot.up && slot.tasks > 0 && slot.tasks == row.tasks.len();
         let used = 1.0
             - slot
-                .free_at(round.planned_time)
+                .free_at(round.planned_time_s)
                 .least_share_of(&slot.capacity);
         if fixed && used < WELL_USED {
             candidates.push((used / slot.price, i));
@@ -181,10 +181,14 @@
         }
         let mut before: Vec<(usize, MachineTimeline)> = Vec::new();
         let fits = services.iter().all(|job| {
-            let Some((to, finish)) = round.best_machine(job, true) else {
+            let Some(MachineChoice {
+                machine: to,
+                finish,
+            }) = round.best_machine(job, true)
+            else {
                 return false;
             };
-            let warm = finish.running_s <= round.planned_time + job.overhead_s + 0.1;
+            let warm = finish.running_s <= round.planned_time_s + job.overhead_s + 0.1;
             let slot = &round.machines[to];
             let used = slot.tasks > 0;
             before.push((to, slot.clone()));
@@ -192,7 +196,7 @@
             used && warm
         });
         if fits {
-            round.machines.set_closed(i, true);
+            round.machines.set_cordoned(i, true);
             if !services.is_empty() {
                 memory.service_moved = Some(Instant::now());
             }
--- a/crates/rushwalk/src/capacity/timelines.rs
+++ b/crates/rushwalk/src/capacity/timelines.rs
@@ -7,7 +7,7 @@
 use rushwalk_scheduler::Resources;
 use rushwalk_scheduler::quota::TasksPerZone;
 use rushwalk_scheduler::round::{PendingJob, TaskEstimate};
-use rushwalk_scheduler::timeline::MachineTimeline;
+use rushwalk_scheduler::timeline::{MachineImage, MachineTimeline};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
@@ -60,7 +60,11 @@
     let mut slot = MachineTimeline::new(name.clone(), group, kind, zone, machine.spot, ready);
     slot.shard = machine.shard.clone();
     slot.up = machine.ready_ms.is_some();
-    slot.images = row.image_ids.iter().map(|i| (*i, 0.0)).collect();
+    slot.images = row
+        .image_ids
+        .iter()
+        .map(|i| MachineImage::present(*i))
+        .collect();
     for (uid, index) in &row.tasks {
         let Some((job, task)) = view.task(uid, *index) else {
             continue;
@@ -76,7 +80,7 @@
         }
     }
     slot.slowdown = row.slowdown();
-    slot.pending_error = row.prediction_error_s.clamp(-kind.boot_s, kind.boot_s);
+    slot.pending_error_s = row.prediction_error_s.clamp(-kind.boot_s, kind.boot_s);
     Some(slot)
 }
 
--- a/crates/rushwalk/src/http/admin.rs
+++ b/crates/rushwalk/src/http/admin.rs
@@ -72,7 +72,7 @@
     let mut reasons: BTreeMap<&str, Vec<String>> = BTreeMap::new();
     if leads {
         for (job, why) in &lock(&node.leader_state).pending_reasons {
-            reasons.entry(why).or_default().push(job.clone());
+            reasons.entry(why.as_str()).or_default().push(job.clone());
         }
     }
     let waiting: Vec<_> = reasons
--- a/crates/rushwalk/src/leadership/leader.rs
+++ b/crates/rushwalk/src/leadership/leader.rs
@@ -16,6 +16,7 @@
 use rushwalk_protocol::store::Transaction;
 use rushwalk_scheduler::boot_times::{BootGroup, BootLateness, BootSample, BootTimeEstimator};
 use rushwalk_scheduler::capacity::{CapacityEstimator, InstanceKind, Shortfall};
+use rushwalk_scheduler::round::PendingReason;
 use rushwalk_scheduler::shard_assignment::{
     OwnerCandidate, ShardMove, ShardStatus, plan_shard_moves,
 };
@@ -37,7 +38,7 @@
     /// Machines found lacking that no call was made for as yet.
     pub shortfall: BTreeMap<InstanceKind, Shortfall>,
     pub idle_since: HashMap<Name, Instant>,
-    pub pending_reasons: BTreeMap<String, &'static str>,
+    pub pending_reasons: BTreeMap<String, PendingReason>,
     /// When a machine was last emptied for want of use.
     pub service_moved: Option<Instant>,
     /// How many machines to try to do without, and when that last failed.
--- a/crates/rushwalk/src/shards/ownership.rs
+++ b/crates/rushwalk/src/shards/ownership.rs
@@ -18,7 +18,7 @@
 use rushwalk_protocol::store::Transaction;
 use rushwalk_protocol::worker::{Command, CommandBatch, ExitCause, TaskPhase};
 use rushwalk_scheduler::quota::QuotaUsage;
-use rushwalk_scheduler::round::SchedulingRound;
+use rushwalk_scheduler::round::{SchedulingRound, TaskAssignment};
 use rushwalk_scheduler::timeline_index::TimelineIndex;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -364,8 +364,8 @@
     for (block, mut tasks) in wanted {
         tasks.sort();
         let mut round = SchedulingRound {
-            planned_time: seconds,
-            current_time: seconds,
+            planned_time_s: seconds,
+            current_time_s: seconds,
             zones: zones.clone(),
             machines: TimelineIndex::new(seconds, view.shards.get(block).map_or(0, BTreeSet::len)),
             rentable: Vec::new(),
@@ -401,7 +401,11 @@
                 .iter()
                 .map(|t| job.tasks.get(&t.3)?.record.placement_hint.clone())
                 .collect();
-            for (index, i) in round.start_now(&waiting, &hints) {
+            for TaskAssignment {
+                task: index,
+                machine: i,
+            } in round.start_now(&waiting, &hints)
+            {
                 let Some(t) = job.tasks.get(&index) else {
                     continue;
                 };
--- a/crates/scheduler/src/round/tests.rs
+++ b/crates/scheduler/src/round/tests.rs
@@ -1,8 +1,13 @@
+use super::candidates::MachineCandidate;
 use super::*;
+use crate::Resources;
+use crate::quota::TasksPerZone;
+use crate::timeline::MachineTimeline;
 use rushwalk_protocol::cloud::MachineType;
+use rushwalk_protocol::jobs::JobSpec;
 
 fn types() -> Vec<MachineType> {
-    let kind = |name: &str, cpus: f64, price: f64| MachineType {
+    let machine_type = |name: &str, cpus: f64, price: f64| MachineType {
         name: name.into(),
         cpus,
         gpus: cpus / 8.0,
@@ -14,7 +19,10 @@
         boot_s: 30.0,
         zones: vec!["east".into(), "west".into()],
     };
-    vec![kind("small", 16.0, 5.0), kind("large", 64.0, 22.0)]
+    vec![
+        machine_type("small", 16.0, 5.0),
+        machine_type("large", 64.0, 22.0),
+    ]
 }
 
 fn unlimited() -> Team {
@@ -64,13 +72,13 @@
         (*seed >> 33) % n
     };
     let types = types();
-    let mut slots = TimelineIndex::new(100.0, 40);
+    let mut machines = TimelineIndex::new(100.0, 40);
     for i in 0..40 {
         let group = random(2) as usize;
         let zone = random(2) as usize;
         let ready = if random(4) == 0 { 110.0 } else { 100.0 };
         let name = format!("m-{i}");
-        let mut slot = MachineTimeline::new(
+        let mut machine = MachineTimeline::new(
             name.as_str().into(),
             group,
             &types[group],
@@ -78,26 +86,26 @@
             random(2) == 0,
             ready,
         );
-        slot.up = ready == 100.0;
+        machine.up = ready == 100.0;
         for _ in 0..random(3) {
             let amount = Resources {
                 cpus: 1.0,
                 gpus: 1.0,
                 memory_gb: 1.0,
             };
-            slot.reserve(amount, ready, ready + 5.0 + random(60) as f64);
+            machine.reserve(amount, ready, ready + 5.0 + random(60) as f64);
         }
         if random(2) == 0 {
-            slot.record_fetch(1, 100.0 + random(20) as f64);
+            machine.record_fetch(1, 100.0 + random(20) as f64);
         }
-        slots.push(slot);
+        machines.push(machine);
     }
     SchedulingRound {
-        planned_time: 100.0,
-        current_time: 100.0,
-        first_rental: slots.len(),
+        planned_time_s: 100.0,
+        current_time_s: 100.0,
+        first_rental: machines.len(),
         zones: vec!["east".into(), "west".into()],
-        machines: slots,
+        machines,
         rentable: Vec::new(),
         teams,
         usage: QuotaUsage::default(),
@@ -106,52 +114,55 @@
     }
 }
 
-/// On a full fleet few machines can be the best for a task: only those are
-/// worked out. Once each job cost as much as there were machines.
+/// On a full fleet few machines can be the best for a task: only those are evaluated. Each
+/// job used to cost as much as there were machines.
 #[test]
-fn few_machines_are_worked_out_on_a_full_fleet() {
+fn few_machines_are_evaluated_on_a_full_fleet() {
     let teams = [unlimited()];
     let mut full = round(&teams, &mut 7);
-    let kinds = types();
-    let mut slots = TimelineIndex::new(100.0, 2000);
+    let types = types();
+    let mut machines = TimelineIndex::new(100.0, 2000);
     for i in 0..2000 {
         let name = format!("m-{i:04}");
-        let mut slot =
-            MachineTimeline::new(name.as_str().into(), i % 2, &kinds[i % 2], 0, false, 100.0);
-        slot.up = true;
-        let whole = slot.capacity;
-        slot.reserve(whole, 100.0, 110.0 + i as f64);
-        slots.push(slot);
+        let mut machine =
+            MachineTimeline::new(name.as_str().into(), i % 2, &types[i % 2], 0, false, 100.0);
+        machine.up = true;
+        let capacity = machine.capacity;
+        machine.reserve(capacity, 100.0, 110.0 + i as f64);
+        machines.push(machine);
     }
-    full.first_rental = slots.len();
-    full.machines = slots;
+    full.first_rental = machines.len();
+    full.machines = machines;
     let one = PendingJob {
         tasks: vec![0],
         ..job(1, 1.0, 60.0, false)
     };
     let decisions = full.schedule(std::slice::from_ref(&one));
     assert_eq!(decisions.pending_reasons.len(), 1, "its machine is busy");
-    let looked = full.take_evaluations();
-    assert!((1..100).contains(&looked), "{looked} of 2000 machines");
+    let evaluated = full.take_evaluations();
+    assert!(
+        (1..100).contains(&evaluated),
+        "{evaluated} of 2000 machines"
+    );
 }
 
-/// A job that fails wherever it runs keeps nothing from others.
+/// A job that fails wherever it runs keeps no machine from others.
 #[test]
-fn what_is_only_tried_keeps_no_place_and_rents_nothing() {
+fn single_probe_reserves_and_rents_nothing() {
     let teams = [unlimited()];
-    let kinds = types();
+    let types = types();
     for (shape, probe) in [("gang", true), ("gang", false), ("sweep", true)] {
         let mut round = round(&teams, &mut 3);
         round.machines = TimelineIndex::new(100.0, 1);
-        let mut slot = MachineTimeline::new("m".into(), 0, &kinds[0], 0, false, 100.0);
-        slot.up = true;
-        let whole = slot.capacity;
-        slot.reserve(whole, 100.0, 120.0);
-        round.machines.push(slot);
+        let mut machine = MachineTimeline::new("m".into(), 0, &types[0], 0, false, 100.0);
+        machine.up = true;
+        let capacity = machine.capacity;
+        machine.reserve(capacity, 100.0, 120.0);
+        round.machines.push(machine);
         round.first_rental = 1;
-        let offer = MachineTimeline::new("".into(), 0, &kinds[0], 0, false, 130.0);
+        let rental = MachineTimeline::new("".into(), 0, &types[0], 0, false, 130.0);
         round.rentable = vec![RentableCapacity {
-            machine: offer,
+            machine: rental,
             owned_in_zone: 0,
             available: 9,
             used: 0,
@@ -166,30 +177,29 @@
         (one.spec, one.single_probe, one.tasks) = (Arc::new(spec), probe, vec![0, 1]);
         let decisions = round.schedule(std::slice::from_ref(&one));
         assert!(decisions.placements.is_empty() && decisions.pending_reasons.len() == 1);
-        let kept = round.machines.iter().map(|s| s.tasks).sum::<usize>();
-        assert_eq!(kept, if probe { 1 } else { 3 }, "{shape}");
+        let tasks = round.machines.iter().map(|s| s.tasks).sum::<usize>();
+        assert_eq!(tasks, if probe { 1 } else { 3 }, "{shape}");
         assert_eq!(round.machines.len(), 1);
     }
 }
 
-/// A gang of three beside two machines that hold one task each: its third place was
-/// taken to be behind another of its tasks if that was sooner than a boot, and it
-/// waited for good.
+/// A gang of three beside two machines that fit one task each: its third task was planned
+/// after another one of it if that was sooner than a boot, and it waited for ever.
 #[test]
 fn tasks_of_a_gang_are_planned_side_by_side() {
     let teams = [unlimited()];
-    let kinds = types();
-    for (boots_s, run_s) in [(30.0, 60.0), (300.0, 20.0)] {
+    let types = types();
+    for (boot_s, run_s) in [(30.0, 60.0), (300.0, 20.0)] {
         let mut round = round(&teams, &mut 3);
         round.machines = TimelineIndex::new(100.0, 4);
         for name in ["m-1", "m-2"] {
-            let mut slot = MachineTimeline::new(name.into(), 0, &kinds[0], 0, false, 100.0);
-            slot.up = true;
-            round.machines.push(slot);
+            let mut machine = MachineTimeline::new(name.into(), 0, &types[0], 0, false, 100.0);
+            machine.up = true;
+            round.machines.push(machine);
         }
         round.first_rental = 2;
         round.rentable = vec![RentableCapacity {
-            machine: MachineTimeline::new("".into(), 0, &kinds[0], 0, false, 100.0 + boots_s),
+            machine: MachineTimeline::new("".into(), 0, &types[0], 0, false, 100.0 + boot_s),
             owned_in_zone: 2,
             available: 9,
             used: 0,
@@ -200,11 +210,11 @@
         (gang.spec, gang.tasks) = (Arc::new(spec), vec![0, 1, 2]);
         let decisions = round.schedule(std::slice::from_ref(&gang));
         assert!(decisions.placements.is_empty() && decisions.pending_reasons.len() == 1);
-        assert_eq!(round.machines.len(), 3, "boots in {boots_s} s");
+        assert_eq!(round.machines.len(), 3, "boots in {boot_s} s");
         let each = round.machines.iter().map(|s| s.tasks);
         assert_eq!(each.collect::<Vec<_>>(), [1, 1, 1]);
-        // The places are kept until it has run, and no longer.
-        let after = 100.0 + boots_s + run_s + 60.0;
+        // The machines are reserved until it has run, and no longer.
+        let after = 100.0 + boot_s + run_s + 60.0;
         let whole = round
             .machines
             .iter()
@@ -213,10 +223,10 @@
     }
 }
 
-/// Keeping the machines in order must find what looking at every machine
-/// for every task finds.
+/// Keeping the machines in order must find what evaluating every machine for every task
+/// finds.
 #[test]
-fn ordered_candidates_find_the_same_places_as_a_plain_search() {
+fn ordered_candidates_find_the_same_machines_as_a_plain_search() {
     let teams = [unlimited()];
     for trace in 0..50u64 {
         let mut seed = trace;
@@ -225,25 +235,38 @@
         let mut plain = round(&teams, &mut seed);
         for n in 0..6 {
             let job = job(n, 1.0 + f64::from(n % 2), 20.0 + 9.0 * f64::from(n), n == 4);
-            let fast = ordered.plan(&job, 20, None, false, false).chosen;
-            let mut slow = Vec::new();
-            let mut one = job.clone();
-            for _ in 0..20 {
-                let all = 0..plain.machines.len();
-                let open = |i: &usize| one.open(&plain.zones[plain.machines[*i].zone]);
-                let all = all.filter(open).filter(|i| one.allows(&plain.machines[*i]));
-                let all = all.filter_map(|i| plain.candidate(i, &one, false));
-                let Some(MachineCandidate {
-                    slot: i, finish, ..
-                }) = all.min()
-                else {
-                    break;
-                };
-                plain.machines.place(i, &one, &finish);
-                one.tasks_per_zone.add(&plain.zones[plain.machines[i].zone]);
-                slow.push((i, finish));
-            }
+            let scope = PlanScope {
+                zone: None,
+                free_now: false,
+            };
+            let fast = ordered.plan(&job, 20, scope);
+            let slow = plan_by_plain_search(&mut plain, &job, 20);
             assert_eq!(fast, slow, "trace {trace}, job {n}");
         }
     }
 }
+
+/// Evaluates all machines for each of `count` tasks.
+fn plan_by_plain_search(
+    round: &mut SchedulingRound,
+    job: &PendingJob,
+    count: usize,
+) -> Vec<MachineChoice> {
+    let mut job = job.clone();
+    let mut choices = Vec::new();
+    for _ in 0..count {
+        let best = (0..round.machines.len())
+            .filter(|i| job.allows_zone(&round.zones[round.machines[*i].zone]))
+            .filter(|i| job.allows_machine(&round.machines[*i]))
+            .filter_map(|i| round.candidate(i, &job, false))
+            .min();
+        let Some(MachineCandidate { choice, .. }) = best else {
+            break;
+        };
+        round.machines.place(choice.machine, &job, &choice.finish);
+        let zone = round.machines[choice.machine].zone;
+        job.tasks_per_zone.add(&round.zones[zone]);
+        choices.push(choice);
+    }
+    choices
+}
--- a/crates/scheduler/src/timeline_index.rs
+++ b/crates/scheduler/src/timeline_index.rs
@@ -1,221 +1,276 @@
-//! All machines of a plan, with what is needed to see at a glance which of them
-//! can't be the best for a task.
+//! All machines of a plan, with a summary of each that shows cheaply which of them can't be
+//! the best for a task.
+
+mod image_sets;
 
 use crate::Resources;
-use crate::round::PendingJob;
-use crate::timeline::{ImageId, MachineTimeline, PredictedFinish};
+use crate::pending_job::{PendingJob, TaskEstimate};
+use crate::timeline::{MachineTimeline, PredictedFinish, start_with_uncertainty};
+use image_sets::{ImageSets, MachineSet};
 use std::ops::Deref;
 
-/// What a bound on a machine's finish is found from, in one place: most machines
-/// are only glanced at. Made anew whenever the machine's plan changes.
+/// What a bound on a machine's finish is worked out from, contiguous in memory: most
+/// machines are looked at no further. Made anew whenever the machine's plan changes.
 #[derive(Debug, Clone)]
 struct TimelineSummary {
-    slot: u32,
-    closed: bool,
+    machine: u32,
+    cordoned: bool,
     empty: bool,
-    /// What is free from a time on until the next change.
-    from: f64,
-    next: f64,
+    /// What is free at the index's time: since when, until when, how much.
+    free_from_s: f64,
+    free_until_s: f64,
     free: Resources,
-    slow: f64,
-    pending_error: f64,
+    slowdown: f64,
+    pending_error_s: f64,
+}
+
+impl TimelineSummary {
+    fn new(index: usize, machine: &MachineTimeline, now_s: f64) -> TimelineSummary {
+        let interval = machine.free_interval(now_s);
+        TimelineSummary {
+            machine: index as u32,
+            cordoned: machine.cordoned,
+            empty: machine.tasks == 0,
+            free_from_s: interval.from_s,
+            free_until_s: interval.until_s,
+            free: interval.free,
+            slowdown: machine.slowdown,
+            pending_error_s: machine.pending_error_s,
+        }
+    }
 }
 
-/// Machines that a job either may use or not, all of them.
+/// Machines that a job may either use all or not at all.
 #[derive(Debug, Clone)]
 struct MachineClass {
     group: usize,
     zone: usize,
     spot: bool,
     up: bool,
-    glances: Vec<TimelineSummary>,
+    summaries: Vec<TimelineSummary>,
+}
+
+impl MachineClass {
+    fn of(machine: &MachineTimeline) -> MachineClass {
+        MachineClass {
+            group: machine.group,
+            zone: machine.zone,
+            spot: machine.spot,
+            up: machine.up,
+            summaries: Vec::new(),
+        }
+    }
+
+    fn contains(&self, machine: &MachineTimeline) -> bool {
+        self.group == machine.group
+            && self.zone == machine.zone
+            && self.spot == machine.spot
+            && self.up == machine.up
+    }
+}
+
+/// Where a machine's summary is.
+#[derive(Debug, Clone, Copy)]
+struct SummaryPosition {
+    class: u32,
+    index: u32,
 }
 
 /// The machines of a round, in their order.
 #[derive(Debug, Clone, Default)]
 pub struct TimelineIndex {
-    slots: Vec<MachineTimeline>,
+    machines: Vec<MachineTimeline>,
     classes: Vec<MachineClass>,
-    /// Where each machine's glance is: its class, and its place there.
-    at: Vec<(u32, u32)>,
-    /// Machines with an image, a bit each. A bit that is set without need only
-    /// lowers a bound, so none is ever cleared.
-    with: Vec<Vec<u64>>,
-    clock: f64,
+    /// One for each machine.
+    positions: Vec<SummaryPosition>,
+    image_sets: ImageSets,
+    /// The time of the summaries, in seconds since the Unix epoch.
+    now_s: f64,
 }
 
 impl Deref for TimelineIndex {
     type Target = [MachineTimeline];
 
     fn deref(&self) -> &[MachineTimeline] {
-        &self.slots
+        &self.machines
     }
 }
 
-/// What a machine could offer at best.
+/// The earliest that a machine could finish a task.
 pub struct FinishBound {
-    pub slot: usize,
+    /// Index of the machine.
+    pub machine: usize,
+    /// Whether it is a spot instance.
     pub spot: bool,
+    /// Whether it has no task.
     pub empty: bool,
+    /// No time of the true prediction is earlier.
     pub finish: PredictedFinish,
 }
 
+/// The tasks for which bounds are worked out.
+struct BoundQuery<'a> {
+    job: &'a PendingJob,
+    machines_with_image: MachineSet<'a>,
+    now_s: f64,
+    free_now: bool,
+}
+
 impl TimelineIndex {
-    /// Room for machines as they are at a time.
-    pub fn new(clock: f64, room: usize) -> TimelineIndex {
+    /// An empty index with room for `capacity` machines, as of `now_s` (seconds since the
+    /// Unix epoch).
+    pub fn new(now_s: f64, capacity: usize) -> TimelineIndex {
         TimelineIndex {
-            slots: Vec::with_capacity(room),
+            machines: Vec::with_capacity(capacity),
             classes: Vec::new(),
-            at: Vec::with_capacity(room),
-            with: Vec::new(),
-            clock,
+            positions: Vec::with_capacity(capacity),
+            image_sets: ImageSets::default(),
+            now_s,
         }
     }
 
-    pub fn push(&mut self, slot: MachineTimeline) {
-        let i = self.slots.len();
-        for (image, _) in &slot.images {
-            self.has(i, *image);
+    /// Adds a machine as the last.
+    pub fn push(&mut self, machine: MachineTimeline) {
+        let index = self.machines.len();
+        for entry in &machine.images {
+            self.image_sets.insert(entry.image, index);
         }
-        let same = |c: &MachineClass| {
-            (c.group, c.zone, c.spot, c.up) == (slot.group, slot.zone, slot.spot, slot.up)
-        };
-        let class = self.classes.iter().position(same);
-        let class = class.unwrap_or_else(|| {
-            self.classes.push(MachineClass {
-                group: slot.group,
-                zone: slot.zone,
-                spot: slot.spot,
-                up: slot.up,
-                glances: Vec::new(),
-            });
-            self.classes.len() - 1
+        let class = self.class_of(&machine);
+        let summaries = &mut self.classes[class].summaries;
+        self.positions.push(SummaryPosition {
+            class: class as u32,
+            index: summaries.len() as u32,
         });
-        let glances = &mut self.classes[class].glances;
-        self.at.push((class as u32, glances.len() as u32));
-        glances.push(glance(i, &slot, self.clock));
-        self.slots.push(slot);
+        summaries.push(TimelineSummary::new(index, &machine, self.now_s));
+        self.machines.push(machine);
     }
 
-    fn look(&mut self, i: usize) {
-        let (class, at) = self.at[i];
-        let glances = &mut self.classes[class as usize].glances;
-        glances[at as usize] = glance(i, &self.slots[i], self.clock);
+    /// Index of a machine's class, which is added if there is none.
+    fn class_of(&mut self, machine: &MachineTimeline) -> usize {
+        let class = self.classes.iter().position(|c| c.contains(machine));
+        class.unwrap_or_else(|| {
+            self.classes.push(MachineClass::of(machine));
+            self.classes.len() - 1
+        })
     }
 
-    pub fn place(&mut self, i: usize, job: &PendingJob, finish: &PredictedFinish) {
-        self.slots[i].place(job, finish);
-        self.has(i, job.image);
-        self.look(i);
+    fn update_summary(&mut self, index: usize) {
+        let position = self.positions[index];
+        let summaries = &mut self.classes[position.class as usize].summaries;
+        summaries[position.index as usize] =
+            TimelineSummary::new(index, &self.machines[index], self.now_s);
+    }
+
+    /// Plans a task on a machine.
+    pub fn place(&mut self, index: usize, job: &PendingJob, finish: &PredictedFinish) {
+        self.machines[index].place(job, finish);
+        self.image_sets.insert(job.image, index);
+        self.update_summary(index);
     }
 
     /// Puts a machine back as it was.
-    pub fn restore(&mut self, i: usize, slot: MachineTimeline) {
-        self.slots[i] = slot;
-        self.look(i);
+    pub fn restore(&mut self, index: usize, machine: MachineTimeline) {
+        self.machines[index] = machine;
+        self.update_summary(index);
     }
 
-    /// Takes out the machines that came last.
+    /// Removes all but the first `len` machines.
     pub fn truncate(&mut self, len: usize) {
-        for (class, _) in self.at.drain(len..) {
-            self.classes[class as usize].glances.pop();
+        for position in self.positions.drain(len..) {
+            self.classes[position.class as usize].summaries.pop();
         }
-        self.slots.truncate(len);
+        self.machines.truncate(len);
     }
 
-    /// It takes nothing more in this plan, or does so again.
-    pub fn set_closed(&mut self, i: usize, closed: bool) {
-        self.slots[i].closed = closed;
-        self.look(i);
+    /// Sets whether a machine takes no more tasks in this plan.
+    pub fn set_cordoned(&mut self, index: usize, cordoned: bool) {
+        self.machines[index].cordoned = cordoned;
+        self.update_summary(index);
     }
 
-    fn has(&mut self, i: usize, image: ImageId) {
-        let image = image as usize;
-        if self.with.len() <= image {
-            self.with.resize(image + 1, Vec::new());
-        }
-        let bits = &mut self.with[image];
-        if bits.len() <= i / 64 {
-            bits.resize(i / 64 + 1, 0);
-        }
-        bits[i / 64] |= 1 << (i % 64);
-    }
-
-    /// Bounds for all machines that a job may use in the zones `open` to it: no
-    /// machine's true finish falls below its own. With `free_now` only those that
-    /// may start at once.
-    pub fn bounds(
+    /// Calls `each` with a bound for every machine that a job may use in the zones that are
+    /// open to it (`open_zones`, by index): no machine's true finish is earlier than its
+    /// bound. With `free_now` only for those that may start a task at once.
+    pub fn for_each_bound(
         &self,
         job: &PendingJob,
-        open: &[bool],
-        now: f64,
+        open_zones: &[bool],
+        now_s: f64,
         free_now: bool,
         mut each: impl FnMut(FinishBound),
     ) {
-        let with = self.with.get(job.image as usize);
-        let with = with.map_or(&[][..], |bits| bits);
+        let query = BoundQuery {
+            job,
+            machines_with_image: self.image_sets.machines_with(job.image),
+            now_s,
+            free_now,
+        };
         for class in &self.classes {
-            let times = job.estimates.get(class.group).filter(|t| t.allowed);
-            let Some(times) = times else {
-                continue;
-            };
-            let barred = (class.spot && !job.spec.spot)
+            let estimate = job.estimates.get(class.group).filter(|e| e.allowed);
+            let Some(estimate) = estimate else { continue };
+            let is_excluded = (class.spot && !job.spec.spot)
                 || (free_now && !class.up)
-                || open.get(class.zone) != Some(&true);
-            if barred {
+                || open_zones.get(class.zone) != Some(&true);
+            if is_excluded {
                 continue;
             }
-            for glance in class.glances.iter().filter(|g| !g.closed) {
-                let i = glance.slot as usize;
-                let start = if now >= glance.next {
-                    // A plan for later: the glance says nothing of then.
-                    let start = self.slots[i].not_before(&job.resources, now);
-                    start.unwrap_or(f64::INFINITY)
-                } else if job.resources.fits_in(&glance.free) {
-                    glance.from.max(now)
-                } else {
-                    glance.next
-                };
-                if start == f64::INFINITY || (free_now && start > now) {
-                    continue;
-                }
-                if !job.avoided_machines.is_empty()
-                    && job.avoided_machines.contains(&self.slots[i].name)
-                {
-                    continue;
+            for summary in class.summaries.iter().filter(|s| !s.cordoned) {
+                if let Some(bound) = self.bound(&query, class, estimate, summary) {
+                    each(bound);
                 }
-                let start = match class.up {
-                    true => crate::timeline::doubted(start, now, glance.pending_error, times, job),
-                    false => start,
-                };
-                let there = with.get(i / 64).is_some_and(|b| b & (1 << (i % 64)) != 0);
-                let fetch = if there { 0.0 } else { times.fetch_s };
-                let runs = start + job.overhead_s + fetch;
-                each(FinishBound {
-                    slot: i,
-                    spot: class.spot,
-                    empty: glance.empty,
-                    finish: PredictedFinish {
-                        start_s: start,
-                        running_s: runs,
-                        finish_s: runs + times.run_s * glance.slow,
-                    },
-                });
             }
         }
     }
-}
 
-fn glance(i: usize, slot: &MachineTimeline, clock: f64) -> TimelineSummary {
-    let (from, free, next) = slot.step(clock);
-    TimelineSummary {
-        slot: i as u32,
-        closed: slot.closed,
-        empty: slot.tasks == 0,
-        from,
-        next,
-        free,
-        slow: slot.slowdown,
-        pending_error: slot.pending_error,
+    /// The bound of one machine; `None` if it can't take a task.
+    fn bound(
+        &self,
+        query: &BoundQuery,
+        class: &MachineClass,
+        estimate: &TaskEstimate,
+        summary: &TimelineSummary,
+    ) -> Option<FinishBound> {
+        let job = query.job;
+        let index = summary.machine as usize;
+        let mut start_s = self.earliest_start(query, summary);
+        if start_s == f64::INFINITY || (query.free_now && start_s > query.now_s) {
+            return None;
+        }
+        let avoided = &job.avoided_machines;
+        if !avoided.is_empty() && avoided.contains(&self.machines[index].name) {
+            return None;
+        }
+        if class.up {
+            let error_s = summary.pending_error_s;
+            start_s = start_with_uncertainty(start_s, query.now_s, error_s, estimate, job);
+        }
+        let has_image = query.machines_with_image.contains(index);
+        let fetch_s = if has_image { 0.0 } else { estimate.fetch_s };
+        let running_s = start_s + job.overhead_s + fetch_s;
+        Some(FinishBound {
+            machine: index,
+            spot: class.spot,
+            empty: summary.empty,
+            finish: PredictedFinish {
+                start_s,
+                running_s,
+                finish_s: running_s + estimate.run_s * summary.slowdown,
+            },
+        })
+    }
+
+    /// A time before which a machine isn't free for a task; infinite if it never is.
+    fn earliest_start(&self, query: &BoundQuery, summary: &TimelineSummary) -> f64 {
+        let amount = &query.job.resources;
+        if query.now_s >= summary.free_until_s {
+            // The plan is for a time that the summary doesn't cover.
+            let machine = &self.machines[summary.machine as usize];
+            let start_s = machine.not_before(amount, query.now_s);
+            start_s.unwrap_or(f64::INFINITY)
+        } else if amount.fits_in(&summary.free) {
+            summary.free_from_s.max(query.now_s)
+        } else {
+            summary.free_until_s
+        }
     }
 }
