--- a/crates/scheduler/src/boot_times.rs
+++ b/crates/scheduler/src/boot_times.rs
@@ -2,8 +2,8 @@
 //!
 //! Most take 0.6 to 1.5 times the nominal time, some several times as long, a few never
 //! come up; and at times all of them are late, or all are up within a second. The estimate
-//! is a survival curve of the machines that were observed ([`survival`]), with what is
-//! usual where too few were.
+//! is a survival curve of the machines that were observed (Kaplan-Meier, in `survival`), with
+//! what is usual where too few were.
 
 mod survival;
 #[cfg(test)]
