--- a/crates/rushwalk/src/capacity/boot_supervision.rs
+++ b/crates/rushwalk/src/capacity/boot_supervision.rs
@@ -56,7 +56,7 @@
     let zone = zones.iter().position(|zone| *zone == machine.zone)?;
     let mut all_types = types.types.iter();
     let group = all_types.position(|t| *t.name == *machine.machine_type)?;
-    Some(((group, zone), &types.types[group]))
+    Some((BootGroup::new(group, zone), &types.types[group]))
 }
 
 impl BootSupervisor {
--- a/crates/rushwalk/src/capacity/machines.rs
+++ b/crates/rushwalk/src/capacity/machines.rs
@@ -5,6 +5,7 @@
 use crate::context::Context;
 use crate::scheduler_inputs::{self, TimelineInputs, seconds};
 use rushwalk_protocol::cloud::{MAX_RENT, MachineType};
+use rushwalk_scheduler::boot_times::BootGroup;
 use rushwalk_scheduler::capacity::InstanceKind;
 use rushwalk_scheduler::round::{RentableCapacity, SchedulingRound};
 use rushwalk_scheduler::timeline::MachineTimeline;
@@ -109,7 +110,7 @@
     fn expected_boot_s(&self, group: usize, zone: usize, machine_type: &MachineType) -> f64 {
         self.boots
             .boot_times()
-            .expected_boot_s((group, zone), machine_type.boot_s)
+            .expected_boot_s(BootGroup::new(group, zone), machine_type.boot_s)
     }
 
     /// What may be rented now, and how much of it.
--- a/crates/rushwalk/src/capacity/scale_in.rs
+++ b/crates/rushwalk/src/capacity/scale_in.rs
@@ -135,7 +135,7 @@
                 continue;
             }
             if move_services(round, &services) {
-                round.machines.set_closed(index, true);
+                round.machines.set_cordoned(index, true);
                 if has_services {
                     self.service_moved = Some(Instant::now());
                 }
@@ -179,7 +179,7 @@
         // What is planned for it beside its tasks must not be lost.
         let has_only_its_tasks = machine.tasks == known.tasks.len();
         let is_candidate = machine.up && machine.tasks > 0 && has_only_its_tasks;
-        let free = machine.free_at(round.planned_time);
+        let free = machine.free_at(round.planned_time_s);
         let used = 1.0 - free.least_share_of(&machine.capacity);
         if is_candidate && used < WELL_USED {
             candidates.push(Candidate {
@@ -197,15 +197,15 @@
 fn move_services(round: &mut SchedulingRound, services: &[PendingJob]) -> bool {
     let mut before: Vec<(usize, MachineTimeline)> = Vec::new();
     for job in services {
-        let Some((to, finish)) = round.best_machine(job, true) else {
+        let Some(choice) = round.best_machine(job, true) else {
             restore(round, before);
             return false;
         };
-        let is_warm = finish.running_s <= round.planned_time + job.overhead_s + 0.1;
-        let machine = &round.machines[to];
+        let is_warm = choice.finish.running_s <= round.planned_time_s + job.overhead_s + 0.1;
+        let machine = &round.machines[choice.machine];
         let is_in_use = machine.tasks > 0;
-        before.push((to, machine.clone()));
-        round.machines.place(to, job, &finish);
+        before.push((choice.machine, machine.clone()));
+        round.machines.place(choice.machine, job, &choice.finish);
         if !(is_in_use && is_warm) {
             restore(round, before);
             return false;
--- a/crates/rushwalk/src/capacity/scale_out.rs
+++ b/crates/rushwalk/src/capacity/scale_out.rs
@@ -5,7 +5,7 @@
 use crate::leadership::LeaderVersion;
 use rushwalk_protocol::cloud::MAX_RENT;
 use rushwalk_protocol::ids::RentalId;
-use rushwalk_scheduler::capacity::{self, InstanceKind, Shortfall};
+use rushwalk_scheduler::capacity::{InstanceKind, Shortfall, plan_rental_calls};
 use rushwalk_scheduler::round::SchedulingRound;
 use rushwalk_state::mutation::RequestRental;
 use rushwalk_state::records::{MachineTypes, RentalRequest};
@@ -58,12 +58,13 @@
         let mut tracked = tracker.state();
         let free_calls = calls.saturating_sub(tracked.in_flight.len());
         let mut mutations = Vec::new();
-        for (kind, count) in capacity::calls(&mut self.shortfall, free_calls, MAX_RENT) {
+        for call in plan_rental_calls(&mut self.shortfall, free_calls, MAX_RENT) {
+            let kind = call.kind;
             let request = RentalRequest {
                 machine_type: kind.machine_type.to_string(),
                 zone: kind.zone.to_string(),
                 spot: kind.spot,
-                count,
+                count: call.count,
                 requested_ms: basis.began_ms,
             };
             tracing::info!(?request, "scale out: renting");
--- a/crates/rushwalk/src/http/admin.rs
+++ b/crates/rushwalk/src/http/admin.rs
@@ -73,7 +73,7 @@
     let mut reasons: BTreeMap<&str, Vec<String>> = BTreeMap::new();
     if leads {
         for (job, why) in &*node.pending_reasons.by_job() {
-            reasons.entry(why).or_default().push(job.clone());
+            reasons.entry(why.as_str()).or_default().push(job.clone());
         }
     }
     let waiting: Vec<_> = reasons
--- a/crates/rushwalk/src/http/user_requests.rs
+++ b/crates/rushwalk/src/http/user_requests.rs
@@ -16,7 +16,7 @@
 use rushwalk_clients::store::CommitOutcome;
 use rushwalk_protocol::jobs::{JobSpec, JobStatus, StatusPhase, is_job_id};
 use rushwalk_protocol::peers::ForwardedRequest;
-use rushwalk_scheduler::quota::can_ever_run;
+use rushwalk_scheduler::quota::check_satisfiable;
 use rushwalk_state::Mutation;
 use rushwalk_state::mutation::SubmitJob;
 use std::sync::Arc;
@@ -219,7 +219,7 @@
             status: StatusCode::UNPROCESSABLE_ENTITY,
             reason,
         };
-        can_ever_run(spec, &site.teams, &types.types, &site.zones)
+        check_satisfiable(spec, &site.teams, &types.types, &site.zones)
             .map_err(|reason| unsatisfiable(reason.to_string()))?;
         self.log
             .check_size(spec)
--- a/crates/rushwalk/src/scheduler_inputs.rs
+++ b/crates/rushwalk/src/scheduler_inputs.rs
@@ -7,7 +7,7 @@
 use rushwalk_scheduler::Resources;
 use rushwalk_scheduler::quota::{QuotaUsage, TasksPerZone};
 use rushwalk_scheduler::round::{PendingJob, SchedulingRound, TaskEstimate};
-use rushwalk_scheduler::timeline::MachineTimeline;
+use rushwalk_scheduler::timeline::{MachineImage, MachineTimeline};
 use rushwalk_scheduler::timeline_index::TimelineIndex;
 use rushwalk_state::records::{JobPhase, MachineTypes};
 use rushwalk_state::{ClusterState, JobState, MachineState, TaskState, UnixMillis};
@@ -41,8 +41,8 @@
     machines: usize,
 ) -> SchedulingRound<'a> {
     SchedulingRound {
-        planned_time: now_s,
-        current_time: now_s,
+        planned_time_s: now_s,
+        current_time_s: now_s,
         zones,
         machines: TimelineIndex::new(now_s, machines),
         rentable: Vec::new(),
@@ -110,7 +110,11 @@
             MachineTimeline::new(name, group, machine_type, zone, record.spot, ready_s);
         timeline.shard = record.shard.clone().into();
         timeline.up = record.ready_ms.is_some();
-        timeline.images = machine.image_ids.iter().map(|id| (*id, 0.0)).collect();
+        timeline.images = machine
+            .image_ids
+            .iter()
+            .map(|id| MachineImage::present(*id))
+            .collect();
         for task in &machine.tasks {
             if let Some((job, task)) = self.state.task(task) {
                 self.add_task(&mut timeline, machine, job, task);
@@ -118,7 +122,7 @@
         }
         timeline.slowdown = machine.slowdown();
         let boot_s = machine_type.boot_s;
-        timeline.pending_error = machine.prediction_error_s.clamp(-boot_s, boot_s);
+        timeline.pending_error_s = machine.prediction_error_s.clamp(-boot_s, boot_s);
         Some(timeline)
     }
 
--- a/crates/rushwalk/src/scheduling/assignment.rs
+++ b/crates/rushwalk/src/scheduling/assignment.rs
@@ -65,7 +65,7 @@
     if *machine.name != **hint {
         return;
     }
-    if let Some(finish) = machine.predict(pending, round.planned_time) {
+    if let Some(finish) = machine.predict(pending, round.planned_time_s) {
         round.machines.place(index, pending, &finish);
     }
 }
--- a/crates/rushwalk/src/scheduling/expected_demand.rs
+++ b/crates/rushwalk/src/scheduling/expected_demand.rs
@@ -6,7 +6,7 @@
 use rushwalk_protocol::ids::JobId;
 use rushwalk_protocol::jobs::{JobSpec, Priority, Shape};
 use rushwalk_scheduler::Resources;
-use rushwalk_scheduler::arrivals;
+use rushwalk_scheduler::arrivals::{arrival_rate, expected_arrival_times};
 use rushwalk_scheduler::round::PendingJob;
 use rushwalk_state::cluster_state::Arrival;
 use rushwalk_state::records::{JobPhase, MachineTypes};
@@ -46,10 +46,10 @@
     classes.sort_by_key(|(_, spec)| (spec.priority, spec.class.clone()));
     let mut expected = Vec::new();
     for (arrivals, spec) in classes {
-        let rate = arrival_rate(arrivals, now_ms);
+        let rate = recent_arrival_rate(arrivals, now_ms);
         let lead_s = slowest_boot_s(spec, types);
         let deviations = deviations(context, spec);
-        let times = arrivals::arrivals(rate, lead_s, deviations);
+        let times = expected_arrival_times(rate, lead_s, deviations);
         let latest = arrivals.iter().rev().cycle();
         for (in_s, arrival) in times.into_iter().zip(latest) {
             let mut job = scheduler_inputs::pending_job(state, &arrival.spec, types);
@@ -63,7 +63,7 @@
 }
 
 /// Arrivals a second.
-fn arrival_rate(arrivals: &VecDeque<Arrival>, now_ms: UnixMillis) -> f64 {
+fn recent_arrival_rate(arrivals: &VecDeque<Arrival>, now_ms: UnixMillis) -> f64 {
     let first_ms = arrivals.front().map_or(now_ms, |first| first.accepted_ms);
     let known = now_ms.saturating_sub(first_ms) / BUCKET_MS + 1;
     let mut buckets = vec![0u32; known.min(MAX_BUCKETS) as usize];
@@ -73,7 +73,7 @@
             *count += 1;
         }
     }
-    arrivals::rate(&buckets, seconds(BUCKET_MS))
+    arrival_rate(&buckets, seconds(BUCKET_MS))
 }
 
 /// The longest boot time of a machine that a job may use, in seconds.
--- a/crates/rushwalk/src/scheduling/queue.rs
+++ b/crates/rushwalk/src/scheduling/queue.rs
@@ -5,9 +5,9 @@
 use rushwalk_protocol::ids::JobId;
 use rushwalk_protocol::jobs::{Priority, Shape};
 use rushwalk_scheduler::Resources;
-use rushwalk_scheduler::deadlines::{TaskDurations, start_by};
+use rushwalk_scheduler::deadlines::{TaskDurations, latest_useful_start};
 use rushwalk_scheduler::quota::QuotaUsage;
-use rushwalk_scheduler::retry::{FailureSummary, RetryDecision, retry};
+use rushwalk_scheduler::retry::{FailureSummary, RetryDecision, retry_decision};
 use rushwalk_scheduler::round::PendingJob;
 use rushwalk_state::records::MachineTypes;
 use rushwalk_state::{ClusterState, JobState, UnixMillis};
@@ -77,7 +77,7 @@
         }
         let durations = task_durations(state, job, types, guaranteed);
         let accepted_s = seconds(job.accepted_ms);
-        let start_by_s = start_by(
+        let start_by_s = latest_useful_start(
             spec,
             accepted_s,
             seconds(now_ms),
@@ -137,7 +137,7 @@
     if spec.shape == Shape::Gang && !job.tasks.is_empty() {
         return None;
     }
-    let retry = retry_decision(context, job, now_ms);
+    let retry = decide_retry(context, job, now_ms);
     if retry == RetryDecision::BackOff {
         return None;
     }
@@ -172,7 +172,7 @@
     Some(pending)
 }
 
-fn retry_decision(context: &Context, job: &JobState, now_ms: UnixMillis) -> RetryDecision {
+fn decide_retry(context: &Context, job: &JobState, now_ms: UnixMillis) -> RetryDecision {
     let mut tasks = job.tasks.values();
     let is_running = tasks.any(|task| task.record.started_ms.is_some());
     let failures = FailureSummary {
@@ -180,5 +180,5 @@
         succeeded_somewhere: job.completed.count() > 0 || is_running,
         since_s: seconds(now_ms.saturating_sub(job.failures.last_ms)),
     };
-    retry(failures, context.timing.round.as_secs_f64())
+    retry_decision(failures, context.timing.round.as_secs_f64())
 }
--- a/crates/rushwalk/src/scheduling/scheduler.rs
+++ b/crates/rushwalk/src/scheduling/scheduler.rs
@@ -24,7 +24,7 @@
 use parking_lot::{Mutex, MutexGuard};
 use rushwalk_clients::cloud::CloudClient;
 use rushwalk_protocol::ids::MachineId;
-use rushwalk_scheduler::round::{PendingJob, SchedulingDecisions, SchedulingRound};
+use rushwalk_scheduler::round::{PendingJob, PendingReason, SchedulingDecisions, SchedulingRound};
 use rushwalk_state::mutation::SetLifecycle;
 use rushwalk_state::records::{MachineLifecycle, MachineTypes};
 use rushwalk_state::{ClusterState, Mutation, UnixMillis};
@@ -39,12 +39,12 @@
 /// Why jobs wait, by job, as of the latest round. The administration API shows it.
 #[derive(Default)]
 pub struct PendingReasons {
-    by_job: Mutex<BTreeMap<String, &'static str>>,
+    by_job: Mutex<BTreeMap<String, PendingReason>>,
 }
 
 impl PendingReasons {
     /// The reasons by job.
-    pub fn by_job(&self) -> MutexGuard<'_, BTreeMap<String, &'static str>> {
+    pub fn by_job(&self) -> MutexGuard<'_, BTreeMap<String, PendingReason>> {
         self.by_job.lock()
     }
 }
@@ -262,7 +262,7 @@
         let mut mutations = assign(&state, round, &decisions, now_ms, |shard| {
             peers.accepts_more_work(&state, shard)
         });
-        *self.parts.pending_reasons.by_job() = decisions.pending_reasons.into_iter().collect();
+        *self.parts.pending_reasons.by_job() = decisions.pending_reasons;
         mutations.extend(self.stragglers.stop(&state, round, types, now_ms));
         mutations
     }
@@ -337,7 +337,7 @@
         // Not without them: planned once more, with all.
         round.restore(before);
         for index in 0..round.machines.len() {
-            round.machines.set_closed(index, false);
+            round.machines.set_cordoned(index, false);
         }
         self.expected_late = self.turns.plan_expected(round, &expected).await;
         Vec::new()
--- a/crates/rushwalk/src/scheduling/stragglers.rs
+++ b/crates/rushwalk/src/scheduling/stragglers.rs
@@ -137,9 +137,11 @@
     restart
         .avoided_machines
         .push(straggler.machine.clone().into());
-    let Some((machine, finish)) = round.best_machine(&restart, true) else {
+    let Some(choice) = round.best_machine(&restart, true) else {
         return false;
     };
-    round.machines.place(machine, &restart, &finish);
+    round
+        .machines
+        .place(choice.machine, &restart, &choice.finish);
     true
 }
--- a/crates/rushwalk/src/scheduling/turns.rs
+++ b/crates/rushwalk/src/scheduling/turns.rs
@@ -70,7 +70,7 @@
             let mut done = 0;
             while done < rest.len() && self.goes_on(done, turn_began) {
                 let ExpectedJob { in_s, job } = &rest[done];
-                round.planned_time = round.current_time + in_s;
+                round.planned_time_s = round.current_time_s + in_s;
                 let decisions = round.schedule(std::slice::from_ref(job));
                 late += job.tasks.len() - decisions.placements.len();
                 done += 1;
@@ -80,7 +80,7 @@
             rest = &rest[done..];
             self.runtime_lag.give_way(turn_began.elapsed()).await;
         }
-        round.planned_time = round.current_time;
+        round.planned_time_s = round.current_time_s;
         late
     }
 
--- a/crates/rushwalk/src/scheduling/usage.rs
+++ b/crates/rushwalk/src/scheduling/usage.rs
@@ -25,7 +25,7 @@
         usage.machines += 1;
         usage.ready += usize::from(machine.up);
         usage.idle += usize::from(machine.tasks == 0);
-        let free = machine.free_at(round.planned_time);
+        let free = machine.free_at(round.planned_time_s);
         usage.used += 1.0 - free.least_share_of(&machine.capacity);
     }
     for ((group, spot), usage) in by_kind {
--- a/crates/rushwalk/src/shards/assignment.rs
+++ b/crates/rushwalk/src/shards/assignment.rs
@@ -17,7 +17,9 @@
 use rushwalk_failure_detector::FailureDetector;
 use rushwalk_protocol::ids::ShardId;
 use rushwalk_protocol::store::Transaction;
-use rushwalk_scheduler::shards::{self, OwnerCandidate, ShardStatus};
+use rushwalk_scheduler::shard_assignment::{
+    OwnerCandidate, ShardMove, ShardStatus, plan_shard_moves,
+};
 use rushwalk_state::records::{MemberRecord, ShardLease};
 use rushwalk_state::{ClusterState, keys};
 use std::collections::{BTreeSet, HashMap};
@@ -180,7 +182,7 @@
         let inputs = self.inputs(&state, &ids, &reachability);
         // Each move leads a shard's workers elsewhere: one at a time.
         let may_rebalance = !is_recent(self.history.rebalanced, self.context.timing.round);
-        let planned = shards::lend(&inputs.candidates, &inputs.statuses, may_rebalance);
+        let planned = plan_shard_moves(&inputs.candidates, &inputs.statuses, may_rebalance);
         self.moves(&state, version, &inputs, &planned)
     }
 
@@ -435,14 +437,14 @@
         state: &ClusterState,
         version: LeaderVersion,
         inputs: &Inputs,
-        planned: &[(usize, usize)],
+        planned: &[ShardMove],
     ) -> Option<Moves> {
         let mut moves = Moves {
             transaction: version.transaction(),
             needed: Vec::new(),
             reachable_elsewhere: inputs.reachable_elsewhere.clone(),
         };
-        for (shard, to) in planned {
+        for ShardMove { shard, to } in planned {
             if moves.transaction.writes.len() >= self.context.settings.site.store.txn_ops {
                 break;
             }
--- a/crates/rushwalk/src/shards/placement.rs
+++ b/crates/rushwalk/src/shards/placement.rs
@@ -135,14 +135,14 @@
         Some(task.record.placement_hint.clone()?.into())
     };
     let hints: Vec<Option<Arc<str>>> = tasks.iter().map(hint).collect();
-    for (index, machine) in round.start_now(&pending, &hints) {
-        let Some(task) = job.tasks.get(&index) else {
+    for assignment in round.start_now(&pending, &hints) {
+        let Some(task) = job.tasks.get(&assignment.task) else {
             continue;
         };
         let key = (id.clone(), task.record.attempt);
-        let machine = MachineId::from(round.machines[machine].name.clone());
+        let machine = MachineId::from(round.machines[assignment.machine].name.clone());
         let placed = TaskOnMachine {
-            task: index,
+            task: assignment.task,
             machine,
         };
         placements.entry(key).or_default().push(placed);
