--- /dev/null
+++ b/crates/failure-detector/src/damping/tests.rs
@@ -0,0 +1,45 @@
+//! Tests of flap damping.
+
+use super::*;
+use proptest::prelude::*;
+
+fn term(n: u64) -> MembershipTerm {
+    MembershipTerm {
+        incarnation: n,
+        since: 0,
+    }
+}
+
+#[test]
+fn delays_double_and_end() {
+    let mut damping = FlapDamping::new(5.0);
+    assert!(damping.is_eligible(0.0, "a"));
+    let mut delays = Vec::new();
+    for n in 0..6 {
+        let now = 12.0 * n as f64;
+        damping.record_departure(now, "a", term(n));
+        // Its lease expires after the verdict on it: the same departure.
+        damping.record_departure(now + 2.0, "a", term(n));
+        delays.push(damping.pause_s(now, "a"));
+    }
+    assert_eq!(delays, [5.0, 10.0, 20.0, 40.0, 40.0, 40.0]);
+    assert!(!damping.is_eligible(99.0, "a"));
+    assert!(damping.is_eligible(101.0, "a"));
+    assert_eq!(damping.pause_s(200.0, "a"), 5.0, "departures expire");
+    assert!(damping.is_eligible(99.0, "b"), "others are not affected");
+}
+
+proptest! {
+    /// However often a member flaps, its delay ends.
+    #[test]
+    fn every_delay_ends(gaps in prop::collection::vec(0.1f64..100.0, 1..60)) {
+        let mut damping = FlapDamping::new(5.0);
+        let mut now = 0.0;
+        for (n, gap) in gaps.into_iter().enumerate() {
+            now += gap;
+            damping.record_departure(now, "a", term(n as u64));
+            prop_assert!(!damping.is_eligible(now, "a"));
+        }
+        prop_assert!(damping.is_eligible(now + 41.0, "a"));
+    }
+}
--- /dev/null
+++ b/crates/failure-detector/src/detector/peer.rs
@@ -0,0 +1,100 @@
+//! What is known of one peer.
+
+use super::health::{PeerHealth, SuspicionReason};
+use crate::accrual::HeartbeatHistory;
+use crate::damping::MembershipTerm;
+use rushwalk_protocol::peers::PeerHeartbeat;
+
+/// A heartbeat, and when it came.
+#[derive(Debug, Clone)]
+pub(super) struct ReceivedHeartbeat {
+    /// In seconds of the observer's clock.
+    pub at_s: f64,
+    pub heartbeat: PeerHeartbeat,
+}
+
+/// Evidence about a peer, and the health that was derived from it. Times are in seconds
+/// of the observer's clock.
+#[derive(Debug, Clone)]
+pub(super) struct PeerState {
+    /// Its present process, as far as is known; 0 if it never was a member.
+    pub incarnation: u64,
+    /// Its present term as a member.
+    pub term: Option<MembershipTerm>,
+    /// Whether its term was seen to end and none has begun since.
+    pub membership_ended: bool,
+    pub arrivals: HeartbeatHistory,
+    pub last_heartbeat: Option<ReceivedHeartbeat>,
+    /// Heartbeats that its port refused in a row.
+    pub consecutive_refusals: u32,
+    /// A heartbeat to it timed out since it was last heard.
+    pub probe_timed_out: bool,
+    /// When an entry of its in the log was last seen.
+    pub last_write_s: Option<f64>,
+    /// Since when it reports that its event loop lags.
+    pub lagging_since_s: Option<f64>,
+    pub health: PeerHealth,
+    pub reason: Option<SuspicionReason>,
+    /// Whether most of those who could be asked have the same suspicion.
+    pub majority_agrees: bool,
+    /// When its present health or the reason for it began.
+    pub health_since_s: f64,
+    /// The term that it had then.
+    pub term_then: Option<MembershipTerm>,
+    /// The newest revision that the observer had seen then.
+    pub revision_then: u64,
+    /// Since when it responds again after it was declared failed.
+    pub responding_since_s: Option<f64>,
+}
+
+impl PeerState {
+    pub fn new(heartbeat_s: f64, now_s: f64) -> PeerState {
+        PeerState {
+            incarnation: 0,
+            term: None,
+            membership_ended: false,
+            arrivals: HeartbeatHistory::new(heartbeat_s),
+            last_heartbeat: None,
+            consecutive_refusals: 0,
+            probe_timed_out: false,
+            last_write_s: None,
+            lagging_since_s: None,
+            health: PeerHealth::Healthy,
+            reason: None,
+            majority_agrees: false,
+            health_since_s: now_s,
+            term_then: None,
+            revision_then: 0,
+            responding_since_s: None,
+        }
+    }
+
+    /// Whether its port refused so many heartbeats in a row, one at least.
+    pub fn refuses(&self, threshold: u32) -> bool {
+        self.consecutive_refusals >= threshold.max(1)
+    }
+
+    /// Forgets refused and timed-out heartbeats.
+    pub fn clear_probe_failures(&mut self) {
+        self.consecutive_refusals = 0;
+        self.probe_timed_out = false;
+    }
+
+    /// Forgets what was measured of the process before.
+    pub fn begin_incarnation(&mut self, incarnation: u64) {
+        self.incarnation = incarnation;
+        self.arrivals.reset();
+        self.lagging_since_s = None;
+    }
+
+    /// How long ago it was last heard from, in seconds.
+    pub fn silent_s(&self, now_s: f64) -> Option<f64> {
+        self.arrivals.last_s().map(|at| now_s - at)
+    }
+
+    /// How long ago an entry of its in the log was last seen, in seconds; infinite if
+    /// none was.
+    pub fn since_last_write_s(&self, now_s: f64) -> f64 {
+        self.last_write_s.map_or(f64::INFINITY, |at| now_s - at)
+    }
+}
--- /dev/null
+++ b/crates/failure-detector/src/detector/queries.rs
@@ -0,0 +1,160 @@
+//! Questions about peers.
+
+use super::FailureDetector;
+use super::health::{PeerHealth, SuspicionReason};
+use super::peer::{PeerState, ReceivedHeartbeat};
+use crate::succession::LeaderCandidate;
+use rushwalk_protocol::peers::{PeerHeartbeat, PeerObservation};
+
+/// A peer heard from within so many rounds counts as reachable.
+const RECENT_ROUNDS: f64 = 2.0;
+
+/// A peer's latest heartbeat.
+#[derive(Debug, Clone, Copy)]
+pub struct AgedHeartbeat<'a> {
+    /// How long ago it came, in seconds.
+    pub age_s: f64,
+    /// What it says.
+    pub heartbeat: &'a PeerHeartbeat,
+}
+
+impl AgedHeartbeat<'_> {
+    fn new(received: &ReceivedHeartbeat, now_s: f64) -> AgedHeartbeat<'_> {
+        AgedHeartbeat {
+            age_s: now_s - received.at_s,
+            heartbeat: &received.heartbeat,
+        }
+    }
+
+    /// How old the sender's last read of the store is now, in seconds.
+    pub fn staleness_s(&self) -> f64 {
+        self.age_s + self.heartbeat.staleness_ms as f64 / 1000.0
+    }
+}
+
+impl FailureDetector {
+    /// A member's health; one that is not known is healthy.
+    pub fn health(&self, member: &str) -> PeerHealth {
+        self.peers
+            .get(member)
+            .map_or(PeerHealth::Healthy, |peer| peer.health)
+    }
+
+    /// Whether nothing new should be assigned to a member: it has failed, or others have
+    /// the same suspicion and it writes nothing. Behind a packet filter between
+    /// controllers all suspect all, and each serves as before.
+    pub fn is_doubtful(&self, member: &str) -> bool {
+        self.peers
+            .get(member)
+            .is_some_and(|peer| match peer.health {
+                PeerHealth::Healthy => false,
+                PeerHealth::Suspected => peer.majority_agrees,
+                PeerHealth::Failed => true,
+            })
+    }
+
+    /// Whether a process has lost its shards: it has failed, and not only by the rounds
+    /// that it does not make.
+    pub fn has_lost_shards(&self, member: &str, incarnation: u64) -> bool {
+        self.failed_peer(member, incarnation)
+            .is_some_and(|peer| peer.reason != Some(SuspicionReason::Stalled))
+    }
+
+    /// Whether a process was declared failed because its port refuses connections.
+    pub fn failed_by_refusal(&self, member: &str, incarnation: u64) -> bool {
+        self.failed_peer(member, incarnation)
+            .is_some_and(|peer| peer.reason == Some(SuspicionReason::Refused))
+    }
+
+    /// Whether this process of a member was declared failed: a new one of its name was
+    /// not.
+    pub fn is_failed(&self, member: &str, incarnation: u64) -> bool {
+        self.failed_peer(member, incarnation).is_some()
+    }
+
+    fn failed_peer(&self, member: &str, incarnation: u64) -> Option<&PeerState> {
+        let peer = self.peers.get(member)?;
+        let same_process = peer.term_then?.incarnation == incarnation;
+        (peer.health == PeerHealth::Failed && same_process).then_some(peer)
+    }
+
+    /// Whether a process whose lease expired not longer than `grace_s` ago is still heard
+    /// from, cut off from the store alone.
+    pub fn lingers_after_expiry(
+        &self,
+        member: &str,
+        incarnation: u64,
+        now_s: f64,
+        grace_s: f64,
+    ) -> bool {
+        let recent_s = RECENT_ROUNDS * self.config.round_s;
+        self.peers.get(member).is_some_and(|peer| {
+            peer.incarnation == incarnation
+                && peer.reason == Some(SuspicionReason::LeaseExpired)
+                && now_s - peer.health_since_s < grace_s
+                && peer.silent_s(now_s).is_some_and(|silent| silent < recent_s)
+                && peer.consecutive_refusals == 0
+        })
+    }
+
+    /// Whether a member is too slow for what it has.
+    pub fn is_slow(&self, member: &str) -> bool {
+        let reason = self.peers.get(member).and_then(|peer| peer.reason);
+        reason.is_some_and(SuspicionReason::is_slowness)
+    }
+
+    /// A member's latest heartbeat.
+    pub fn last_heartbeat(&self, member: &str, now_s: f64) -> Option<AgedHeartbeat<'_>> {
+        let received = self.peers.get(member)?.last_heartbeat.as_ref()?;
+        Some(AgedHeartbeat::new(received, now_s))
+    }
+
+    /// The latest heartbeats of all peers, by name.
+    pub fn last_heartbeats(&self, now_s: f64) -> impl Iterator<Item = AgedHeartbeat<'_>> {
+        let received = self
+            .peers
+            .values()
+            .filter_map(|p| p.last_heartbeat.as_ref());
+        received.map(move |received| AgedHeartbeat::new(received, now_s))
+    }
+
+    /// What heartbeats to other controllers say of this one's peers.
+    pub fn observations(&self, now_s: f64) -> Vec<PeerObservation> {
+        let known = self.peers.iter().filter(|(_, peer)| peer.incarnation != 0);
+        let observation = |(member, peer): (&String, &PeerState)| PeerObservation {
+            member: member.clone(),
+            incarnation: peer.incarnation,
+            last_heard_ms: peer
+                .silent_s(now_s)
+                .map(|silent| (silent * 1000.0).max(0.0) as u64),
+            refused: peer.refuses(self.config.refusal_threshold),
+        };
+        known.map(observation).collect()
+    }
+
+    /// All peers that were heard from, as candidates for leadership.
+    pub fn candidates(&self, now_s: f64) -> Vec<LeaderCandidate<'_>> {
+        self.peers
+            .iter()
+            .filter_map(|(member, peer)| self.candidate(member, peer, now_s))
+            .collect()
+    }
+
+    fn candidate<'a>(
+        &self,
+        member: &'a str,
+        peer: &'a PeerState,
+        now_s: f64,
+    ) -> Option<LeaderCandidate<'a>> {
+        let last = AgedHeartbeat::new(peer.last_heartbeat.as_ref()?, now_s);
+        let recent = last.age_s < RECENT_ROUNDS * self.config.round_s;
+        Some(LeaderCandidate {
+            name: member,
+            trusted: peer.health == PeerHealth::Healthy && peer.term.is_some() && recent,
+            eligible: self.damping.is_eligible(now_s, member),
+            mean_lag_s: last.heartbeat.lag_ms as f64 / 1000.0,
+            busy_share: f64::from(last.heartbeat.busy_permille) / 1000.0,
+            staleness_s: last.staleness_s(),
+        })
+    }
+}
--- /dev/null
+++ b/crates/failure-detector/src/detector/tests.rs
@@ -0,0 +1,226 @@
+//! Tests of the failure detector's verdicts.
+
+use super::*;
+use crate::damping::MembershipTerm;
+use rushwalk_protocol::peers::{PeerHeartbeat, PeerObservation};
+
+const LOCAL: LocalHealth = LocalHealth {
+    recent_lag_s: 0.0,
+    mean_lag_s: 0.002,
+    busy_share: 0.1,
+    staleness_s: 0.1,
+    since_leadership_moved_s: f64::INFINITY,
+    revision: 100,
+};
+
+fn new_detector(peers: &[&str]) -> FailureDetector {
+    let limits = DetectorConfig {
+        heartbeat_s: 0.3,
+        round_s: 0.9,
+        member_lease_s: 5.0,
+        worker_lease_s: 36.0,
+        phi_threshold: 8.0,
+        refusal_threshold: 2,
+    };
+    let mut detector = FailureDetector::new(limits, peers.iter().copied(), 0.0);
+    for (i, peer) in peers.iter().enumerate() {
+        let incarnation = i as u64 + 1;
+        detector.record_membership(
+            0.0,
+            peer,
+            Some(MembershipTerm {
+                incarnation,
+                since: 0,
+            }),
+        );
+    }
+    detector
+}
+
+fn heartbeat(member: &str, incarnation: u64, of: &[(&str, u64, u64, bool)]) -> PeerHeartbeat {
+    let observation = |(m, incarnation, heard, refused): &(&str, u64, u64, bool)| PeerObservation {
+        member: m.to_string(),
+        incarnation: *incarnation,
+        last_heard_ms: Some(*heard),
+        refused: *refused,
+    };
+    PeerHeartbeat {
+        member: member.into(),
+        incarnation,
+        revision: 100,
+        observations: of.iter().map(observation).collect(),
+        ..PeerHeartbeat::default()
+    }
+}
+
+/// `a` refuses from 10 s on; `b` is heard, and reports what it observes of `a`.
+fn health_of_refusing(heard_ms: u64, refuses: bool, own: LocalHealth, wrote: bool) -> PeerHealth {
+    let mut detector = new_detector(&["a", "b"]);
+    detector.record_response(9.9, heartbeat("a", 1, &[]));
+    for step in 0..10u32 {
+        let now = 10.0 + 0.3 * f64::from(step);
+        detector.record_probe_failure("a", ProbeFailure::Refused);
+        detector.record_response(now, heartbeat("b", 2, &[("a", 1, heard_ms, refuses)]));
+        if wrote {
+            detector.record_write(now, "a");
+        }
+        detector.evaluate(now, own);
+    }
+    detector.health("a")
+}
+
+#[test]
+fn a_refusing_peer_fails_if_a_witness_agrees_and_nothing_shows_that_it_lives() {
+    assert_eq!(
+        health_of_refusing(9000, true, LOCAL, false),
+        PeerHealth::Failed
+    );
+    // The other has heard it since.
+    assert_eq!(
+        health_of_refusing(10, false, LOCAL, false),
+        PeerHealth::Suspected
+    );
+    // It writes: it lives behind a packet filter, or has no sockets.
+    assert_eq!(
+        health_of_refusing(9000, true, LOCAL, true),
+        PeerHealth::Suspected
+    );
+    // The observer is the one that is cut off, or lags.
+    let cut_off = LocalHealth {
+        staleness_s: 30.0,
+        ..LOCAL
+    };
+    assert_eq!(
+        health_of_refusing(9000, true, cut_off, false),
+        PeerHealth::Suspected
+    );
+    let lagging = LocalHealth {
+        recent_lag_s: 2.0,
+        ..LOCAL
+    };
+    assert_eq!(
+        health_of_refusing(9000, true, lagging, false),
+        PeerHealth::Suspected
+    );
+}
+
+#[test]
+fn refusals_after_a_time_out_or_without_witnesses_are_not_conclusive() {
+    let mut detector = new_detector(&["a", "b"]);
+    detector.record_probe_failure("a", ProbeFailure::TimedOut);
+    for step in 0..10u32 {
+        let now = 10.0 + 0.3 * f64::from(step);
+        detector.record_probe_failure("a", ProbeFailure::Refused);
+        detector.record_response(now, heartbeat("b", 2, &[("a", 1, 9000, true)]));
+        detector.evaluate(now, LOCAL);
+    }
+    assert_eq!(
+        detector.health("a"),
+        PeerHealth::Healthy,
+        "it was overloaded"
+    );
+    for step in 0..100u32 {
+        let now = 20.0 + 0.3 * f64::from(step);
+        detector.record_probe_failure("b", ProbeFailure::Refused);
+        detector.evaluate(now, LOCAL);
+    }
+    assert_ne!(
+        detector.health("b"),
+        PeerHealth::Failed,
+        "no other controller was heard"
+    );
+    assert!(!detector.is_doubtful("b"), "it is assigned work as before");
+}
+
+#[test]
+fn a_response_ends_suspicion_but_not_failure_and_a_delayed_heartbeat_ends_neither() {
+    let mut detector = new_detector(&["a", "b"]);
+    detector.record_response(9.9, heartbeat("a", 1, &[]));
+    let suspect = |detector: &mut FailureDetector, from: f64, steps: u32| {
+        for step in 0..steps {
+            let now = from + 0.3 * f64::from(step);
+            detector.record_probe_failure("a", ProbeFailure::Refused);
+            detector.record_response(now, heartbeat("b", 2, &[("a", 1, 9000, true)]));
+            detector.evaluate(now, LOCAL);
+        }
+    };
+    suspect(&mut detector, 10.0, 2);
+    assert_eq!(detector.health("a"), PeerHealth::Suspected);
+    // Delayed by the network since before.
+    detector.record_heartbeat(
+        10.5,
+        PeerHeartbeat {
+            revision: 50,
+            ..heartbeat("a", 1, &[])
+        },
+    );
+    detector.evaluate(10.5, LOCAL);
+    assert_eq!(detector.health("a"), PeerHealth::Suspected);
+    detector.record_response(10.6, heartbeat("a", 1, &[]));
+    detector.evaluate(10.6, LOCAL);
+    assert_eq!(detector.health("a"), PeerHealth::Healthy);
+    suspect(&mut detector, 11.0, 6);
+    assert!(detector.is_failed("a", 1));
+    detector.record_response(13.0, heartbeat("a", 1, &[]));
+    detector.evaluate(13.0, LOCAL);
+    assert_eq!(detector.health("a"), PeerHealth::Failed, "too late");
+    detector.record_response(18.5, heartbeat("a", 1, &[]));
+    detector.evaluate(18.5, LOCAL);
+    assert_eq!(
+        detector.health("a"),
+        PeerHealth::Healthy,
+        "it responds for a while"
+    );
+    // The same name, but not the process that failed.
+    suspect(&mut detector, 30.0, 6);
+    detector.record_membership(
+        33.0,
+        "a",
+        Some(MembershipTerm {
+            incarnation: 7,
+            since: 9,
+        }),
+    );
+    assert!(!detector.is_failed("a", 7) && detector.is_failed("a", 1));
+}
+
+/// Two restarted controllers took leadership from each other six times in 0.2 s.
+#[test]
+fn a_stalled_leader_fails_once_in_a_lease_to_a_peer_with_headroom() {
+    let stalls = |own: LocalHealth| {
+        let mut detector = new_detector(&["a", "b"]);
+        for step in 0..30u32 {
+            let now = 10.0 + 0.3 * f64::from(step);
+            let slow = PeerHeartbeat {
+                lag_ms: 300,
+                last_round_ms: Some(5000),
+                ..heartbeat("a", 1, &[])
+            };
+            detector.record_response(now, slow);
+            detector.evaluate(now, own);
+        }
+        detector.health("a")
+    };
+    assert_eq!(stalls(LOCAL), PeerHealth::Failed);
+    assert_eq!(
+        stalls(LocalHealth {
+            since_leadership_moved_s: 9.0,
+            ..LOCAL
+        }),
+        PeerHealth::Suspected
+    );
+    assert_eq!(
+        stalls(LocalHealth {
+            busy_share: 0.6,
+            ..LOCAL
+        }),
+        PeerHealth::Healthy
+    );
+    assert_eq!(
+        stalls(LocalHealth {
+            mean_lag_s: 0.2,
+            ..LOCAL
+        }),
+        PeerHealth::Healthy
+    );
+}
--- a/crates/failure-detector/src/lib.rs
+++ b/crates/failure-detector/src/lib.rs
@@ -1,15 +1,18 @@
-//! Judgement of other controllers: evidence in, standing out.
+//! Failure detection between controllers: evidence in, health and succession out.
 //!
 //! No input or output and no clock of its own: every call names the observer's
-//! time, in seconds of its steady clock. A standing decides only who should do a
-//! work; that only one does it is the state service's word, on which every commit
-//! is conditioned. So a wrong verdict costs time, never a rule.
+//! time, in seconds of its steady clock. Health decides only who should do a piece of
+//! work; that only one controller does it is enforced by the consensus-backed store, on
+//! which every commit is conditioned. So a wrong verdict costs time, never safety.
+
+#![deny(missing_docs)]
 
 pub mod accrual;
 pub mod damping;
 pub mod detector;
 pub mod reachability;
 pub mod succession;
+pub mod timing;
 
 pub use damping::FlapDamping;
 pub use detector::{
--- a/crates/failure-detector/src/reachability.rs
+++ b/crates/failure-detector/src/reachability.rs
@@ -1,112 +1,116 @@
-//! Whether a block's holder still reaches its machines, by who hears them.
+//! Whether a shard's owner still receives the heartbeats of its workers.
 //!
-//! Two things together show a cut that another controller can help with: the holder
-//! hears none of a block's machines though some are overdue, and workers of that block
-//! turn up at somebody else. Silence alone may be the machines' own; those that turn up
-//! alone may have lost a single answer.
+//! Two things together show a network partition that another controller can help with:
+//! the owner hears none of a shard's machines though some are overdue, and workers of
+//! that shard turn up at another controller. Silence alone may be the machines' own
+//! fault; workers that turn up alone may have lost a single response.
 
 use std::collections::BTreeMap;
 
-/// A worker's report comes at most so many intervals after the one before.
-const LATEST: f64 = 1.25;
+/// A worker's heartbeat comes at most so many intervals after the one before.
+const LATEST_INTERVALS: f64 = 1.25;
 
-/// When a worker that was last heard at `heard_s`, or never since its block came to this
-/// holder at `lent_s`, should have been heard again, in seconds of the same clock. One
-/// that is new to a holder is given half an interval to find it.
+/// Intervals that a worker is given to find a new owner of its shard.
+const DISCOVERY_INTERVALS: f64 = 0.5;
+
+/// A shard must have been silent for this fraction of an interval.
+const MIN_SILENCE_INTERVALS: f64 = 1.0 / 8.0;
+
+/// When a worker should have been heard again, in seconds of the same clock. It was last
+/// heard at `last_heard_s`, or never since its shard came to this owner at
+/// `owned_since_s`. One that is new to an owner is given half an interval to find it.
 ///
-/// Not the time since anybody was heard: workers that started together, or came together
-/// after a crash, report together, and leave their holder in silence in between. Blocks
-/// were taken from holders that heard all of their machines, each three seconds.
-pub fn due_s(heard_s: Option<f64>, lent_s: f64, report_s: f64) -> f64 {
-    match heard_s.filter(|at| *at > lent_s) {
-        Some(at) => at + LATEST * report_s,
-        None => lent_s + (LATEST + 0.5) * report_s,
+/// This is not the time since anybody was heard: workers that started together, or came
+/// together after a crash, send heartbeats together, and nobody is heard in between.
+/// With that time shards were taken from owners that heard all of their machines, one
+/// each three seconds.
+pub fn next_heartbeat_due_s(
+    last_heard_s: Option<f64>,
+    owned_since_s: f64,
+    heartbeat_s: f64,
+) -> f64 {
+    match last_heard_s.filter(|at| *at > owned_since_s) {
+        Some(at) => at + LATEST_INTERVALS * heartbeat_s,
+        None => owned_since_s + (LATEST_INTERVALS + DISCOVERY_INTERVALS) * heartbeat_s,
     }
 }
 
-/// Whether a holder hears nothing of a block: so many of its machines are overdue, and
-/// none at all was heard for an eighth of a report interval.
-pub fn deaf(machines: usize, overdue: usize, quiet_s: f64, report_s: f64) -> bool {
-    machines > 0 && overdue >= enough(machines) && quiet_s > report_s / 8.0
+/// What a shard's owner hears from the shard's machines.
+#[derive(Debug, Clone, Copy)]
+pub struct ShardReception {
+    /// Machines that should be heard.
+    pub machines: usize,
+    /// Those of them whose next heartbeat is overdue.
+    pub overdue: usize,
+    /// How long none of them was heard, in seconds.
+    pub silent_s: f64,
 }
 
-/// Machines of a block that must be overdue, or turn up elsewhere: one in sixteen, three
-/// at least, but not more than half of a small block.
-pub fn enough(machines: usize) -> usize {
+impl ShardReception {
+    /// Whether the owner hears nothing of the shard: enough of its machines are overdue,
+    /// and none at all was heard for an eighth of a heartbeat interval.
+    pub fn has_inbound_loss(&self, heartbeat_s: f64) -> bool {
+        self.machines > 0
+            && self.overdue >= evidence_threshold(self.machines)
+            && self.silent_s > heartbeat_s * MIN_SILENCE_INTERVALS
+    }
+}
+
+/// Machines of a shard that must be overdue, or turn up elsewhere: one in sixteen, three
+/// at least, but not more than half of a small shard.
+pub fn evidence_threshold(machines: usize) -> usize {
     (machines / 16).max(3).min(machines / 2 + 1)
 }
 
-/// Workers of others' blocks that turned up here, by block. Each counts once.
+#[derive(Debug, Clone, Default)]
+struct MisroutedShard {
+    /// The fencing token under which the shard was leased then.
+    token: u64,
+    /// When each machine sent its latest heartbeat here, in seconds.
+    machines: BTreeMap<String, f64>,
+}
+
+/// Workers of others' shards whose heartbeats arrived here, by shard. Each counts once.
 #[derive(Debug, Clone, Default)]
 pub struct MisroutedWorkers {
-    /// With the token under which the block was lent then.
-    seen: BTreeMap<String, (u64, BTreeMap<String, f64>)>,
+    shards: BTreeMap<String, MisroutedShard>,
 }
 
 impl MisroutedWorkers {
-    /// A worker reported here while its block is lent to another under `token`.
-    pub fn record(&mut self, now_s: f64, block: &str, token: u64, machine: &str) {
-        if !self.seen.contains_key(block) {
-            self.seen.insert(block.to_string(), Default::default());
+    /// A worker sent a heartbeat here while its shard is leased to another under `token`.
+    pub fn record(&mut self, now_s: f64, shard: &str, token: u64, machine: &str) {
+        if !self.shards.contains_key(shard) {
+            self.shards.insert(shard.to_string(), Default::default());
         }
-        let Some((under, machines)) = self.seen.get_mut(block) else {
+        let Some(misrouted) = self.shards.get_mut(shard) else {
             return;
         };
-        if *under != token {
-            // Lent anew: that they look for the holder is no wonder.
-            (*under, *machines) = (token, BTreeMap::new());
+        if misrouted.token != token {
+            // The shard has a new lease: its workers are expected to look for the owner.
+            misrouted.token = token;
+            misrouted.machines = BTreeMap::new();
         }
-        match machines.get_mut(machine) {
+        match misrouted.machines.get_mut(machine) {
             Some(at) => *at = now_s,
             None => {
-                machines.insert(machine.to_string(), now_s);
+                misrouted.machines.insert(machine.to_string(), now_s);
             }
         }
     }
 
-    /// How many turned up of each block in the last `span_s`; older ones are dropped.
-    pub fn counts(&mut self, now_s: f64, span_s: f64) -> Vec<(String, u32)> {
-        self.seen.retain(|_, (_, machines)| {
-            machines.retain(|_, at| now_s - *at < span_s);
-            !machines.is_empty()
+    /// The number of workers of each shard in the last `window_s` seconds; older ones are
+    /// dropped.
+    pub fn counts(&mut self, now_s: f64, window_s: f64) -> Vec<(String, u32)> {
+        self.shards.retain(|_, misrouted| {
+            misrouted.machines.retain(|_, at| now_s - *at < window_s);
+            !misrouted.machines.is_empty()
         });
-        let counts = self.seen.iter();
-        counts
-            .map(|(block, (_, machines))| (block.clone(), machines.len() as u32))
+        self.shards
+            .iter()
+            .map(|(shard, misrouted)| (shard.clone(), misrouted.machines.len() as u32))
             .collect()
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn silence_between_reports_that_come_together_is_no_cut() {
-        let report = 8.0;
-        // All heard at 0; by 9 s none is due, though all has been silent that long.
-        let due: Vec<f64> = (0..20).map(|_| due_s(Some(0.5), 0.0, report)).collect();
-        let overdue = |now: f64| due.iter().filter(|at| **at < now).count();
-        assert!(!deaf(20, overdue(9.0), 8.5, report));
-        assert!(deaf(20, overdue(11.0), 10.5, report));
-        // Some are cut off, the others are heard.
-        assert!(!deaf(200, 60, 0.1, report));
-        assert!(deaf(200, 12, 1.5, report));
-        // A new holder is given time.
-        assert_eq!(due_s(Some(3.0), 100.0, report), 114.0);
-        assert!(!deaf(0, 0, 100.0, report));
-        assert_eq!([1, 4, 30, 256].map(enough), [1, 3, 3, 16]);
-    }
-
-    #[test]
-    fn a_worker_counts_once_and_not_after_its_block_was_lent_anew() {
-        let mut strays = MisroutedWorkers::default();
-        strays.record(1.0, "east", 7, "i-1");
-        strays.record(2.0, "east", 7, "i-1");
-        strays.record(2.0, "east", 7, "i-2");
-        assert_eq!(strays.counts(3.0, 8.0), [("east".to_string(), 2)]);
-        strays.record(4.0, "east", 9, "i-1");
-        assert_eq!(strays.counts(4.0, 8.0), [("east".to_string(), 1)]);
-        assert!(strays.counts(13.0, 8.0).is_empty());
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/failure-detector/src/reachability/tests.rs
@@ -0,0 +1,43 @@
+//! Tests of the detection of inbound loss.
+
+use super::*;
+
+fn lost(machines: usize, overdue: usize, silent_s: f64, heartbeat_s: f64) -> bool {
+    let reception = ShardReception {
+        machines,
+        overdue,
+        silent_s,
+    };
+    reception.has_inbound_loss(heartbeat_s)
+}
+
+#[test]
+fn silence_between_simultaneous_heartbeats_is_no_loss() {
+    let heartbeat = 8.0;
+    // All heard at 0; by 9 s none is due, though all have been silent that long.
+    let due: Vec<f64> = (0..20)
+        .map(|_| next_heartbeat_due_s(Some(0.5), 0.0, heartbeat))
+        .collect();
+    let overdue = |now: f64| due.iter().filter(|at| **at < now).count();
+    assert!(!lost(20, overdue(9.0), 8.5, heartbeat));
+    assert!(lost(20, overdue(11.0), 10.5, heartbeat));
+    // Some are cut off, the others are heard.
+    assert!(!lost(200, 60, 0.1, heartbeat));
+    assert!(lost(200, 12, 1.5, heartbeat));
+    // A new owner is given time.
+    assert_eq!(next_heartbeat_due_s(Some(3.0), 100.0, heartbeat), 114.0);
+    assert!(!lost(0, 0, 100.0, heartbeat));
+    assert_eq!([1, 4, 30, 256].map(evidence_threshold), [1, 3, 3, 16]);
+}
+
+#[test]
+fn a_worker_counts_once_and_not_after_its_shard_has_a_new_lease() {
+    let mut misrouted = MisroutedWorkers::default();
+    misrouted.record(1.0, "east", 7, "i-1");
+    misrouted.record(2.0, "east", 7, "i-1");
+    misrouted.record(2.0, "east", 7, "i-2");
+    assert_eq!(misrouted.counts(3.0, 8.0), [("east".to_string(), 2)]);
+    misrouted.record(4.0, "east", 9, "i-1");
+    assert_eq!(misrouted.counts(4.0, 8.0), [("east".to_string(), 1)]);
+    assert!(misrouted.counts(13.0, 8.0).is_empty());
+}
--- a/crates/rushwalk/src/http/peers.rs
+++ b/crates/rushwalk/src/http/peers.rs
@@ -84,8 +84,8 @@
     let able = |p: &&rushwalk_protocol::settings::PeerSettings| {
         let hello = detector.last_heartbeat(&p.member, node.uptime_s());
         detector.health(&p.member) == PeerHealth::Healthy
-            && hello.is_some_and(|(age, hello)| {
-                age < limit && (hello.staleness_ms as f64) < limit * 1000.0
+            && hello.is_some_and(|hello| {
+                hello.age_s < limit && (hello.heartbeat.staleness_ms as f64) < limit * 1000.0
             })
     };
     let list = node.settings.peers.iter().filter(able);
@@ -179,7 +179,7 @@
     match answer {
         Ok(hello) => detector.record_response(now, hello),
         Err(Error::ConnectionRefused) => {
-            detector.record_probe_failure(now, &peer.member, ProbeFailure::Refused)
+            detector.record_probe_failure(&peer.member, ProbeFailure::Refused)
         }
         Err(Error::Unanswered(_) | Error::NotSent(_)) => {
             let contact = if hung {
@@ -187,7 +187,7 @@
             } else {
                 ProbeFailure::ConnectionBroken
             };
-            detector.record_probe_failure(now, &peer.member, contact);
+            detector.record_probe_failure(&peer.member, contact);
         }
         Err(Error::Status(_) | Error::ResponseTooLarge) => {}
     }
@@ -209,10 +209,9 @@
     // that is cut off: users who kept to it got no answer for as long as that lasted.
     let detector = lock(&node.detector);
     let limit = limit.as_secs_f64();
-    let age = |(at, hello): (f64, &PeerHeartbeat)| at + hello.staleness_ms as f64 / 1000.0;
     let told = |most: f64, of: fn(f64, f64) -> f64| {
         let mut hellos = detector.last_heartbeats(node.uptime_s());
-        hellos.any(|told| of(told.0, age(told)) < most)
+        hellos.any(|told| of(told.age_s, told.staleness_s()) < most)
     };
     let heard = told(limit, |at, _| at) || node.settings.peers.is_empty();
     heard && !told(limit / 2.0, |_, age| age)
--- a/crates/rushwalk/src/leadership/election.rs
+++ b/crates/rushwalk/src/leadership/election.rs
@@ -7,7 +7,9 @@
 use crate::view::{ClusterState, Name};
 use rushwalk_clients::store::CommitOutcome;
 use rushwalk_failure_detector::damping::MembershipTerm;
-use rushwalk_failure_detector::reachability::{self, due_s, enough};
+use rushwalk_failure_detector::reachability::{
+    ShardReception, evidence_threshold, next_heartbeat_due_s,
+};
 use rushwalk_failure_detector::succession::{self, LeaderCandidate, SlownessTracker};
 use rushwalk_failure_detector::{LocalHealth, PeerHealth};
 use rushwalk_protocol::peers::PeerHeartbeat;
@@ -72,7 +74,12 @@
         let (up, silent) = view.shard_counts(block);
         let machines = up.saturating_sub(silent);
         // Few blocks are quiet at all: the machines of the others aren't looked at.
-        if !reachability::deaf(machines, machines, quiet, report) {
+        let mut reception = ShardReception {
+            machines,
+            overdue: machines,
+            silent_s: quiet,
+        };
+        if !reception.has_inbound_loss(report) {
             continue;
         }
         let ago = |at: Instant| -at.elapsed().as_secs_f64();
@@ -84,10 +91,11 @@
                 .and_then(|w| w.last_heard)
                 .map(ago);
             there.is_some_and(|m| m.ready_ms.is_some() && m.unreachable_since_ms.is_none())
-                && due_s(heard, ago(lent), report) < 0.0
+                && next_heartbeat_due_s(heard, ago(lent), report) < 0.0
         };
         let overdue = view.shards.get(block).into_iter().flatten().filter(overdue);
-        if reachability::deaf(machines, overdue.count(), quiet, report) {
+        reception.overdue = overdue.count();
+        if reception.has_inbound_loss(report) {
             out.push(block.to_string());
         }
     }
@@ -217,7 +225,7 @@
     let lately = |at: Option<Instant>| at.is_some_and(|at| at.elapsed() < quiet);
     let heard = lock(&node.detector)
         .last_heartbeats(node.uptime_s())
-        .any(|(age, _)| age < 4.0 * node.timing.peer_heartbeat.as_secs_f64());
+        .any(|h| h.age_s < 4.0 * node.timing.peer_heartbeat.as_secs_f64());
     if heard
         || lately(followed.ours)
         || node.settings.peers.is_empty()
@@ -326,7 +334,7 @@
         busy_share: share(node),
         staleness_s: node.staleness().as_secs_f64(),
     };
-    let place = succession::place(&me, &others, detector.config().timing());
+    let place = succession::election_rank(&me, &others, detector.config().timing());
     let step = node.timing.round / 4;
     let line = (step * place as u32).min(node.timing.member_lease / 2);
     // Who laid it down or lost it of late leaves it to others, if there are any.
@@ -359,7 +367,7 @@
     if lock(&node.leadership_moved).is_some_and(|at| at.elapsed() < node.timing.worker_lease) {
         return None;
     }
-    let to = succession::better(&detector.candidates(now), spans);
+    let to = succession::preferred_successor(&detector.candidates(now), spans);
     to.map(str::to_string)
 }
 
@@ -490,9 +498,10 @@
         let fresh = detector.config().round_s * 2.0;
         let told = detector
             .last_heartbeats(node.uptime_s())
-            .filter(|(age, _)| *age < fresh);
-        let mut hellos: BTreeMap<String, PeerHeartbeat> =
-            told.map(|(_, h)| (h.member.clone(), h.clone())).collect();
+            .filter(|h| h.age_s < fresh);
+        let mut hellos: BTreeMap<String, PeerHeartbeat> = told
+            .map(|h| (h.heartbeat.member.clone(), h.heartbeat.clone()))
+            .collect();
         drop(detector);
         let ours = PeerHeartbeat {
             member: node.member().into(),
@@ -519,7 +528,7 @@
         });
         let counts: Vec<_> = counts.collect();
         let all: usize = counts.iter().map(|(_, n)| n).sum();
-        match all >= enough(up) {
+        match all >= evidence_threshold(up) {
             true => counts.into_iter().map(|(name, _)| name).collect(),
             false => Vec::new(),
         }
@@ -545,8 +554,9 @@
         return None;
     }
     let hello = detector.last_heartbeat(&grant.owner, node.uptime_s());
-    let deaf = hello.is_some_and(|(age, h)| {
-        age < detector.config().round_s * 2.0 && h.unreachable_shards.iter().any(|b| b == block)
+    let deaf = hello.is_some_and(|h| {
+        h.age_s < detector.config().round_s * 2.0
+            && h.heartbeat.unreachable_shards.iter().any(|b| b == block)
     });
     (!deaf).then(|| grant.owner.clone())
 }
--- a/crates/rushwalk/src/leadership/leader.rs
+++ b/crates/rushwalk/src/leadership/leader.rs
@@ -234,13 +234,13 @@
                 true => node.runtime_lag.mean_lag().as_secs_f64(),
                 false => detector
                     .last_heartbeat(name, uptime)
-                    .map_or(0.0, |(_, h)| h.lag_ms as f64 / 1000.0),
+                    .map_or(0.0, |h| h.heartbeat.lag_ms as f64 / 1000.0),
             };
             let busy = match name == node.member() {
                 true => node.busy_permille.load(Ordering::Relaxed),
                 false => detector
                     .last_heartbeat(name, uptime)
-                    .map_or(0, |(_, h)| h.busy_permille),
+                    .map_or(0, |h| h.heartbeat.busy_permille),
             };
             let spans = detector.config().timing();
             // Step by step: the next block when it has shown that it serves the last.
@@ -274,10 +274,8 @@
     let zones = node.settings.site.zones.iter().map(|z| z.as_str().into());
     let blocks: BTreeSet<Name> = zones.chain(view.shards.keys().cloned()).collect();
     // One that ended is mostly back before its lease ends.
-    let busy = detector
-        .last_heartbeats(uptime)
-        .filter(|(age, _)| *age < grace);
-    let busy = busy.map(|(_, hello)| hello.busy_permille);
+    let busy = detector.last_heartbeats(uptime).filter(|h| h.age_s < grace);
+    let busy = busy.map(|hello| hello.heartbeat.busy_permille);
     let own = node.busy_permille.load(Ordering::Relaxed);
     let roomy = election::roomy(busy.chain([own]));
     let returns = |g: &rec::ShardLease| {
--- a/crates/simulator/src/detector_model.rs
+++ b/crates/simulator/src/detector_model.rs
@@ -198,9 +198,7 @@
         match act {
             Act::Greet(i, k) => self.greet(now, i, k),
             Act::Answer(i, hello) => self.detectors[i].record_response(now, *hello),
-            Act::Fail(i, k, contact) => {
-                self.detectors[i].record_probe_failure(now, &name(k), contact)
-            }
+            Act::Fail(i, k, contact) => self.detectors[i].record_probe_failure(&name(k), contact),
             Act::Judge(i) => {
                 let own = LocalHealth {
                     recent_lag_s: self.late(i, now),
--- a/crates/simulator/src/failover.rs
+++ b/crates/simulator/src/failover.rs
@@ -175,19 +175,16 @@
     fn standings(&mut self, i: usize, node: &Arc<Controller>) {
         let own = election::own(node);
         let told = lock(&node.detector).statuses(node.uptime_s(), own);
-        for peer in told
-            .into_iter()
-            .filter(|p| p.standing != PeerHealth::Healthy)
-        {
+        for peer in told.into_iter().filter(|p| p.health != PeerHealth::Healthy) {
             let number = peer.member.trim_start_matches("node-").parse().unwrap_or(0);
             if self.failed.contains(&number) {
                 let after = Some(self.began.elapsed());
                 self.suspected = self.suspected.or(after);
-                if peer.standing == PeerHealth::Failed {
+                if peer.health == PeerHealth::Failed {
                     self.judged = self.judged.or(after);
                 }
-            } else if peer.standing == PeerHealth::Failed
-                && peer.why != Some(SuspicionReason::LeaseExpired)
+            } else if peer.health == PeerHealth::Failed
+                && peer.reason != Some(SuspicionReason::LeaseExpired)
             {
                 let since = ((node.uptime_s() - peer.since_s) * 2.0) as u64;
                 self.accused.insert((i, peer.member, since));
