--- a/crates/clients/src/http.rs
+++ b/crates/clients/src/http.rs
@@ -1,19 +1,20 @@
-//! HTTP/1.1 with kept connections, one request at a time on each.
+//! An HTTP/1.1 client that keeps connections alive, with one request at a time on each.
+
+mod connection;
 
 use crate::idle_connections::IdleConnections;
 use bytes::Bytes;
-use http_body_util::{BodyExt, Full};
-use hyper::client::conn::http1::{SendRequest, handshake};
-use hyper::{Method, Request, StatusCode};
-use hyper_util::rt::TokioIo;
+use connection::Connection;
+use hyper::{Method, StatusCode};
 use serde::de::DeserializeOwned;
 use std::future::Future;
 use std::net::SocketAddr;
 use std::pin::Pin;
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
-use tokio::net::TcpStream;
+use tokio::time::{Instant, timeout_at};
 
+/// Why a call has no usable response, and whether the other side may have acted on it.
 #[derive(Debug, Clone, thiserror::Error)]
 pub enum Error {
     /// Nothing was sent: the other side can't have acted.
@@ -28,170 +29,209 @@
     /// Answered with this status, and so not carried out.
     #[error("status {0}")]
     Status(u16),
+    /// The response's body exceeds what is held in memory.
     #[error("the answer is too large")]
     ResponseTooLarge,
 }
 
 impl Error {
+    /// The status, if that is what the call failed by.
     pub fn status(&self) -> Option<u16> {
         match self {
-            Error::Status(s) => Some(*s),
+            Error::Status(status) => Some(*status),
             _ => None,
         }
     }
+
+    fn unanswered(error: impl std::fmt::Display) -> Error {
+        Error::Unanswered(error.to_string())
+    }
+
+    fn timed_out() -> Error {
+        Error::Unanswered("timed out".into())
+    }
 }
 
-type Connection = SendRequest<Full<Bytes>>;
+/// A request, and how long its caller waits for the response.
+#[derive(Debug)]
+pub struct Request<'a> {
+    /// The server.
+    pub address: SocketAddr,
+    /// The HTTP method.
+    pub method: Method,
+    /// Path and query.
+    pub path: &'a str,
+    /// The body; empty for none.
+    pub body: Vec<u8>,
+    /// For connecting, sending and receiving together.
+    pub timeout: Duration,
+}
 
-/// What an exchange comes to: a status and a body, or nothing.
-pub type Exchange = Pin<Box<dyn Future<Output = Result<(u16, Vec<u8>), Error>> + Send>>;
+/// A response of any status.
+#[derive(Debug)]
+pub struct Response {
+    /// The HTTP status.
+    pub status: StatusCode,
+    /// The whole body.
+    pub body: Bytes,
+}
+
+impl Response {
+    /// Whether a text occurs in the body: some refusals differ by nothing else.
+    pub fn body_contains(&self, text: &str) -> bool {
+        self.body.windows(text.len()).any(|w| w == text.as_bytes())
+    }
+
+    /// Reads the body as JSON.
+    ///
+    /// # Errors
+    ///
+    /// [`Error::Unanswered`] if it is not JSON of that type.
+    pub fn json<T: DeserializeOwned>(&self) -> Result<T, Error> {
+        serde_json::from_slice(&self.body).map_err(Error::unanswered)
+    }
+}
+
+/// What a [`Transport`] receives.
+#[derive(Debug)]
+pub struct TransportResponse {
+    /// The HTTP status.
+    pub status: u16,
+    /// The whole body.
+    pub body: Vec<u8>,
+}
+
+/// A call over a [`Transport`] that is under way.
+pub type Exchange = Pin<Box<dyn Future<Output = Result<TransportResponse, Error>> + Send>>;
 
 /// Another way to reach addresses than TCP: for tests.
 pub trait Transport: Send + Sync {
+    /// Sends a request. The caller may drop the exchange when its time is over.
     fn call(&self, to: SocketAddr, method: Method, path: String, body: Vec<u8>) -> Exchange;
 }
 
+/// The client. Clones share their idle connections.
 #[derive(Clone)]
 pub struct HttpClient {
-    other: Option<Arc<dyn Transport>>,
+    transport: Option<Arc<dyn Transport>>,
     idle: Arc<Mutex<IdleConnections<Connection>>>,
 }
 
-/// Answers larger than this are dropped rather than held in memory.
-const MAX_ANSWER: usize = 16 << 20;
-
 impl HttpClient {
-    /// Keeps at most so many connections that are not in use.
-    pub fn new(kept: usize) -> HttpClient {
+    /// A client that keeps at most so many idle connections.
+    pub fn new(max_idle: usize) -> HttpClient {
         HttpClient {
-            other: None,
-            idle: Arc::new(Mutex::new(IdleConnections::new(kept))),
+            transport: None,
+            idle: Arc::new(Mutex::new(IdleConnections::new(max_idle))),
         }
     }
 
-    pub fn over(transport: Arc<dyn Transport>) -> HttpClient {
+    /// A client that opens no connections and calls a transport instead.
+    pub fn with_transport(transport: Arc<dyn Transport>) -> HttpClient {
         HttpClient {
-            other: Some(transport),
+            transport: Some(transport),
             ..HttpClient::new(0)
         }
     }
 
-    pub async fn call(
-        &self,
-        address: SocketAddr,
-        method: Method,
-        path: &str,
-        body: Vec<u8>,
-        timeout: Duration,
-    ) -> Result<(StatusCode, Bytes), Error> {
-        let deadline = tokio::time::Instant::now() + timeout;
-        if let Some(other) = &self.other {
-            let call = other.call(address, method, path.to_string(), body);
-            let answer = tokio::time::timeout_at(deadline, call).await;
-            let (status, body) = answer.map_err(|_| Error::Unanswered("timed out".into()))??;
-            let status =
-                StatusCode::from_u16(status).map_err(|e| Error::Unanswered(e.to_string()))?;
-            return Ok((status, Bytes::from(body)));
+    /// Sends a request and returns the response, whatever its status.
+    ///
+    /// # Errors
+    ///
+    /// All but [`Error::Status`].
+    pub async fn call(&self, request: Request<'_>) -> Result<Response, Error> {
+        let deadline = Instant::now() + request.timeout;
+        match &self.transport {
+            Some(transport) => call_transport(transport.as_ref(), request, deadline).await,
+            None => self.call_tcp(request, deadline).await,
+        }
+    }
+
+    /// Sends a request whose response is JSON with status 200.
+    ///
+    /// # Errors
+    ///
+    /// [`Error::Status`] for any other status; [`Error::Unanswered`] if the body can't
+    /// be read; else as [`HttpClient::call`].
+    pub async fn json<T: DeserializeOwned>(&self, request: Request<'_>) -> Result<T, Error> {
+        let response = self.call(request).await?;
+        if response.status != StatusCode::OK {
+            return Err(Error::Status(response.status.as_u16()));
         }
-        let mut sender = match self.take(address) {
-            Some(sender) => sender,
-            None => tokio::time::timeout_at(deadline, connect(address))
+        response.json()
+    }
+
+    async fn call_tcp(&self, request: Request<'_>, deadline: Instant) -> Result<Response, Error> {
+        let address = request.address;
+        let mut connection = match self.idle_connection(address) {
+            Some(connection) => connection,
+            None => timeout_at(deadline, connection::connect(address))
                 .await
                 .map_err(|_| Error::NotSent("connecting timed out".into()))??,
         };
-        let request = Request::builder()
-            .method(method)
-            .uri(path)
-            .header("host", address.to_string())
-            .header("content-type", "application/json")
-            .body(Full::new(Bytes::from(body)))
-            .map_err(|e| Error::NotSent(e.to_string()))?;
-        let exchange = async {
-            let response = sender.send_request(request).await?;
-            let status = response.status();
-            let body = http_body_util::Limited::new(response.into_body(), MAX_ANSWER);
-            let body = body.collect().await.map(|b| b.to_bytes());
-            Ok::<_, hyper::Error>((status, body, sender))
+        let exchange = connection::send(&mut connection, request);
+        let response = match timeout_at(deadline, exchange).await {
+            Ok(response) => response?,
+            Err(_) => return Err(Error::timed_out()),
         };
-        match tokio::time::timeout_at(deadline, exchange).await {
-            Err(_) => Err(Error::Unanswered("timed out".into())),
-            Ok(Err(e)) => Err(Error::Unanswered(e.to_string())),
-            Ok(Ok((status, body, sender))) => {
-                let body = body.map_err(|e| match e.is::<http_body_util::LengthLimitError>() {
-                    true => Error::ResponseTooLarge,
-                    false => Error::Unanswered(e.to_string()),
-                })?;
-                self.put(address, sender);
-                Ok((status, body))
-            }
-        }
+        self.keep(address, connection);
+        Ok(response)
     }
 
-    /// A call whose answer is JSON with status 200.
-    pub async fn json<T: DeserializeOwned>(
-        &self,
-        address: SocketAddr,
-        method: Method,
-        path: &str,
-        body: Vec<u8>,
-        timeout: Duration,
-    ) -> Result<T, Error> {
-        let (status, body) = self.call(address, method, path, body, timeout).await?;
-        if status != StatusCode::OK {
-            return Err(Error::Status(status.as_u16()));
-        }
-        serde_json::from_slice(&body).map_err(|e| Error::Unanswered(e.to_string()))
+    fn idle(&self) -> MutexGuard<'_, IdleConnections<Connection>> {
+        self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn take(&self, address: SocketAddr) -> Option<Connection> {
-        let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        while let Some(sender) = idle.take(address) {
-            if sender.is_ready() && !sender.is_closed() {
-                return Some(sender);
+    fn idle_connection(&self, address: SocketAddr) -> Option<Connection> {
+        let mut idle = self.idle();
+        while let Some(connection) = idle.take(address) {
+            if connection.is_ready() && !connection.is_closed() {
+                return Some(connection);
             }
         }
         None
     }
 
-    fn put(&self, address: SocketAddr, sender: Connection) {
-        if sender.is_closed() {
-            return;
+    fn keep(&self, address: SocketAddr, connection: Connection) {
+        if !connection.is_closed() {
+            self.idle().put(address, connection);
         }
-        let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        idle.put(address, sender);
     }
 
-    /// Drops kept connections to an address that may be dead.
-    pub fn forget(&self, address: SocketAddr) {
-        let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        idle.forget(address);
+    /// Closes idle connections to an address that may be dead.
+    pub fn drop_idle(&self, address: SocketAddr) {
+        self.idle().remove_all(address);
     }
 }
 
-async fn connect(address: SocketAddr) -> Result<Connection, Error> {
-    let failed = |e: &dyn std::fmt::Display| Error::NotSent(e.to_string());
-    let stream = TcpStream::connect(address)
-        .await
-        .map_err(|e| match e.kind() {
-            std::io::ErrorKind::ConnectionRefused => Error::ConnectionRefused,
-            _ => failed(&e),
-        })?;
-    let _ = stream.set_nodelay(true);
-    let (sender, connection) = handshake(TokioIo::new(stream))
+async fn call_transport(
+    transport: &dyn Transport,
+    request: Request<'_>,
+    deadline: Instant,
+) -> Result<Response, Error> {
+    let path = request.path.to_string();
+    let exchange = transport.call(request.address, request.method, path, request.body);
+    let response = timeout_at(deadline, exchange)
         .await
-        .map_err(|e| failed(&e))?;
-    tokio::spawn(async move {
-        let _ = connection.await;
-    });
-    Ok(sender)
+        .map_err(|_| Error::timed_out())??;
+    Ok(Response {
+        status: StatusCode::from_u16(response.status).map_err(Error::unanswered)?,
+        body: Bytes::from(response.body),
+    })
 }
 
-/// Reads an address that another program gave; nonsense is no address.
-pub fn address(text: &str) -> Result<SocketAddr, Error> {
+/// Reads an address that another program gave.
+///
+/// # Errors
+///
+/// [`Error::NotSent`] if it is not `IP:port`.
+pub fn parse_address(text: &str) -> Result<SocketAddr, Error> {
     text.parse()
         .map_err(|_| Error::NotSent(format!("{text:?} is not IP:port")))
 }
 
-pub fn body(value: &impl serde::Serialize) -> Vec<u8> {
+/// A value as a JSON body.
+pub fn json_body(value: &impl serde::Serialize) -> Vec<u8> {
+    // Writing to memory fails only for types that JSON can't hold; ours it can.
     serde_json::to_vec(value).unwrap_or_default()
 }
--- a/crates/clients/src/idle_connections.rs
+++ b/crates/clients/src/idle_connections.rs
@@ -1,115 +1,112 @@
-//! Connections kept for later, few for an address and not many in all.
+//! A pool of idle connections, bounded per address and in all.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
 
 /// Idle connections kept for one address; more would only hold sockets.
-const EACH: usize = 8;
+const MAX_PER_ADDRESS: usize = 8;
 
-/// What is kept. A controller speaks to thousands of workers, to each of them
-/// rarely, and a connection holds some 25 KB: the longest unused give way.
+/// The order is compacted when it holds so many times the connections that can be kept.
+const MAX_ORDER_FACTOR: usize = 4;
+
+struct IdleConnection<T> {
+    id: u64,
+    connection: T,
+}
+
+struct OrderEntry {
+    address: SocketAddr,
+    id: u64,
+}
+
+/// The pool. A controller calls thousands of workers, each of them rarely, and a
+/// connection holds some 25 KB: the least recently used are dropped.
 pub struct IdleConnections<T> {
-    most: usize,
-    kept: HashMap<SocketAddr, Vec<(u64, T)>>,
-    /// In the order of their coming; those taken meanwhile are still in it.
-    order: VecDeque<(SocketAddr, u64)>,
-    next: u64,
+    capacity: usize,
+    by_address: HashMap<SocketAddr, Vec<IdleConnection<T>>>,
+    /// In the order of their arrival; those taken meanwhile are still in it.
+    order: VecDeque<OrderEntry>,
+    last_id: u64,
     len: usize,
 }
 
 impl<T> IdleConnections<T> {
-    pub fn new(most: usize) -> IdleConnections<T> {
+    /// An empty pool of at most so many connections.
+    pub fn new(capacity: usize) -> IdleConnections<T> {
         IdleConnections {
-            most,
-            kept: HashMap::new(),
+            capacity,
+            by_address: HashMap::new(),
             order: VecDeque::new(),
-            next: 0,
+            last_id: 0,
             len: 0,
         }
     }
 
-    /// The one that came last for an address.
+    /// Takes the connection to an address that was used last.
     pub fn take(&mut self, address: SocketAddr) -> Option<T> {
-        let list = self.kept.get_mut(&address)?;
-        let (_, one) = list.pop()?;
+        let connections = self.by_address.get_mut(&address)?;
+        let idle = connections.pop()?;
         self.len -= 1;
-        if list.is_empty() {
-            self.kept.remove(&address);
+        if connections.is_empty() {
+            self.by_address.remove(&address);
         }
-        Some(one)
+        Some(idle.connection)
     }
 
-    pub fn put(&mut self, address: SocketAddr, one: T) {
-        let list = self.kept.entry(address).or_default();
-        if list.len() >= EACH {
+    /// Keeps a connection, unless there are enough to that address.
+    pub fn put(&mut self, address: SocketAddr, connection: T) {
+        let connections = self.by_address.entry(address).or_default();
+        if connections.len() >= MAX_PER_ADDRESS {
             return;
         }
-        self.next += 1;
-        list.push((self.next, one));
+        self.last_id += 1;
+        let id = self.last_id;
+        connections.push(IdleConnection { id, connection });
         self.len += 1;
-        self.order.push_back((address, self.next));
-        while self.len > self.most {
-            let Some((address, id)) = self.order.pop_front() else {
+        self.order.push_back(OrderEntry { address, id });
+        self.evict();
+        self.compact_order();
+    }
+
+    fn evict(&mut self) {
+        while self.len > self.capacity {
+            let Some(oldest) = self.order.pop_front() else {
                 break;
             };
-            self.remove(address, id);
+            self.remove(&oldest);
         }
-        if self.order.len() > 4 * self.len.max(self.most) {
-            let kept = &self.kept;
-            let there = |a: &SocketAddr, id: u64| kept.get(a).is_some_and(|l| has(l, id));
-            self.order.retain(|(address, id)| there(address, *id));
+    }
+
+    fn compact_order(&mut self) {
+        if self.order.len() <= MAX_ORDER_FACTOR * self.len.max(self.capacity) {
+            return;
         }
+        let by_address = &self.by_address;
+        self.order.retain(|entry| {
+            by_address
+                .get(&entry.address)
+                .is_some_and(|connections| connections.iter().any(|idle| idle.id == entry.id))
+        });
     }
 
-    fn remove(&mut self, address: SocketAddr, id: u64) {
-        let Some(list) = self.kept.get_mut(&address) else {
+    fn remove(&mut self, entry: &OrderEntry) {
+        let Some(connections) = self.by_address.get_mut(&entry.address) else {
             return;
         };
-        let before = list.len();
-        list.retain(|(i, _)| *i != id);
-        self.len -= before - list.len();
-        if list.is_empty() {
-            self.kept.remove(&address);
+        let before = connections.len();
+        connections.retain(|idle| idle.id != entry.id);
+        self.len -= before - connections.len();
+        if connections.is_empty() {
+            self.by_address.remove(&entry.address);
         }
     }
 
-    /// Drops all that is kept for an address.
-    pub fn forget(&mut self, address: SocketAddr) {
-        self.len -= self.kept.remove(&address).map_or(0, |list| list.len());
+    /// Drops all connections to an address.
+    pub fn remove_all(&mut self, address: SocketAddr) {
+        let removed = self.by_address.remove(&address);
+        self.len -= removed.map_or(0, |connections| connections.len());
     }
 }
 
-fn has<T>(list: &[(u64, T)], id: u64) -> bool {
-    list.iter().any(|(i, _)| *i == id)
-}
-
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// With one controller left for 2,100 workers, a connection kept to each of
-    /// them would have taken its memory.
-    #[test]
-    fn the_longest_unused_give_way() {
-        let address = |n: u16| SocketAddr::from(([10, 0, 0, 1], n));
-        let mut idle = IdleConnections::new(100);
-        for round in 0..50 {
-            for n in 0..1000 {
-                idle.put(address(n), (round, n));
-            }
-            // One that is used all the time is there all the time.
-            let busy = idle.take(address(999)).unwrap();
-            idle.put(address(999), busy);
-        }
-        assert_eq!(idle.len, 100);
-        assert!(idle.order.len() <= 400);
-        assert_eq!(idle.take(address(0)), None);
-        assert_eq!(idle.take(address(998)), Some((49, 998)));
-        (0..20).for_each(|n| idle.put(address(7), (n, 7)));
-        let all: Vec<_> = std::iter::from_fn(|| idle.take(address(7))).collect();
-        assert_eq!(all.len(), EACH);
-        idle.put(address(7), (0, 7));
-        idle.forget(address(7));
-        assert_eq!(idle.take(address(7)), None);
-    }
-}
+mod tests;
--- a/crates/clients/src/lib.rs
+++ b/crates/clients/src/lib.rs
@@ -1,4 +1,6 @@
-//! Clients of the services around rushwalk: state, cloud, workers, mesh.
+//! Clients of the services around rushwalk: the store, the cloud, workers and peers.
+
+#![deny(missing_docs)]
 
 pub mod cloud;
 pub mod http;
--- a/crates/clients/src/store.rs
+++ b/crates/clients/src/store.rs
@@ -1,13 +1,22 @@
-//! The state service's client.
+//! The consensus-backed key-value store: list, watch, conditional transactions, leases.
 
-use crate::http::{Error, HttpClient, body};
+use crate::http::{Error, HttpClient, Request, Response, json_body};
 use hyper::Method;
 use rushwalk_protocol::store::{
     CommitResponse, KeyValuePage, LeaseGranted, LeaseRequest, Transaction, WatchResponse,
 };
+use serde::de::DeserializeOwned;
 use std::net::SocketAddr;
 use std::time::Duration;
 
+/// Entries asked for in a page of a list.
+const PAGE_SIZE: usize = 1000;
+
+const LIST_TIMEOUT: Duration = Duration::from_secs(5);
+
+const GRANT_TIMEOUT: Duration = Duration::from_secs(2);
+
+/// Calls to the store. Rates are its callers' affair.
 #[derive(Clone)]
 pub struct StoreClient {
     http: HttpClient,
@@ -17,97 +26,125 @@
 /// What became of a transaction.
 #[derive(Debug, Clone)]
 pub enum CommitOutcome {
+    /// Carried out, as this revision.
     Committed(u64),
     /// A condition did not hold: nothing was changed.
     Conflict,
-    /// A lease named in it has ended.
+    /// A lease named in it has expired.
     LeaseExpired,
     /// Refused for now (429, 503), or never sent.
     Rejected(Error),
-    /// No answer: it may have been carried out, or may still be.
+    /// No response: it may have been carried out, or may still be.
     Unanswered(Error),
 }
 
 impl StoreClient {
+    /// A client of the store at an address.
     pub fn new(http: HttpClient, address: SocketAddr) -> Self {
         StoreClient { http, address }
     }
 
+    /// Lists a page of the keys under `prefix`, those after the key `since`.
+    ///
+    /// # Errors
+    ///
+    /// As [`HttpClient::json`].
     pub async fn list(&self, prefix: &str, since: &str) -> Result<KeyValuePage, Error> {
-        let path = format!("/store?under={prefix}&since={since}&limit=1000");
-        self.get(&path, Duration::from_secs(5)).await
+        let path = format!("/store?under={prefix}&since={since}&limit={PAGE_SIZE}");
+        self.get(&path, LIST_TIMEOUT).await
     }
 
-    async fn get<T: serde::de::DeserializeOwned>(
-        &self,
-        path: &str,
-        timeout: Duration,
-    ) -> Result<T, Error> {
-        self.http
-            .json(self.address, Method::GET, path, Vec::new(), timeout)
-            .await
-    }
-
-    /// Waits up to `block` for changes after `since`.
+    /// Waits up to `block` for changes under `prefix` after the revision `since`, and for
+    /// `grace` longer for the response.
+    ///
+    /// # Errors
+    ///
+    /// As [`HttpClient::json`]; [`Error::Status`] also if `since` is too old.
     pub async fn watch(
         &self,
         prefix: &str,
         since: u64,
         block: Duration,
-        patience: Duration,
+        grace: Duration,
     ) -> Result<WatchResponse, Error> {
-        let path = format!(
-            "/changes?under={prefix}&since={since}&blockMs={}",
-            block.as_millis()
-        );
-        self.get(&path, block + patience).await
+        let block_ms = block.as_millis();
+        let path = format!("/changes?under={prefix}&since={since}&blockMs={block_ms}");
+        self.get(&path, block + grace).await
     }
 
-    pub async fn commit(&self, txn: &Transaction, timeout: Duration) -> CommitOutcome {
-        let call = self
-            .http
-            .call(self.address, Method::POST, "/commit", body(txn), timeout);
-        match call.await {
-            Ok((status, bytes)) => match status.as_u16() {
-                200 => match serde_json::from_slice::<CommitResponse>(&bytes) {
-                    Ok(done) => CommitOutcome::Committed(done.revision),
-                    Err(e) => CommitOutcome::Unanswered(Error::Unanswered(e.to_string())),
-                },
-                409 => CommitOutcome::Conflict,
-                400 if bytes.windows(5).any(|w| w == b"lease") => CommitOutcome::LeaseExpired,
-                other => CommitOutcome::Rejected(Error::Status(other)),
-            },
-            Err(e @ (Error::NotSent(_) | Error::ConnectionRefused)) => CommitOutcome::Rejected(e),
-            Err(e) => CommitOutcome::Unanswered(e),
+    /// Carries out a transaction if all of its conditions hold.
+    pub async fn commit(&self, transaction: &Transaction, timeout: Duration) -> CommitOutcome {
+        let request = self.request(Method::POST, "/commit", json_body(transaction), timeout);
+        match self.http.call(request).await {
+            Ok(response) => commit_outcome(&response),
+            Err(error @ (Error::NotSent(_) | Error::ConnectionRefused)) => {
+                CommitOutcome::Rejected(error)
+            }
+            Err(error) => CommitOutcome::Unanswered(error),
         }
     }
 
+    /// Grants a lease and returns its id.
+    ///
+    /// # Errors
+    ///
+    /// As [`HttpClient::json`].
     pub async fn grant_lease(&self, ttl: Duration) -> Result<u64, Error> {
-        let request = LeaseRequest {
+        let body = json_body(&LeaseRequest {
             ttl_ms: ttl.as_millis() as u64,
-        };
-        let granted: LeaseGranted = self
-            .http
-            .json(
-                self.address,
-                Method::POST,
-                "/leases",
-                body(&request),
-                Duration::from_secs(2),
-            )
-            .await?;
+        });
+        let request = self.request(Method::POST, "/leases", body, GRANT_TIMEOUT);
+        let granted: LeaseGranted = self.http.json(request).await?;
         Ok(granted.lease)
     }
 
+    /// Renews a lease.
+    ///
+    /// # Errors
+    ///
+    /// [`Error::Status`] if the store did not, as for one that has expired; else as
+    /// [`HttpClient::call`].
     pub async fn renew_lease(&self, lease: u64, timeout: Duration) -> Result<(), Error> {
         let path = format!("/leases/{lease}/touch");
-        let call = self
-            .http
-            .call(self.address, Method::POST, &path, Vec::new(), timeout);
-        let (status, _) = call.await?;
-        match status.is_success() {
-            true => Ok(()),
-            false => Err(Error::Status(status.as_u16())),
+        let request = self.request(Method::POST, &path, Vec::new(), timeout);
+        let response = self.http.call(request).await?;
+        if response.status.is_success() {
+            Ok(())
+        } else {
+            Err(Error::Status(response.status.as_u16()))
         }
     }
+
+    async fn get<T: DeserializeOwned>(&self, path: &str, timeout: Duration) -> Result<T, Error> {
+        let request = self.request(Method::GET, path, Vec::new(), timeout);
+        self.http.json(request).await
+    }
+
+    fn request<'a>(
+        &self,
+        method: Method,
+        path: &'a str,
+        body: Vec<u8>,
+        timeout: Duration,
+    ) -> Request<'a> {
+        Request {
+            address: self.address,
+            method,
+            path,
+            body,
+            timeout,
+        }
+    }
+}
+
+fn commit_outcome(response: &Response) -> CommitOutcome {
+    match response.status.as_u16() {
+        200 => match response.json::<CommitResponse>() {
+            Ok(committed) => CommitOutcome::Committed(committed.revision),
+            Err(error) => CommitOutcome::Unanswered(error),
+        },
+        409 => CommitOutcome::Conflict,
+        400 if response.body_contains("lease") => CommitOutcome::LeaseExpired,
+        other => CommitOutcome::Rejected(Error::Status(other)),
+    }
 }
--- a/crates/rushwalk/src/controller.rs
+++ b/crates/rushwalk/src/controller.rs
@@ -228,8 +228,8 @@
         settings: Settings,
         http: HttpClient,
     ) -> Result<Arc<Controller>, rushwalk_clients::Error> {
-        let state: SocketAddr = rushwalk_clients::http::address(&settings.endpoints.store)?;
-        let cloud: SocketAddr = rushwalk_clients::http::address(&settings.endpoints.cloud)?;
+        let state: SocketAddr = rushwalk_clients::http::parse_address(&settings.endpoints.store)?;
+        let cloud: SocketAddr = rushwalk_clients::http::parse_address(&settings.endpoints.cloud)?;
         let times = Timing::new(&settings);
         let now = Instant::now();
         // All controllers share the limit; a tenth is left for misjudgement.
@@ -430,10 +430,10 @@
                     WritePriority::WorkKind => 2.0,
                     WritePriority::Maintenance => 4.0,
                 };
-                if budget.try_take(cost, reserve, now) {
+                if budget.try_acquire(cost, reserve, now) {
                     break;
                 }
-                budget.time_until(cost, reserve, now)
+                budget.time_until_available(cost, reserve, now)
             };
             if started.elapsed() + wait > patience {
                 return CommitOutcome::Rejected(rushwalk_clients::Error::Status(429));
--- a/crates/rushwalk/src/http/admin.rs
+++ b/crates/rushwalk/src/http/admin.rs
@@ -128,10 +128,16 @@
 
 /// `rushwalk admin`: asks a controller and prints its answer.
 pub async fn ask(address: &str, path: &str) -> Result<String, String> {
-    let to = rushwalk_clients::http::address(address).map_err(|e| e.to_string())?;
-    let patience = Duration::from_secs(5);
+    let to = rushwalk_clients::http::parse_address(address).map_err(|e| e.to_string())?;
+    let request = rushwalk_clients::http::Request {
+        address: to,
+        method: Method::GET,
+        path,
+        body: Vec::new(),
+        timeout: Duration::from_secs(5),
+    };
     let answer: serde_json::Value = HttpClient::new(0)
-        .json(to, Method::GET, path, Vec::new(), patience)
+        .json(request)
         .await
         .map_err(|e| format!("{address}: {e}"))?;
     serde_json::to_string_pretty(&answer).map_err(|e| e.to_string())
--- a/crates/rushwalk/src/http/users.rs
+++ b/crates/rushwalk/src/http/users.rs
@@ -61,7 +61,7 @@
 /// Refused for want of changes: come back when the budget will have some.
 fn too_many(node: &Controller) -> Response {
     node.rejected_requests.fetch_add(1, Ordering::Relaxed);
-    let wait = lock(&node.write_budget).time_until(1.0, 0.0, Instant::now());
+    let wait = lock(&node.write_budget).time_until_available(1.0, 0.0, Instant::now());
     refuse_until(StatusCode::TOO_MANY_REQUESTS, "too many requests", wait)
 }
 
--- a/crates/rushwalk/src/shards/ownership.rs
+++ b/crates/rushwalk/src/shards/ownership.rs
@@ -542,8 +542,8 @@
     let worker = reports.session_mut(&name);
     worker.call_in_flight = false;
     match result {
-        Ok((_, report)) => {
-            worker.apply_heartbeat(&report, false);
+        Ok(response) => {
+            worker.apply_heartbeat(&response.heartbeat, false);
             reports.shard_last_heard.insert(block, Instant::now());
         }
         Err(Error::Unanswered(error)) => {
@@ -576,7 +576,7 @@
             commands: Vec::new(),
         };
         let answer = node.workers.command(&address, &empty, patience).await;
-        result = answer.map(|(_, report)| report);
+        result = answer.map(|response| response.heartbeat);
     }
     let mut reports = lock(&node.workers_seen);
     reports.changed.insert(name.clone());
--- a/crates/simulator/src/cluster.rs
+++ b/crates/simulator/src/cluster.rs
@@ -230,7 +230,8 @@
             node: i,
             alive: alive.clone(),
         };
-        let node = Controller::new(self.settings(i), HttpClient::over(Arc::new(link))).unwrap();
+        let node =
+            Controller::new(self.settings(i), HttpClient::with_transport(Arc::new(link))).unwrap();
         let public = users::routes(node.clone()).map_to_response().boxed();
         let between = peers::routes(node.clone()).map_to_response().boxed();
         self.world.clear(Fault::Dead(i));
--- a/crates/testkit/src/platform.rs
+++ b/crates/testkit/src/platform.rs
@@ -5,7 +5,7 @@
 use crate::worker::{Worker, live};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
-use rushwalk_clients::http::{Exchange, Transport};
+use rushwalk_clients::http::{Exchange, Transport, TransportResponse};
 use rushwalk_clients::{Error, Method};
 use rushwalk_protocol::cloud::{MachineNames, RentRequest};
 use rushwalk_protocol::store::{LeaseRequest, Transaction};
@@ -752,7 +752,7 @@
         });
         Box::pin(async move {
             match told.await {
-                Ok(answer) => answer,
+                Ok(answer) => answer.map(|(status, body)| TransportResponse { status, body }),
                 Err(_) => {
                     sleep(Duration::from_secs(60)).await;
                     Err(Error::Unanswered("no answer".into()))
