--- a/crates/failure-detector/src/reachability.rs
+++ b/crates/failure-detector/src/reachability.rs
@@ -5,6 +5,7 @@
 //! that shard turn up at another controller. Silence alone may be the machines' own
 //! fault; workers that turn up alone may have lost a single response.
 
+use rushwalk_protocol::peers::MisroutedCount;
 use std::collections::BTreeMap;
 
 /// A worker's heartbeat comes at most so many intervals after the one before.
@@ -100,14 +101,17 @@
 
     /// The number of workers of each shard in the last `window_s` seconds; older ones are
     /// dropped.
-    pub fn counts(&mut self, now_s: f64, window_s: f64) -> Vec<(String, u32)> {
+    pub fn counts(&mut self, now_s: f64, window_s: f64) -> Vec<MisroutedCount> {
         self.shards.retain(|_, misrouted| {
             misrouted.machines.retain(|_, at| now_s - *at < window_s);
             !misrouted.machines.is_empty()
         });
         self.shards
             .iter()
-            .map(|(shard, misrouted)| (shard.clone(), misrouted.machines.len() as u32))
+            .map(|(shard, misrouted)| MisroutedCount {
+                shard: shard.clone(),
+                workers: misrouted.machines.len() as u32,
+            })
             .collect()
     }
 }
--- a/crates/failure-detector/src/reachability/tests.rs
+++ b/crates/failure-detector/src/reachability/tests.rs
@@ -36,8 +36,12 @@
     misrouted.record(1.0, "east", 7, "i-1");
     misrouted.record(2.0, "east", 7, "i-1");
     misrouted.record(2.0, "east", 7, "i-2");
-    assert_eq!(misrouted.counts(3.0, 8.0), [("east".to_string(), 2)]);
+    let count = |workers| MisroutedCount {
+        shard: "east".to_string(),
+        workers,
+    };
+    assert_eq!(misrouted.counts(3.0, 8.0), [count(2)]);
     misrouted.record(4.0, "east", 9, "i-1");
-    assert_eq!(misrouted.counts(4.0, 8.0), [("east".to_string(), 1)]);
+    assert_eq!(misrouted.counts(4.0, 8.0), [count(1)]);
     assert!(misrouted.counts(13.0, 8.0).is_empty());
 }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -4,13 +4,16 @@
 //! only, as serde renames. Everything here is plain data that a client of the
 //! service can use as well.
 
+#![deny(missing_docs)]
+
 pub mod cloud;
 pub mod jobs;
 pub mod peers;
+#[allow(missing_docs)]
 pub mod records;
 pub mod settings;
 pub mod store;
 pub mod worker;
 
-/// Largest request body that any interface accepts.
+/// Largest request body that any interface accepts, in bytes.
 pub const MAX_BODY: usize = 64 * 1024;
--- a/crates/protocol/src/peers.rs
+++ b/crates/protocol/src/peers.rs
@@ -1,95 +1,128 @@
-//! What controllers tell each other: CBOR over HTTP. Nothing relies on it.
+//! Messages between controllers: CBOR over HTTP. Safety relies on none of them.
 
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 
-/// One controller's condition, exchanged a few times a second. Fields that came
-/// later may be missing.
+/// Nesting of CBOR values that is read: a malformed message must not exhaust the stack.
+const MAX_DEPTH: usize = 32;
+
+/// One controller's condition, exchanged a few times a second. Fields added by later
+/// versions may be missing.
 #[derive(Debug, Clone, Default, Serialize, Deserialize, PartialEq)]
 pub struct PeerHeartbeat {
+    /// The sender's name as a member.
     pub member: String,
-    /// Milliseconds since the state service last answered this node.
+    /// Milliseconds since the store last answered the sender.
     #[serde(rename = "state_age_ms")]
     pub staleness_ms: u64,
-    /// The newest revision that this node has seen.
+    /// The newest revision of the store that the sender has seen.
     pub revision: u64,
-    /// One per process; 0 if it isn't told.
+    /// The sender's process; 0 if it does not tell.
     #[serde(default)]
     #[serde(rename = "nonce")]
     pub incarnation: u64,
-    /// How late its timers are in the mean of a round, in milliseconds.
+    /// The sender's event-loop lag in the mean of a round, in milliseconds.
     #[serde(default)]
     #[serde(rename = "late_ms")]
     pub lag_ms: u64,
-    /// The share of time in which its thread was busy of late, in thousandths.
+    /// The share of time in which the sender's thread was busy of late, in thousandths.
     #[serde(default)]
     #[serde(rename = "busy")]
     pub busy_permille: u16,
-    /// If it leads, milliseconds since its last planning round was finished.
+    /// If the sender leads, milliseconds since it finished its last scheduling round.
     #[serde(default)]
     #[serde(rename = "planned_ms")]
     pub last_round_ms: Option<u64>,
-    /// And how far its rounds are apart in the mean, in milliseconds.
+    /// If the sender leads, the mean interval of its rounds, in milliseconds.
     #[serde(default)]
     #[serde(rename = "pace_ms")]
     pub round_interval_ms: u64,
-    /// What it knows of the other controllers at first hand.
+    /// What the sender itself has observed of the other controllers.
     #[serde(default)]
     #[serde(rename = "sights")]
     pub observations: Vec<PeerObservation>,
-    /// Blocks lent to it of whose machines it has heard none for longer than chance
-    /// allows.
+    /// Shards leased to the sender none of whose machines it has heard for longer than
+    /// chance explains.
     #[serde(default)]
     #[serde(rename = "deaf")]
     pub unreachable_shards: Vec<String>,
-    /// Workers of others' blocks that turned up at it of late, by block.
+    /// Workers of others' shards that sent heartbeats to the sender of late, by shard.
     #[serde(default)]
     #[serde(rename = "strays")]
-    pub misrouted_workers: Vec<(String, u32)>,
+    pub misrouted_workers: Vec<MisroutedCount>,
 }
 
-/// What one controller knows of another.
+/// What one controller has observed of another.
 #[derive(Debug, Clone, Default, Serialize, Deserialize, PartialEq)]
 pub struct PeerObservation {
+    /// The other's name as a member.
     pub member: String,
-    /// The process that it means.
+    /// The other's process.
     #[serde(rename = "nonce")]
     pub incarnation: u64,
-    /// Milliseconds since that process was heard of; none if never.
+    /// Milliseconds since that process was heard from; none if never.
     #[serde(rename = "heard_ms")]
     pub last_heard_ms: Option<u64>,
-    /// Its port refused the latest greetings.
+    /// Whether its port refused the latest heartbeats.
     pub refused: bool,
 }
 
-/// A node that can't read the state service asks for a job on a user's behalf.
+/// How many workers of another's shard sent heartbeats to a controller. Sent as a pair.
+#[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq)]
+#[serde(from = "(String, u32)", into = "(String, u32)")]
+pub struct MisroutedCount {
+    /// The shard.
+    pub shard: String,
+    /// The number of its workers.
+    pub workers: u32,
+}
+
+impl From<(String, u32)> for MisroutedCount {
+    fn from((shard, workers): (String, u32)) -> Self {
+        MisroutedCount { shard, workers }
+    }
+}
+
+impl From<MisroutedCount> for (String, u32) {
+    fn from(count: MisroutedCount) -> Self {
+        (count.shard, count.workers)
+    }
+}
+
+/// A controller that can't read the store asks for a job on a user's behalf.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct JobStatusQuery {
+    /// The job's id.
     #[serde(rename = "uid")]
     pub job: String,
 }
 
-/// The job as of a read made after the question; `None` if there is none.
+/// The job as of a read made after the query.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct JobStatusReply {
+    /// `None` if there is no such job.
     #[serde(rename = "state")]
     pub status: Option<crate::jobs::JobStatus>,
 }
 
-/// A user's change that a node can't commit itself: a submission, or the
-/// cancellation of a job.
+/// A user's request for a change that the receiving controller can't commit itself.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub enum ForwardedRequest {
+    /// A submission, with its body.
     Submit(Vec<u8>),
+    /// The cancellation of a job, with its id.
     Cancel(String),
 }
 
 /// What the peer would have answered that user.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct ForwardedResponse {
+    /// The HTTP status.
     pub status: u16,
+    /// The body.
     pub body: Vec<u8>,
 }
 
+/// Writes a message as CBOR.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     let mut out = Vec::new();
     // Writing to memory fails only for types CBOR cannot hold; ours it can.
@@ -97,47 +130,10 @@
     out
 }
 
+/// Reads a message; `None` if the bytes hold none of that type.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Option<T> {
-    // A bounded depth: a peer's nonsense must not exhaust the stack.
-    ciborium::de::from_reader_with_recursion_limit(bytes, 32).ok()
+    ciborium::de::from_reader_with_recursion_limit(bytes, MAX_DEPTH).ok()
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// A controller of the version before says less of itself.
-    #[test]
-    fn an_older_greeting_is_read() {
-        #[derive(Serialize)]
-        struct Older {
-            member: &'static str,
-            state_age_ms: u64,
-            revision: u64,
-        }
-        let older = Older {
-            member: "walker-0",
-            state_age_ms: 3,
-            revision: 9,
-        };
-        let hello: PeerHeartbeat = decode(&encode(&older)).unwrap();
-        assert_eq!(
-            (hello.revision, hello.incarnation, hello.last_round_ms),
-            (9, 0, None)
-        );
-    }
-
-    #[test]
-    fn garbage_is_no_message() {
-        let hello = PeerHeartbeat {
-            member: "walker-0".into(),
-            staleness_ms: 3,
-            revision: 9,
-            observations: vec![PeerObservation::default()],
-            ..PeerHeartbeat::default()
-        };
-        assert_eq!(decode(&encode(&hello)), Some(hello));
-        assert_eq!(decode::<PeerHeartbeat>(&[0xff, 0x00, 0x9f]), None);
-        assert_eq!(decode::<PeerHeartbeat>(&[0x9f; 4096]), None);
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/protocol/src/settings/validation.rs
@@ -0,0 +1,195 @@
+//! Checks of settings that the file's format can't express.
+
+use super::{
+    ProcessLimits, Settings, SettingsError, SiteSettings, StoreLimits, Team, WorkerTiming,
+};
+use std::collections::HashSet;
+use std::net::SocketAddr;
+
+/// In bytes.
+const MAX_NAME: usize = 100;
+
+/// A transaction of fewer operations can't hold what belongs together.
+const MIN_TXN_OPS: usize = 4;
+
+/// A worker's lease must cover so many heartbeats.
+const MIN_LEASE_HEARTBEATS: f64 = 3.0;
+
+type Checked = Result<(), SettingsError>;
+
+fn invalid(field: impl Into<String>, reason: impl Into<String>) -> Checked {
+    Err(SettingsError {
+        field: field.into(),
+        reason: reason.into(),
+    })
+}
+
+/// Names become parts of keys and of log lines.
+fn is_name(name: &str) -> bool {
+    !name.is_empty() && name.len() <= MAX_NAME && !name.contains(['/', ' '])
+}
+
+impl Settings {
+    pub(super) fn check(&self) -> Checked {
+        if !is_name(&self.member) {
+            return invalid("member", "must be a name without spaces or slashes");
+        }
+        self.check_peers()?;
+        self.check_addresses()?;
+        self.site.check()?;
+        if !self.site.zones.contains(&self.zone) {
+            return invalid("domain", format!("{} is not in settings.zones", self.zone));
+        }
+        Ok(())
+    }
+
+    fn check_peers(&self) -> Checked {
+        let mut names = HashSet::from([self.member.as_str()]);
+        for peer in &self.peers {
+            if !names.insert(&peer.member) {
+                return invalid("others.member", format!("{} is named twice", peer.member));
+            }
+        }
+        Ok(())
+    }
+
+    fn check_addresses(&self) -> Checked {
+        check_address("public_addr", &self.public_addr)?;
+        check_address("mesh_addr", &self.mesh_addr)?;
+        check_address("outside.cloud", &self.endpoints.cloud)?;
+        check_address("outside.state", &self.endpoints.store)?;
+        for peer in &self.peers {
+            check_address(&format!("others.{}.endpoint", peer.member), &peer.endpoint)?;
+        }
+        if self.public_addr == self.mesh_addr {
+            return invalid("mesh_addr", "must differ from public_addr");
+        }
+        Ok(())
+    }
+}
+
+fn check_address(field: &str, address: &str) -> Checked {
+    if address.parse::<SocketAddr>().is_err() {
+        return invalid(field, format!("{address:?} is not IP:port"));
+    }
+    Ok(())
+}
+
+impl SiteSettings {
+    fn check(&self) -> Checked {
+        self.check_zones()?;
+        self.check_positive()?;
+        self.limits.check()?;
+        self.store.check()?;
+        self.workers.check()?;
+        if !(self.skew_ms.is_finite() && self.skew_ms >= 0.0) {
+            return invalid("settings.skew_ms", "must not be negative");
+        }
+        self.check_teams()
+    }
+
+    fn check_zones(&self) -> Checked {
+        if self.zones.is_empty() {
+            return invalid("settings.zones", "at least one zone is needed");
+        }
+        if let Some(zone) = self.zones.iter().find(|zone| !is_name(zone)) {
+            return invalid("settings.zones", format!("{zone:?} can't name a zone"));
+        }
+        let mut zones = HashSet::new();
+        if let Some(twice) = self.zones.iter().find(|zone| !zones.insert(*zone)) {
+            return invalid("settings.zones", format!("{twice} is named twice"));
+        }
+        Ok(())
+    }
+
+    fn check_positive(&self) -> Checked {
+        let values = [
+            ("settings.workers.report_s", self.workers.heartbeat_s),
+            ("settings.workers.lease_s", self.workers.lease_s),
+            ("settings.workers.gang_wait_s", self.workers.gang_wait_s),
+            ("settings.workers.gang_peer_s", self.workers.gang_peer_s),
+            ("settings.workers.cancel_s", self.workers.cancel_s),
+            ("settings.state.rps", self.store.rps),
+            ("settings.state.write_rps", self.store.write_rps),
+            ("settings.state.value_kb", self.store.value_kb),
+            ("settings.state.txn_ops", self.store.txn_ops as f64),
+            ("settings.cloud.rps", self.cloud.rps),
+        ];
+        for (field, value) in values {
+            if !(value.is_finite() && value > 0.0) {
+                return invalid(field, format!("{value} is not above 0"));
+            }
+        }
+        Ok(())
+    }
+
+    fn check_teams(&self) -> Checked {
+        let mut names = HashSet::new();
+        for team in &self.teams {
+            if !names.insert(&team.name) {
+                return invalid("settings.teams", format!("{} is named twice", team.name));
+            }
+            team.check("cpus", team.cpus, team.cpus_max)?;
+            team.check("gpus", team.gpus, team.gpus_max)?;
+        }
+        Ok(())
+    }
+}
+
+impl ProcessLimits {
+    /// 0 means no limit; less than the least given is a mistake.
+    fn check(&self) -> Checked {
+        let limits = [
+            ("settings.quota.cpu_share", self.cpu_share, 0.005),
+            ("settings.quota.mem_mb", self.mem_mb, 32.0),
+            ("settings.quota.fd_limit", self.fd_limit, 64.0),
+        ];
+        for (field, value, least) in limits {
+            if !(value == 0.0 || value.is_finite() && value >= least) {
+                return invalid(field, format!("{value} is neither 0 nor at least {least}"));
+            }
+        }
+        Ok(())
+    }
+}
+
+impl StoreLimits {
+    fn check(&self) -> Checked {
+        if self.txn_ops < MIN_TXN_OPS {
+            let reason = format!("fewer than {MIN_TXN_OPS} can't be worked with");
+            return invalid("settings.state.txn_ops", reason);
+        }
+        Ok(())
+    }
+}
+
+impl WorkerTiming {
+    fn check(&self) -> Checked {
+        if self.lease_s < MIN_LEASE_HEARTBEATS * self.heartbeat_s {
+            return invalid(
+                "settings.workers.lease_s",
+                "must be at least three times report_s",
+            );
+        }
+        if self.cancel_s <= self.lease_s {
+            return invalid("settings.workers.cancel_s", "must be above lease_s");
+        }
+        Ok(())
+    }
+}
+
+impl Team {
+    /// Checks the guarantee and the limit of one resource.
+    fn check(&self, resource: &str, guarantee: f64, limit: f64) -> Checked {
+        let field = format!("settings.teams.{}.{resource}", self.name);
+        let is_amount = |value: f64| value.is_finite() && value >= 0.0;
+        if !is_amount(guarantee) || !is_amount(limit) {
+            return invalid(field, "must be 0 or more, and finite");
+        }
+        if limit > 0.0 && guarantee > limit {
+            let reason = format!("the guarantee {guarantee} is above the limit {limit}");
+            return invalid(field, reason);
+        }
+        Ok(())
+    }
+}
--- a/crates/rushwalk/src/capacity/round/expecting.rs
+++ b/crates/rushwalk/src/capacity/round/expecting.rs
@@ -48,9 +48,9 @@
         let rate = arrivals::rate(&buckets, span as f64 / 1000.0);
         // Who only has to finish by a time can wait a little for a heap's end.
         let aims = &node.settings.site.objectives;
-        let hurried = aims
-            .iter()
-            .any(|a| a.kind == "wait" && a.class == spec.class);
+        let hurried = aims.iter().any(|a| {
+            a.kind == rushwalk_protocol::settings::ObjectiveKind::QueueTime && a.class == spec.class
+        });
         let z = match spec.priority {
             Priority::Production | Priority::High => 1.5,
             _ if hurried => 1.0,
--- a/crates/rushwalk/src/http/users.rs
+++ b/crates/rushwalk/src/http/users.rs
@@ -180,7 +180,7 @@
             let can = can.and_then(|()| node.fits_a_value(spec));
             can.err().map(|why| (StatusCode::UNPROCESSABLE_ENTITY, why))
         }
-        Err(why) => Some((StatusCode::BAD_REQUEST, why.clone())),
+        Err(why) => Some((StatusCode::BAD_REQUEST, why.to_string())),
     };
     if let Some((status, why)) = refused {
         // It may have been accepted elsewhere, with another body.
--- a/crates/rushwalk/src/leadership/election.rs
+++ b/crates/rushwalk/src/leadership/election.rs
@@ -523,7 +523,11 @@
         }
         let at = |h: &&PeerHeartbeat| h.member != holder;
         let counts = self.hellos.values().filter(at).filter_map(|h| {
-            let count = h.misrouted_workers.iter().find(|(b, _)| **b == **block)?.1;
+            let count = h
+                .misrouted_workers
+                .iter()
+                .find(|m| *m.shard == **block)?
+                .workers;
             Some((h.member.as_str(), count as usize))
         });
         let counts: Vec<_> = counts.collect();
--- a/crates/rushwalk/src/workers/registry.rs
+++ b/crates/rushwalk/src/workers/registry.rs
@@ -6,7 +6,7 @@
 use crate::controller::{Controller, Timing, lock, now_ms};
 use crate::leadership::election;
 use crate::view::{ClusterState, Name};
-use rushwalk_protocol::jobs::{parse_task, task_name};
+use rushwalk_protocol::jobs::TaskName;
 use rushwalk_protocol::records::JobPhase;
 use rushwalk_protocol::worker::{Command, Heartbeat, HeartbeatResponse, TaskPhase, TaskStatus};
 use std::collections::{BTreeSet, HashMap};
@@ -138,7 +138,7 @@
             .map(|s| now_ms() + (s.clamp(0.0, 3600.0) * 1000.0) as u64);
         self.tasks.clear();
         for task in &report.tasks {
-            if let Some((uid, index)) = parse_task(&task.task) {
+            if let Some(TaskName { job: uid, index }) = TaskName::parse(&task.task) {
                 self.tasks.push(ReportedTask {
                     job: uid.into(),
                     index,
@@ -325,7 +325,11 @@
                 .ended_attempts
                 .contains(&(uid.clone(), *index, attempt)) => {}
             None => out.push(Command::Run {
-                task: task_name(uid, *index),
+                task: TaskName {
+                    job: uid,
+                    index: *index,
+                }
+                .to_string(),
                 attempt,
             }),
             Some(r) if r.phase == TaskPhase::Exited || !stop => {}
@@ -336,7 +340,11 @@
                 };
                 if r.phase != TaskPhase::Saving || cancelled {
                     out.push(Command::Stop {
-                        task: task_name(uid, *index),
+                        task: TaskName {
+                            job: uid,
+                            index: *index,
+                        }
+                        .to_string(),
                         attempt,
                         grace_s,
                     });
--- a/crates/scheduler/src/deadlines.rs
+++ b/crates/scheduler/src/deadlines.rs
@@ -7,7 +7,7 @@
 //! can, until its age puts it in front.
 
 use rushwalk_protocol::jobs::JobSpec;
-use rushwalk_protocol::settings::Objective;
+use rushwalk_protocol::settings::{Objective, ObjectiveKind};
 
 /// What a job needs before it runs, and how long it then runs.
 #[derive(Debug, Clone, Copy)]
@@ -29,12 +29,14 @@
     let mut widest: f64 = 0.0;
     let mut best: Option<f64> = None;
     for aim in aims {
-        let by = match aim.kind.as_str() {
-            "wait" if aim.class == spec.class => at + aim.within_s - needs.fetch_s,
-            "finished" if aim.class == spec.class => {
+        let by = match aim.kind {
+            ObjectiveKind::QueueTime if aim.class == spec.class => {
+                at + aim.within_s - needs.fetch_s
+            }
+            ObjectiveKind::CompletionTime if aim.class == spec.class => {
                 at + aim.within_s - needs.fetch_s - needs.run_s
             }
-            "guarantee" if needs.guaranteed => at + aim.within_s - needs.fetch_s,
+            ObjectiveKind::GuaranteedStart if needs.guaranteed => at + aim.within_s - needs.fetch_s,
             _ => continue,
         };
         widest = widest.max(aim.within_s);
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -2,7 +2,7 @@
 
 use crate::invariants::{Place, Room};
 use crate::platform::{Build, Fault, World};
-use rushwalk_protocol::jobs::{JobSpec, parse_task};
+use rushwalk_protocol::jobs::{JobSpec, TaskName};
 use rushwalk_protocol::worker::{
     Command, CommandBatch, ExitCause, Heartbeat, HeartbeatResponse, Redirect, TaskPhase, TaskStatus,
 };
@@ -61,7 +61,7 @@
             .tasks
             .iter()
             .filter(|t| t.report.phase != TaskPhase::Exited);
-        let specs = there.filter_map(|t| jobs.get(parse_task(&t.report.task)?.0));
+        let specs = there.filter_map(|t| jobs.get(TaskName::parse(&t.report.task)?.job));
         let mut room = Room {
             machine: self.name.clone(),
             zone: self.zone.clone(),
@@ -89,7 +89,7 @@
                         continue;
                     }
                     let busy = known.is_some_and(|t| t.report.phase != TaskPhase::Exited);
-                    let Some((uid, index)) = parse_task(task) else {
+                    let Some(TaskName { job: uid, index }) = TaskName::parse(task) else {
                         continue;
                     };
                     let mut rules = world.rules();
@@ -158,7 +158,7 @@
                 world.note(|| format!("{} {task} {attempt} ends {cause:?}", self.name));
                 t.report.phase = TaskPhase::Exited;
                 t.report.exit_cause = Some(cause);
-                if let Some((uid, index)) = parse_task(task) {
+                if let Some(TaskName { job: uid, index }) = TaskName::parse(task) {
                     let done = cause == ExitCause::Done;
                     world.rules().gone(uid, index, &self.name, done);
                 }
@@ -196,7 +196,7 @@
 
     pub fn kill(&mut self, world: &World) {
         for t in std::mem::take(&mut self.tasks) {
-            if let Some((uid, index)) = parse_task(&t.report.task) {
+            if let Some(TaskName { job: uid, index }) = TaskName::parse(&t.report.task) {
                 world.rules().gone(uid, index, &self.name, false);
             }
         }
