--- a/crates/failure-detector/src/damping.rs
+++ b/crates/failure-detector/src/damping.rs
@@ -69,7 +69,7 @@
     }
 
     /// For how long after its return a member is not yet given what it had, in seconds.
-    pub fn pause_s(&self, now_s: f64, member: &str) -> f64 {
+    pub fn delay_s(&self, now_s: f64, member: &str) -> f64 {
         let factor = match self.departures(now_s, member) {
             0 => 1.0,
             count => {
@@ -86,7 +86,7 @@
             .departures_of(member)
             .map(|departure| departure.at_s)
             .fold(f64::NEG_INFINITY, f64::max);
-        now_s - latest >= self.pause_s(now_s, member)
+        now_s - latest >= self.delay_s(now_s, member)
     }
 
     fn departures_of(&self, member: &str) -> impl Iterator<Item = &Departure> {
--- a/crates/failure-detector/src/damping/tests.rs
+++ b/crates/failure-detector/src/damping/tests.rs
@@ -20,12 +20,12 @@
         damping.record_departure(now, "a", term(n));
         // Its lease expires after the verdict on it: the same departure.
         damping.record_departure(now + 2.0, "a", term(n));
-        delays.push(damping.pause_s(now, "a"));
+        delays.push(damping.delay_s(now, "a"));
     }
     assert_eq!(delays, [5.0, 10.0, 20.0, 40.0, 40.0, 40.0]);
     assert!(!damping.is_eligible(99.0, "a"));
     assert!(damping.is_eligible(101.0, "a"));
-    assert_eq!(damping.pause_s(200.0, "a"), 5.0, "departures expire");
+    assert_eq!(damping.delay_s(200.0, "a"), 5.0, "departures expire");
     assert!(damping.is_eligible(99.0, "b"), "others are not affected");
 }
 
--- a/crates/failure-detector/src/detector/tests.rs
+++ b/crates/failure-detector/src/detector/tests.rs
@@ -14,7 +14,7 @@
 };
 
 fn new_detector(peers: &[&str]) -> FailureDetector {
-    let limits = DetectorConfig {
+    let config = DetectorConfig {
         heartbeat_s: 0.3,
         round_s: 0.9,
         member_lease_s: 5.0,
@@ -22,7 +22,7 @@
         phi_threshold: 8.0,
         refusal_threshold: 2,
     };
-    let mut detector = FailureDetector::new(limits, peers.iter().copied(), 0.0);
+    let mut detector = FailureDetector::new(config, peers.iter().copied(), 0.0);
     for (i, peer) in peers.iter().enumerate() {
         let incarnation = i as u64 + 1;
         detector.record_membership(
--- a/crates/protocol/src/settings.rs
+++ b/crates/protocol/src/settings.rs
@@ -15,7 +15,8 @@
     /// `IP:port` for users, workers and health checks.
     pub public_addr: String,
     /// `IP:port` for the other controllers.
-    pub mesh_addr: String,
+    #[serde(rename = "mesh_addr")]
+    pub peer_addr: String,
     /// The other controllers.
     #[serde(rename = "others", default)]
     pub peers: Vec<PeerSettings>,
--- a/crates/protocol/src/settings/validation.rs
+++ b/crates/protocol/src/settings/validation.rs
@@ -55,13 +55,13 @@
 
     fn check_addresses(&self) -> Checked {
         check_address("public_addr", &self.public_addr)?;
-        check_address("mesh_addr", &self.mesh_addr)?;
+        check_address("mesh_addr", &self.peer_addr)?;
         check_address("outside.cloud", &self.endpoints.cloud)?;
         check_address("outside.state", &self.endpoints.store)?;
         for peer in &self.peers {
             check_address(&format!("others.{}.endpoint", peer.member), &peer.endpoint)?;
         }
-        if self.public_addr == self.mesh_addr {
+        if self.public_addr == self.peer_addr {
             return invalid("mesh_addr", "must differ from public_addr");
         }
         Ok(())
--- a/crates/rushwalk/src/leadership/leader.rs
+++ b/crates/rushwalk/src/leadership/leader.rs
@@ -228,7 +228,7 @@
         .map(|(name, m)| {
             // A member that has just come back gets its zone after a while only, which
             // grows if it comes and goes.
-            let pause = (detector.damping.pause_s(uptime, name) * 1000.0) as u64;
+            let pause = (detector.damping.delay_s(uptime, name) * 1000.0) as u64;
             let slow = detector.is_slow(name);
             let lag = match name == node.member() {
                 true => node.runtime_lag.mean_lag().as_secs_f64(),
--- a/crates/rushwalk/src/main.rs
+++ b/crates/rushwalk/src/main.rs
@@ -127,7 +127,7 @@
 
 async fn serve(settings: Settings) -> Result<(), String> {
     let public = settings.public_addr.clone();
-    let mesh = settings.mesh_addr.clone();
+    let mesh = settings.peer_addr.clone();
     let http = HttpClient::new(controller::kept(settings.site.limits.fd_limit));
     let node = Controller::new(settings, http).map_err(|e| e.to_string())?;
     tracing::info!(member = node.member(), nonce = node.incarnation, "started");
