--- a/crates/failure-detector/src/detector/tests.rs
+++ b/crates/failure-detector/src/detector/tests.rs
@@ -224,3 +224,18 @@
         PeerHealth::Healthy
     );
 }
+
+/// The names that the administration API has shown since its first version.
+#[test]
+fn the_status_of_a_peer_keeps_its_json_form() {
+    let mut detector = new_detector(&["a"]);
+    detector.record_response(9.9, heartbeat("a", 1, &[]));
+    detector.record_write(9.0, "a");
+    detector.record_probe_failure("a", ProbeFailure::Refused);
+    detector.record_probe_failure("a", ProbeFailure::Refused);
+    detector.evaluate(10.0, LOCAL);
+    assert_eq!(
+        serde_json::to_string(&detector.statuses(10.0, LOCAL)).unwrap(),
+        r#"[{"member":"a","standing":"suspect","why":"refused","since_s":0.0,"phi":0.0,"heard_s":0.1,"refused":2,"wrote_s":1.0,"late_ms":0,"departures":0,"fit":true}]"#
+    );
+}
