--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -4,6 +4,8 @@
 //! only, as serde renames. Everything here is plain data that a client of the
 //! service can use as well.
 
+#![deny(missing_docs)]
+
 pub mod cloud;
 pub mod ids;
 pub mod jobs;
@@ -12,5 +14,5 @@
 pub mod store;
 pub mod worker;
 
-/// Largest request body that any interface accepts.
+/// Largest request body that any interface accepts, in bytes.
 pub const MAX_BODY: usize = 64 * 1024;
--- a/crates/rushwalk/src/controller.rs
+++ b/crates/rushwalk/src/controller.rs
@@ -25,7 +25,7 @@
 use crate::workers::WorkerRegistry;
 use parking_lot::Mutex;
 use rushwalk_clients::cloud::CloudClient;
-use rushwalk_clients::http::address;
+use rushwalk_clients::http::parse_address;
 use rushwalk_clients::peers::PeerClient;
 use rushwalk_clients::store::StoreClient;
 use rushwalk_clients::workers::WorkerClient;
@@ -123,8 +123,8 @@
         settings: Settings,
         http: HttpClient,
     ) -> Result<(Arc<Controller>, BackgroundLoops), Error> {
-        let store = StoreClient::new(http.clone(), address(&settings.endpoints.store)?);
-        let cloud_address = address(&settings.endpoints.cloud)?;
+        let store = StoreClient::new(http.clone(), parse_address(&settings.endpoints.store)?);
+        let cloud_address = parse_address(&settings.endpoints.cloud)?;
         let site = &settings.site;
         let cloud = Arc::new(CloudClient::new(
             http.clone(),
--- a/crates/rushwalk/src/failure_detection/heartbeats.rs
+++ b/crates/rushwalk/src/failure_detection/heartbeats.rs
@@ -115,5 +115,5 @@
         Err(Error::Unanswered(_) | Error::NotSent(_)) => ProbeFailure::ConnectionBroken,
         Err(Error::Status(_) | Error::ResponseTooLarge) => return,
     };
-    detector.record_probe_failure(now_s, &peer.member, failure);
+    detector.record_probe_failure(&peer.member, failure);
 }
--- a/crates/rushwalk/src/failure_detection/observation.rs
+++ b/crates/rushwalk/src/failure_detection/observation.rs
@@ -217,7 +217,7 @@
             .peers
             .detector()
             .last_heartbeats(self.context.uptime_s())
-            .any(|(age_s, _)| age_s < max_age_s);
+            .any(|last| last.age_s < max_age_s);
         let own_write = self.observed.own_write;
         let wrote = own_write.is_some_and(|at| at.elapsed() < timing.round * 2);
         hears_a_peer || wrote || self.context.settings.peers.is_empty()
--- a/crates/rushwalk/src/http/forwarding.rs
+++ b/crates/rushwalk/src/http/forwarding.rs
@@ -45,8 +45,9 @@
         let is_able = |peer: &&PeerSettings| {
             let heartbeat = detector.last_heartbeat(&peer.member, now_s);
             detector.health(&peer.member) == PeerHealth::Healthy
-                && heartbeat.is_some_and(|(age_s, heartbeat)| {
-                    age_s < max_age_s && (heartbeat.staleness_ms as f64) < max_age_s * 1000.0
+                && heartbeat.is_some_and(|last| {
+                    let staleness_ms = last.heartbeat.staleness_ms as f64;
+                    last.age_s < max_age_s && staleness_ms < max_age_s * 1000.0
                 })
         };
         let able = self.context.settings.peers.iter().filter(is_able);
--- a/crates/rushwalk/src/http/health.rs
+++ b/crates/rushwalk/src/http/health.rs
@@ -27,9 +27,9 @@
     let hears_a_peer = context.settings.peers.is_empty()
         || detector
             .last_heartbeats(now_s)
-            .any(|(age_s, _)| age_s < limit_s);
+            .any(|last| last.age_s < limit_s);
     let is_a_peer_better_off = detector
         .last_heartbeats(now_s)
-        .any(|(age_s, heartbeat)| age_s + heartbeat.staleness_ms as f64 / 1000.0 < limit_s / 2.0);
+        .any(|last| last.staleness_s() < limit_s / 2.0);
     hears_a_peer && !is_a_peer_better_off
 }
--- a/crates/rushwalk/src/leadership/election.rs
+++ b/crates/rushwalk/src/leadership/election.rs
@@ -154,7 +154,7 @@
             busy_share: self.peers.busy_share(),
             staleness_s: self.replica.staleness().as_secs_f64(),
         };
-        let rank = succession::place(&candidate, &others, detector.config().timing());
+        let rank = succession::election_rank(&candidate, &others, detector.config().timing());
         let timing = &self.context.timing;
         let queue = (timing.round / 4 * rank as u32).min(timing.member_lease / 2);
         // A controller that relinquished or lost leadership lately leaves it to others, if
@@ -195,7 +195,7 @@
         if since_transfer.is_some_and(|since| since < self.context.timing.worker_lease) {
             return None;
         }
-        let successor = succession::better(&detector.candidates(now_s), timing);
+        let successor = succession::preferred_successor(&detector.candidates(now_s), timing);
         successor.map(str::to_string)
     }
 
--- a/crates/rushwalk/src/main.rs
+++ b/crates/rushwalk/src/main.rs
@@ -127,7 +127,7 @@
 
 async fn serve(settings: Settings) -> Result<(), String> {
     let public_address = settings.public_addr.clone();
-    let peer_address = settings.mesh_addr.clone();
+    let peer_address = settings.peer_addr.clone();
     let max_idle = controller::max_idle_connections(settings.site.limits.fd_limit);
     let (controller, loops) =
         Controller::new(settings, HttpClient::new(max_idle)).map_err(|e| e.to_string())?;
--- a/crates/rushwalk/src/peers.rs
+++ b/crates/rushwalk/src/peers.rs
@@ -6,6 +6,7 @@
 use rushwalk_failure_detector::damping::MembershipTerm;
 use rushwalk_failure_detector::reachability::MisroutedWorkers;
 use rushwalk_failure_detector::{DetectorConfig, FailureDetector};
+use rushwalk_protocol::peers::MisroutedCount;
 use rushwalk_state::records::ShardLease;
 use rushwalk_state::{ClusterState, Revision};
 use std::sync::Arc;
@@ -77,7 +78,7 @@
     }
 
     /// How many workers of each shard were misrouted here within the last heartbeat interval.
-    pub fn misrouted_workers(&self) -> Vec<(String, u32)> {
+    pub fn misrouted_workers(&self) -> Vec<MisroutedCount> {
         let span_s = self.context.timing.heartbeat.as_secs_f64();
         self.misrouted
             .lock()
@@ -112,8 +113,9 @@
         }
         let max_age_s = detector.config().round_s * 2.0;
         let heartbeat = detector.last_heartbeat(&lease.owner, self.context.uptime_s());
-        let is_unreachable = heartbeat.is_some_and(|(age_s, heartbeat)| {
-            age_s < max_age_s && heartbeat.unreachable_shards.iter().any(|s| s == shard)
+        let is_unreachable = heartbeat.is_some_and(|last| {
+            let mut unreachable = last.heartbeat.unreachable_shards.iter();
+            last.age_s < max_age_s && unreachable.any(|s| s == shard)
         });
         (!is_unreachable).then(|| lease.owner.clone())
     }
--- a/crates/rushwalk/src/scheduling/expected_demand.rs
+++ b/crates/rushwalk/src/scheduling/expected_demand.rs
@@ -5,6 +5,7 @@
 use crate::scheduler_inputs::{self, seconds};
 use rushwalk_protocol::ids::JobId;
 use rushwalk_protocol::jobs::{JobSpec, Priority, Shape};
+use rushwalk_protocol::settings::ObjectiveKind;
 use rushwalk_scheduler::Resources;
 use rushwalk_scheduler::arrivals::{arrival_rate, expected_arrival_times};
 use rushwalk_scheduler::round::PendingJob;
@@ -91,7 +92,7 @@
     let objectives = &context.settings.site.objectives;
     let has_start_objective = objectives
         .iter()
-        .any(|objective| objective.kind == "wait" && objective.class == spec.class);
+        .any(|o| o.kind == ObjectiveKind::QueueTime && o.class == spec.class);
     match spec.priority {
         Priority::Production | Priority::High => 1.5,
         _ if has_start_objective => 1.0,
--- a/crates/rushwalk/src/shards/assignment.rs
+++ b/crates/rushwalk/src/shards/assignment.rs
@@ -254,7 +254,9 @@
     ) -> OwnerCandidate<'a> {
         let now_s = self.context.uptime_s();
         let is_self = name == self.context.member();
-        let heartbeat = detector.last_heartbeat(name, now_s).map(|(_, h)| h);
+        let heartbeat = detector
+            .last_heartbeat(name, now_s)
+            .map(|last| last.heartbeat);
         let mean_lag_s = if is_self {
             self.runtime_lag.mean_lag().as_secs_f64()
         } else {
@@ -290,7 +292,7 @@
         let now_s = self.context.uptime_s();
         let timing = &self.context.timing;
         let damping = &detector.damping;
-        let pause_ms = (damping.pause_s(now_s, name) * 1000.0) as u64;
+        let pause_ms = (damping.delay_s(now_s, name) * 1000.0) as u64;
         let cut_off = self.history.owner_cut_off.get(name).copied();
         let is_unproven =
             damping.departures(now_s, name) > 1 || is_recent(cut_off, timing.worker_lease);
@@ -345,8 +347,8 @@
     /// than all had to give.
     fn have_headroom(&self, detector: &FailureDetector, max_age_s: f64) -> bool {
         let heartbeats = detector.last_heartbeats(self.context.uptime_s());
-        let recent = heartbeats.filter(|(age_s, _)| *age_s < max_age_s);
-        let busy = recent.map(|(_, heartbeat)| heartbeat.busy_permille);
+        let recent = heartbeats.filter(|last| last.age_s < max_age_s);
+        let busy = recent.map(|last| last.heartbeat.busy_permille);
         let own = self.peers.busy_permille();
         let (mut count, mut sum) = (0, 0);
         for permille in busy.chain([own]) {
--- a/crates/rushwalk/src/shards/dispatch.rs
+++ b/crates/rushwalk/src/shards/dispatch.rs
@@ -172,8 +172,8 @@
         let session = finish_call(&mut sessions, &call);
         let machine = &*call.machine;
         match result {
-            Ok((_, heartbeat)) => {
-                session.apply_heartbeat(&heartbeat, HeartbeatSource::Call);
+            Ok(response) => {
+                session.apply_heartbeat(&response.heartbeat, HeartbeatSource::Call);
                 sessions.record_heard(&call.shard);
             }
             Err(Error::Unanswered(error)) => {
@@ -227,7 +227,7 @@
             commands: Vec::new(),
         };
         let answer = self.client.command(&call.address, &empty, patience).await;
-        answer.map(|(_, heartbeat)| heartbeat)
+        answer.map(|response| response.heartbeat)
     }
 }
 
--- a/crates/rushwalk/src/shards/reachability.rs
+++ b/crates/rushwalk/src/shards/reachability.rs
@@ -2,7 +2,7 @@
 
 use crate::context::Context;
 use crate::failure_detection::HeartbeatSource;
-use rushwalk_failure_detector::reachability::enough;
+use rushwalk_failure_detector::reachability::evidence_threshold;
 use rushwalk_protocol::ids::ShardId;
 use rushwalk_protocol::peers::PeerHeartbeat;
 use std::collections::BTreeMap;
@@ -23,8 +23,8 @@
             let max_age_s = detector.config().round_s * MAX_HEARTBEAT_ROUNDS;
             detector
                 .last_heartbeats(context.uptime_s())
-                .filter(|(age_s, _)| *age_s < max_age_s)
-                .map(|(_, heartbeat)| (heartbeat.member.clone(), heartbeat.clone()))
+                .filter(|last| last.age_s < max_age_s)
+                .map(|last| (last.heartbeat.member.clone(), last.heartbeat.clone()))
                 .collect()
         };
         let own = PeerHeartbeat {
@@ -54,7 +54,7 @@
                 workers += count as usize;
             }
         }
-        if workers >= enough(machines) {
+        if workers >= evidence_threshold(machines) {
             members
         } else {
             Vec::new()
@@ -69,6 +69,6 @@
 
 fn misrouted_of(heartbeat: &PeerHeartbeat, shard: &ShardId) -> Option<u32> {
     let mut counts = heartbeat.misrouted_workers.iter();
-    let (_, count) = counts.find(|(misrouted, _)| **misrouted == **shard)?;
-    Some(*count)
+    let misrouted = counts.find(|misrouted| *misrouted.shard == **shard)?;
+    Some(misrouted.workers)
 }
--- a/crates/rushwalk/src/store/committer.rs
+++ b/crates/rushwalk/src/store/committer.rs
@@ -93,10 +93,10 @@
             let wait = {
                 let mut budget = self.budget.lock();
                 let now = Instant::now();
-                if budget.try_take(writes, reserve, now) {
+                if budget.try_acquire(writes, reserve, now) {
                     return true;
                 }
-                budget.time_until(writes, reserve, now)
+                budget.time_until_available(writes, reserve, now)
             };
             if started.elapsed() + wait > priority.patience() {
                 return false;
@@ -126,6 +126,8 @@
 
     /// How long until the budget has a write again.
     pub fn time_until_write(&self) -> Duration {
-        self.budget.lock().time_until(1.0, 0.0, Instant::now())
+        self.budget
+            .lock()
+            .time_until_available(1.0, 0.0, Instant::now())
     }
 }
--- a/crates/rushwalk/src/workers/commands.rs
+++ b/crates/rushwalk/src/workers/commands.rs
@@ -2,7 +2,6 @@
 
 use super::session::{ReportedTask, SentStart, WorkerSession};
 use rushwalk_protocol::ids::{AttemptId, MachineId, TaskId};
-use rushwalk_protocol::jobs::task_name;
 use rushwalk_protocol::worker::{Command, TaskPhase, TaskStatus};
 use rushwalk_state::records::JobPhase;
 use rushwalk_state::{ClusterState, JobState, Revision, TaskState};
@@ -67,14 +66,14 @@
         None if session.lease_expired(token) => None,
         None if session.ended_attempts.contains(&attempt_id) => None,
         None => Some(Command::Run {
-            task: task_name(&id.job, id.index),
+            task: id.to_string(),
             attempt,
         }),
         Some(status) if status.phase == TaskPhase::Exited || !must_stop => None,
         // It is saving a checkpoint.
         Some(status) if status.phase == TaskPhase::Saving && !is_cancelled => None,
         Some(_) => Some(Command::Stop {
-            task: task_name(&id.job, id.index),
+            task: id.to_string(),
             attempt,
             grace_s: grace_s(job, is_cancelled),
         }),
--- a/crates/rushwalk/src/workers/registry.rs
+++ b/crates/rushwalk/src/workers/registry.rs
@@ -3,7 +3,7 @@
 use super::session::WorkerSession;
 use crate::timing::Timing;
 use parking_lot::{Mutex, MutexGuard};
-use rushwalk_failure_detector::reachability;
+use rushwalk_failure_detector::reachability::{ShardReception, next_heartbeat_due_s};
 use rushwalk_protocol::ids::{MachineId, ShardId};
 use rushwalk_state::{ClusterState, Revision};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -123,14 +123,20 @@
         let counts = state.shard_counts(shard);
         let machines = counts.ready.saturating_sub(counts.unreachable);
         // Few shards are silent at all: the machines of the others aren't looked at.
-        if !reachability::deaf(machines, machines, silent_s, heartbeat_s) {
+        let mut reception = ShardReception {
+            machines,
+            overdue: machines,
+            silent_s,
+        };
+        if !reception.has_inbound_loss(heartbeat_s) {
             return false;
         }
         let in_shard = state.shards.get(shard).into_iter().flatten();
         let overdue = in_shard.filter(|machine| {
             is_expected(state, machine) && self.is_overdue(sessions, machine, since)
         });
-        reachability::deaf(machines, overdue.count(), silent_s, heartbeat_s)
+        reception.overdue = overdue.count();
+        reception.has_inbound_loss(heartbeat_s)
     }
 
     /// Whether a machine's heartbeat is overdue, in a shard that is owned since `since`.
@@ -141,7 +147,7 @@
         let heard_s = heard.map(|at| -at.elapsed().as_secs_f64());
         let since_s = -since.elapsed().as_secs_f64();
         let heartbeat_s = self.timing.heartbeat.as_secs_f64();
-        reachability::due_s(heard_s, since_s, heartbeat_s) < 0.0
+        next_heartbeat_due_s(heard_s, since_s, heartbeat_s) < 0.0
     }
 }
 
--- a/crates/rushwalk/src/workers/session.rs
+++ b/crates/rushwalk/src/workers/session.rs
@@ -11,7 +11,7 @@
 use crate::clock::now_ms;
 use crate::timing::Timing;
 use rushwalk_protocol::ids::{AttemptId, TaskId};
-use rushwalk_protocol::jobs::parse_task;
+use rushwalk_protocol::jobs::TaskName;
 use rushwalk_protocol::worker::{Heartbeat, TaskStatus};
 use rushwalk_state::{Revision, UnixMillis};
 use std::collections::BTreeSet;
@@ -370,11 +370,11 @@
 
 fn reported_tasks(heartbeat: &Heartbeat) -> impl Iterator<Item = ReportedTask> {
     heartbeat.tasks.iter().filter_map(|status| {
-        let (job, index) = parse_task(&status.task)?;
+        let name = TaskName::parse(&status.task)?;
         Some(ReportedTask {
             task: TaskId {
-                job: job.into(),
-                index,
+                job: name.job.into(),
+                index: name.index,
             },
             status: status.clone(),
         })
--- a/crates/scheduler/src/deadlines.rs
+++ b/crates/scheduler/src/deadlines.rs
@@ -7,7 +7,7 @@
 //! its age puts it in front.
 
 use rushwalk_protocol::jobs::JobSpec;
-use rushwalk_protocol::settings::Objective;
+use rushwalk_protocol::settings::{Objective, ObjectiveKind};
 
 #[cfg(test)]
 mod tests;
@@ -70,10 +70,12 @@
     objective: &Objective,
 ) -> Option<f64> {
     let fetched = submitted_s + objective.within_s - durations.fetch_s;
-    match objective.kind.as_str() {
-        "wait" if objective.class == spec.class => Some(fetched),
-        "finished" if objective.class == spec.class => Some(fetched - durations.run_s),
-        "guarantee" if durations.guaranteed => Some(fetched),
+    match objective.kind {
+        ObjectiveKind::QueueTime if objective.class == spec.class => Some(fetched),
+        ObjectiveKind::CompletionTime if objective.class == spec.class => {
+            Some(fetched - durations.run_s)
+        }
+        ObjectiveKind::GuaranteedStart if durations.guaranteed => Some(fetched),
         _ => None,
     }
 }
--- a/crates/simulator/src/cluster.rs
+++ b/crates/simulator/src/cluster.rs
@@ -232,7 +232,7 @@
             alive: alive.clone(),
         };
         let (node, loops) =
-            Controller::new(self.settings(i), HttpClient::over(Arc::new(link))).unwrap();
+            Controller::new(self.settings(i), HttpClient::with_transport(Arc::new(link))).unwrap();
         let public = http::public_routes(&node).map_to_response().boxed();
         let between = http::peer_routes(&node).map_to_response().boxed();
         self.world.clear(Fault::Dead(i));
