--- a/crates/rushwalk/src/http/admin.rs
+++ b/crates/rushwalk/src/http/admin.rs
@@ -15,7 +15,7 @@
 
 /// Jobs named for each reason to wait, and machines on one page.
 const NAMED: usize = 10;
-const PAGE: usize = 100;
+const MACHINES_PER_PAGE: usize = 100;
 
 fn answer(body: serde_json::Value) -> Response {
     Response::builder()
@@ -114,7 +114,7 @@
     let mut rest = view.machines.range::<str, _>(after);
     let listed: Vec<_> = rest
         .by_ref()
-        .take(PAGE)
+        .take(MACHINES_PER_PAGE)
         .map(|(name, row)| {
             let m = &row.record;
             json!({"name": &**name, "type": &*m.machine_type, "zone": &*m.zone, "spot": m.spot,
@@ -136,3 +136,6 @@
         .map_err(|e| format!("{address}: {e}"))?;
     serde_json::to_string_pretty(&answer).map_err(|e| e.to_string())
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/rushwalk/src/http/admin/tests.rs
@@ -0,0 +1,191 @@
+use super::*;
+use crate::controller::virtual_time;
+use crate::http::connections::TrackedConnection;
+use crate::http::peers;
+use crate::observability::incidents::IncidentCause;
+use poem::web::RemoteAddr;
+use poem::{Addr, Endpoint, Request};
+use rushwalk_protocol::jobs::JobSpec;
+use rushwalk_protocol::records::{
+    LeaderRecord, MachineRecord, MemberRecord, Mutation, RentalRequest, ShardLease,
+    SnapshotManifest,
+};
+use rushwalk_protocol::settings::Settings;
+use std::net::SocketAddr;
+use tokio::time::{Instant, advance};
+
+const STATUS: &str = include_str!("tests/status.json");
+const MACHINES: &str = include_str!("tests/machines.json");
+
+fn controller() -> Arc<Controller> {
+    virtual_time(1);
+    let text = include_str!("../../../../protocol/tests/settings.toml");
+    Controller::new(Settings::parse(text).unwrap(), HttpClient::new(0)).unwrap()
+}
+
+fn machine(spot: bool, lifecycle: MachineLifecycle) -> MachineRecord {
+    MachineRecord {
+        machine_type: "box".into(),
+        zone: "east".into(),
+        spot,
+        shard: "east".into(),
+        lifecycle,
+        rented_ms: 5,
+        ready_ms: Some(60_000),
+        address: "10.0.0.9:9000".into(),
+        images: vec![("image-1".into(), 1.0)],
+        reclaim_ms: None,
+        unreachable_since_ms: spot.then_some(70_000),
+    }
+}
+
+fn job(name: &str) -> Arc<JobSpec> {
+    let text = format!(
+        r#"{{"uid":"{name}","lane":"a","crew":"red","shape":"sweep","rank":"normal",
+        "pieces":3,"cpus":1,"gpus":1,"memoryGb":1,"kit":"i","sizeGb":1,"together":false,
+        "spread":false,"loaners":true,"guessS":60,"waypointS":0,"stashS":0}}"#
+    );
+    Arc::new(JobSpec::parse(text.as_bytes()).unwrap())
+}
+
+/// Two machines of three run tasks of one job; another job waits.
+fn fill_cluster_state(controller: &Controller) {
+    let mut view = controller.view();
+    let idle = MachineRecord {
+        ready_ms: None,
+        ..machine(false, MachineLifecycle::Active)
+    };
+    let tasks = |machines: &[(u32, &str)]| -> Vec<(u32, Arc<str>)> {
+        machines.iter().map(|(i, m)| (*i, (*m).into())).collect()
+    };
+    let placed = tasks(&[(0, "m-1"), (2, "m-1"), (1, "m-2")]);
+    let mutations = [
+        Mutation::Submit(job("j-1"), 100),
+        Mutation::Submit(job("j-2"), 110),
+        Mutation::MachineAdopted("m-1".into(), machine(false, MachineLifecycle::Active)),
+        Mutation::MachineAdopted("m-2".into(), machine(true, MachineLifecycle::Active)),
+        Mutation::MachineAdopted("m-3".into(), idle),
+        Mutation::Assign("j-1".into(), 300, vec![("east".into(), placed.clone())]),
+        Mutation::Place("j-1".into(), 7, 310, placed),
+        Mutation::Started("j-1".into(), 7, 320, vec![0]),
+    ];
+    for mutation in mutations {
+        view.apply(mutation, 7, 500);
+    }
+    let rental = RentalRequest {
+        machine_type: "box".into(),
+        zone: "east".into(),
+        spot: true,
+        count: 2,
+        requested_ms: 400,
+    };
+    view.rentals.insert("r-1".into(), rental);
+    view.revision = 9;
+    view.entries_since_snapshot = 4;
+    view.snapshot = SnapshotManifest {
+        revision: 3,
+        generation: 2,
+        chunks: 1,
+    };
+}
+
+fn fill_leadership(controller: &Controller) {
+    let member = "node-0".to_string();
+    let lease = ShardLease {
+        owner: member.clone(),
+        incarnation: 12,
+    };
+    let record = MemberRecord {
+        zone: "east".into(),
+        incarnation: 12,
+        registered_ms: 1,
+    };
+    let leader = LeaderRecord {
+        member: member.clone(),
+        election_id: 8,
+    };
+    let mut view = controller.view();
+    view.shard_leases.insert("east".into(), (6, lease));
+    view.members.insert(member, record);
+    view.leader = Some((5, leader));
+    let mut leader_state = lock(&controller.leader_state);
+    leader_state.election_id = Some(8);
+    let pending = (2..14).map(|n| (format!("j-{n:02}"), "no capacity"));
+    leader_state.pending_reasons = pending.collect();
+    let over_limit = ("j-14".to_string(), "the team is at its limit");
+    leader_state.pending_reasons.extend([over_limit]);
+}
+
+fn record_incidents(controller: &Controller) {
+    let mut incidents = lock(&controller.incidents);
+    let causes = [
+        IncidentCause::NoLeader,
+        IncidentCause::RuntimeLagging,
+        IncidentCause::StoreUnreachable,
+        IncidentCause::UnownedShards,
+    ];
+    incidents.observe(1.26, &causes, 1.0);
+    incidents.observe(2.0, &[], 1.0);
+    let causes = [
+        IncidentCause::WorkersUnreachable,
+        IncidentCause::RequestsRejected,
+    ];
+    incidents.observe(0.5, &causes, 1.0);
+}
+
+async fn get(controller: &Arc<Controller>, path: &'static str) -> String {
+    let request = Request::builder().uri(path.parse().unwrap()).finish();
+    let response = peers::routes(controller.clone())
+        .get_response(request)
+        .await;
+    assert_eq!(response.content_type(), Some("application/json"));
+    response.into_body().into_string().await.unwrap()
+}
+
+#[tokio::test(start_paused = true)]
+async fn the_status_body_keeps_its_bytes() {
+    let controller = controller();
+    fill_cluster_state(&controller);
+    fill_leadership(&controller);
+    record_incidents(&controller);
+    let address = SocketAddr::from(([10, 0, 0, 1], 7));
+    let remote = RemoteAddr(Addr::SocketAddr(address));
+    let (io, _other) = tokio::io::duplex(64);
+    let _open = TrackedConnection::new(io, &controller.connections, &remote);
+    let now = Instant::now();
+    controller.last_read_sent.update(|at| *at = Some(now));
+    advance(Duration::from_millis(1500)).await;
+    assert_eq!(get(&controller, "/admin/status").await, STATUS.trim_end());
+}
+
+#[tokio::test(start_paused = true)]
+async fn the_status_body_of_a_controller_that_knows_nothing_keeps_its_bytes() {
+    let controller = controller();
+    let expected = include_str!("tests/status_at_start.json");
+    assert_eq!(get(&controller, "/admin/status").await, expected.trim_end());
+}
+
+#[tokio::test(start_paused = true)]
+async fn a_machines_page_keeps_its_bytes() {
+    let controller = controller();
+    fill_cluster_state(&controller);
+    let body = get(&controller, "/admin/machines").await;
+    assert_eq!(body, MACHINES.trim_end());
+}
+
+#[tokio::test(start_paused = true)]
+async fn a_machines_page_begins_after_the_named_machine_and_says_whether_there_are_more() {
+    let controller = controller();
+    for n in 0..=MACHINES_PER_PAGE {
+        let name = format!("m-{n:03}").into();
+        let record = machine(false, MachineLifecycle::Draining);
+        let mutation = Mutation::MachineAdopted(name, record);
+        controller.view().apply(mutation, 7, 500);
+    }
+    let first = get(&controller, "/admin/machines").await;
+    assert!(first.ends_with(r#""zone":"east"}],"more":true}"#));
+    assert!(first.contains(r#""name":"m-099""#) && !first.contains(r#""name":"m-100""#));
+    let last = get(&controller, "/admin/machines?after=m-099").await;
+    let machine = r#"{"block":"east","images":1,"leaving":true,"name":"m-100","silent":false,"spot":false,"tasks":[],"type":"box","up":true,"zone":"east"}"#;
+    assert_eq!(last, format!(r#"{{"machines":[{machine}],"more":false}}"#));
+}
--- a/crates/rushwalk/src/observability/work_profile.rs
+++ b/crates/rushwalk/src/observability/work_profile.rs
@@ -110,3 +110,6 @@
         spent.longest = spent.longest.max(time);
     }
 }
+
+#[cfg(test)]
+mod tests;
