--- a/crates/rushwalk/src/http/admission.rs
+++ b/crates/rushwalk/src/http/admission.rs
@@ -1,17 +1,24 @@
-//! Which callers are served, and when.
+//! Admission control at the public listener: how many new connections are served at once,
+//! and in which order.
 //!
-//! After an end of all controllers every worker of the fleet comes at once. Serving
-//! all of them made each wait behind all others: answers came later than workers wait
-//! for them, which brought them back on new connections, and the member's lease was
-//! renewed too late, which sent them elsewhere. So no more are served in one pass over
-//! what is ready than keep such a pass short.
+//! After a restart of all controllers every worker of the fleet connects at once. Serving
+//! all of them made each wait behind all others: responses came later than workers wait for
+//! them, which brought the workers back on new connections, and the membership lease was
+//! renewed too late, which sent them to other controllers. So the number of connections
+//! that are admitted in one pass of the event loop follows from how long such a pass takes.
 //!
-//! The others are taken from the kernel and wait here, and the newest is served first.
-//! In the order of their coming, two of five that were served had already given up,
-//! and the users' health probe waited behind them until its node counted as dead.
-//! Who has waited for as long as callers wait is let go.
+//! The others are accepted from the kernel and queued here, and the newest is served first.
+//! When they were served in order of arrival, two of five had already given up, and the
+//! users' health probe waited behind them until its controller counted as failed.
+//! Connections that are queued for longer than clients wait are dropped.
+
+mod pacer;
+
+#[cfg(test)]
+mod tests;
 
 use crate::http::connections::{ConnectionTable, TrackedConnection};
+use pacer::AdmissionPacer;
 use poem::http::uri::Scheme;
 use poem::listener::{Acceptor, Listener};
 use poem::web::{LocalAddr, RemoteAddr};
@@ -24,31 +31,36 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// How long a pass over what is ready may take before fewer are served in it, how
-/// long a caller may wait to be served, before it has gone elsewhere, and after how
-/// much silence a worker may be gone.
+/// The time limits of admission control.
 #[derive(Debug, Clone, Copy)]
 pub struct AdmissionLimits {
-    pub pass: Duration,
-    pub patience: Duration,
-    pub silent: Duration,
+    /// How long a pass of the event loop may take before fewer connections are admitted
+    /// in it.
+    pub pass_limit: Duration,
+    /// How long a connection may be queued, and a user's connection may be idle when the
+    /// table is full: clients go to another controller after that.
+    pub queue_timeout: Duration,
+    /// How long a worker's connection may be idle when the table is full.
+    pub worker_idle_limit: Duration,
 }
 
+/// A listener whose connections pass admission control.
 pub struct AdmissionListener<L> {
     inner: L,
-    seats: Arc<ConnectionTable>,
+    connections: Arc<ConnectionTable>,
     limits: AdmissionLimits,
 }
 
 impl<L> AdmissionListener<L> {
+    /// Wraps a listener; its connections are tracked in `connections`.
     pub fn new(
         inner: L,
-        seats: Arc<ConnectionTable>,
+        connections: Arc<ConnectionTable>,
         limits: AdmissionLimits,
     ) -> AdmissionListener<L> {
         AdmissionListener {
             inner,
-            seats,
+            connections,
             limits,
         }
     }
@@ -60,28 +72,35 @@
     async fn into_acceptor(self) -> io::Result<Self::Acceptor> {
         Ok(AdmissionAcceptor {
             inner: self.inner.into_acceptor().await?,
-            pace: AcceptPacer::new(self.limits.pass),
-            seats: self.seats,
+            pacer: AdmissionPacer::new(self.limits.pass_limit),
+            connections: self.connections,
             limits: self.limits,
-            waiting: VecDeque::new(),
-            shed: None,
+            queue: VecDeque::new(),
+            last_shed: None,
         })
     }
 }
 
+/// The acceptor of an [`AdmissionListener`].
 pub struct AdmissionAcceptor<A: Acceptor> {
     inner: A,
-    pace: AcceptPacer,
-    seats: Arc<ConnectionTable>,
+    pacer: AdmissionPacer,
+    connections: Arc<ConnectionTable>,
     limits: AdmissionLimits,
-    /// Taken from the kernel, but not served yet, in the order of their coming.
-    waiting: VecDeque<(Instant, AcceptedConnection<TrackedConnection<A::Io>>)>,
-    /// When idle connections were last closed for want of room.
-    shed: Option<Instant>,
+    /// Accepted but not served yet, in order of arrival.
+    queue: VecDeque<QueuedConnection<TrackedConnection<A::Io>>>,
+    /// When idle connections were last closed because the table was full.
+    last_shed: Option<Instant>,
 }
 
+/// What an acceptor returns for a connection.
 type AcceptedConnection<T> = (T, LocalAddr, RemoteAddr, Scheme);
 
+struct QueuedConnection<T> {
+    accepted_at: Instant,
+    connection: AcceptedConnection<T>,
+}
+
 impl<A: Acceptor> Acceptor for AdmissionAcceptor<A> {
     type Io = TrackedConnection<A::Io>;
 
@@ -91,215 +110,97 @@
 
     async fn accept(&mut self) -> io::Result<(Self::Io, LocalAddr, RemoteAddr, Scheme)> {
         loop {
-            let full = self.take_waiting().await?;
-            if self.waiting.is_empty() {
-                match full {
-                    true => sleep(self.pace.limit).await,
-                    false => {
-                        let taken = self.inner.accept().await;
-                        self.keep(taken).await?;
-                    }
-                }
-                continue;
-            }
-            if self.pace.spent() {
-                let before = Instant::now();
-                tokio::task::yield_now().await;
-                self.pace.passed(before.elapsed());
-                continue;
-            }
-            if let Some((_, newest)) = self.waiting.pop_back() {
-                return Ok(newest);
+            let is_full = self.fill_queue().await?;
+            if self.queue.is_empty() {
+                self.wait_for_connection(is_full).await?;
+            } else if !self.pacer.try_admit() {
+                self.yield_for_pass().await;
+            } else if let Some(newest) = self.queue.pop_back() {
+                return Ok(newest.connection);
             }
         }
     }
 }
 
 impl<A: Acceptor> AdmissionAcceptor<A> {
-    /// Takes all that wait in the kernel's queue, and gives up those that have waited
-    /// here for too long; whether no more may be open.
-    async fn take_waiting(&mut self) -> io::Result<bool> {
-        let full = loop {
-            if self.seats.full() {
-                // Looks at all of them, and those closed take a pass to be gone: not
-                // once for each caller that is served meanwhile.
-                if self.shed.is_none_or(|at| at.elapsed() > self.pace.limit) {
-                    self.shed = Some(Instant::now());
-                    self.seats.shed(self.limits.patience, self.limits.silent);
-                }
+    /// Accepts all connections that wait in the kernel's queue, up to the table's capacity,
+    /// and drops those that have been queued here for too long. Returns whether that
+    /// capacity was reached.
+    async fn fill_queue(&mut self) -> io::Result<bool> {
+        let is_full = loop {
+            if self.connections.is_full() {
+                self.shed_idle();
                 break true;
             }
-            let next = {
-                let mut next = pin!(self.inner.accept());
-                poll_fn(|cx| Poll::Ready(next.as_mut().poll(cx))).await
-            };
-            match next {
-                Poll::Ready(taken) => self.keep(taken).await?,
+            match self.poll_accept_once().await {
+                Poll::Ready(accepted) => self.enqueue(accepted).await?,
                 Poll::Pending => break false,
             }
         };
-        let late = |(at, _): &(Instant, _)| at.elapsed() > self.limits.patience;
-        let late = self.waiting.iter().take_while(|one| late(one)).count();
-        self.waiting.drain(..late);
-        Ok(full)
+        self.drop_expired();
+        Ok(is_full)
     }
 
-    async fn keep(&mut self, taken: io::Result<AcceptedConnection<A::Io>>) -> io::Result<()> {
-        match taken {
-            Ok((io, local, remote, scheme)) => {
-                let io = TrackedConnection::new(io, &self.seats, &remote);
-                let one = (io, local, remote, scheme);
-                self.waiting.push_back((Instant::now(), one));
-                Ok(())
-            }
-            Err(error) => {
-                // Out of sockets: asking again at once would only burn time.
-                sleep(self.pace.limit).await;
-                Err(error)
-            }
-        }
+    /// A connection if one is ready, without waiting for it.
+    async fn poll_accept_once(&mut self) -> Poll<io::Result<AcceptedConnection<A::Io>>> {
+        let mut accept = pin!(self.inner.accept());
+        poll_fn(|context| Poll::Ready(accept.as_mut().poll(context))).await
     }
-}
-
-/// How many connections to take in one pass over what is ready.
-struct AcceptPacer {
-    limit: Duration,
-    each: usize,
-    taken: usize,
-}
-
-impl AcceptPacer {
-    const MOST: usize = 64;
 
-    fn new(limit: Duration) -> AcceptPacer {
-        AcceptPacer {
-            limit,
-            each: AcceptPacer::MOST,
-            taken: 0,
+    /// Closes idle connections, at most once in a pass: it looks at all of them, and those
+    /// it closed leave the table only after a pass.
+    fn shed_idle(&mut self) {
+        let recently = |at: Instant| at.elapsed() <= self.limits.pass_limit;
+        if self.last_shed.is_some_and(recently) {
+            return;
         }
+        self.last_shed = Some(Instant::now());
+        let limits = &self.limits;
+        self.connections
+            .shed(limits.queue_timeout, limits.worker_idle_limit);
     }
 
-    /// Counts one; whether this pass has had its number.
-    fn spent(&mut self) -> bool {
-        if self.taken >= self.each {
-            return true;
-        }
-        self.taken += 1;
-        false
+    fn drop_expired(&mut self) {
+        let timeout = self.limits.queue_timeout;
+        let expired = self
+            .queue
+            .iter()
+            .take_while(|queued| queued.accepted_at.elapsed() > timeout)
+            .count();
+        self.queue.drain(..expired);
     }
 
-    /// A pass took so long: half as many next time, or one more.
-    fn passed(&mut self, took: Duration) {
-        self.taken = 0;
-        self.each = match took > self.limit {
-            true => (self.each / 2).max(1),
-            false => (self.each + 1).min(AcceptPacer::MOST),
-        };
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use poem::listener::{TcpAcceptor, TcpListener};
-    use std::net::SocketAddr;
-    use tokio::io::AsyncReadExt;
-    use tokio::net::TcpStream;
-
-    #[test]
-    fn fewer_are_taken_while_passes_are_long() {
-        let mut pace = AcceptPacer::new(Duration::from_millis(50));
-        let pass = |pace: &mut AcceptPacer, took: u64| {
-            let mut taken = 0;
-            while !pace.spent() {
-                taken += 1;
-            }
-            pace.passed(Duration::from_millis(took));
-            taken
-        };
-        assert_eq!(pass(&mut pace, 400), 64);
-        for _ in 0..8 {
-            pass(&mut pace, 400);
-        }
-        assert_eq!(pass(&mut pace, 400), 1, "but one always is");
-        for _ in 0..100 {
-            pass(&mut pace, 5);
-        }
-        assert_eq!(pass(&mut pace, 5), 64);
-    }
-
-    async fn gate(
-        most: usize,
-        patience: u64,
-    ) -> (
-        AdmissionAcceptor<TcpAcceptor>,
-        SocketAddr,
-        Arc<ConnectionTable>,
-    ) {
-        let limits = AdmissionLimits {
-            pass: Duration::from_millis(1),
-            patience: Duration::from_millis(patience),
-            silent: Duration::from_secs(60),
-        };
-        let seats = Arc::new(ConnectionTable::new(most));
-        let gate = AdmissionListener::new(TcpListener::bind("127.0.0.1:0"), seats.clone(), limits);
-        let gate = gate.into_acceptor().await.unwrap();
-        let to = gate.local_addr().remove(0);
-        let to = *to.as_socket_addr().unwrap();
-        (gate, to, seats)
-    }
-
-    /// At the end of its sockets a controller could call nobody any more, and span
-    /// on a listener that it could take nothing from.
-    #[tokio::test]
-    async fn no_more_are_taken_than_may_be_open() {
-        let (mut gate, to, seats) = gate(3, 60_000).await;
-        let mut callers = Vec::new();
-        for _ in 0..5 {
-            callers.push(TcpStream::connect(to).await.unwrap());
+    /// Waits for the next connection or, if the table is full, for a pass.
+    async fn wait_for_connection(&mut self, is_full: bool) -> io::Result<()> {
+        if is_full {
+            sleep(self.limits.pass_limit).await;
+            return Ok(());
         }
-        let mut taken = Vec::new();
-        for _ in 0..3 {
-            taken.push(gate.accept().await.unwrap().0);
-        }
-        assert_eq!(seats.count().0, 3);
-        let mut next = std::pin::pin!(gate.accept());
-        let early = tokio::time::timeout(Duration::from_millis(30), &mut next).await;
-        assert!(early.is_err(), "a fourth was taken");
-        drop(taken.pop());
-        let (mut io, ..) = next.await.unwrap();
-        drop(callers);
-        assert_eq!(io.read(&mut [0; 8]).await.unwrap(), 0);
+        let accepted = self.inner.accept().await;
+        self.enqueue(accepted).await
     }
 
-    /// Served in the order of their coming, callers got their answers when they had
-    /// already gone elsewhere, and came again.
-    #[tokio::test]
-    async fn the_newest_caller_is_served_first() {
-        let (mut gate, to, _seats) = gate(100, 60_000).await;
-        let mut callers = Vec::new();
-        for _ in 0..4 {
-            callers.push(TcpStream::connect(to).await.unwrap());
-        }
-        let ports = |from: &RemoteAddr| from.as_socket_addr().map(|a| a.port());
-        let mut served = Vec::new();
-        for _ in 0..4 {
-            served.push(ports(&gate.accept().await.unwrap().2).unwrap());
-        }
-        let port = |caller: &TcpStream| caller.local_addr().unwrap().port();
-        let newest_first: Vec<u16> = callers.iter().rev().map(port).collect();
-        assert_eq!(served, newest_first);
+    /// Lets the other tasks run once, and measures how long that took.
+    async fn yield_for_pass(&mut self) {
+        let started = Instant::now();
+        tokio::task::yield_now().await;
+        self.pacer.finish_pass(started.elapsed());
     }
 
-    #[tokio::test]
-    async fn who_has_waited_too_long_is_let_go() {
-        let (mut gate, to, seats) = gate(100, 60_000).await;
-        let mut gone = TcpStream::connect(to).await.unwrap();
-        gate.take_waiting().await.unwrap();
-        assert_eq!(seats.count().0, 1);
-        gate.limits.patience = Duration::ZERO;
-        gate.take_waiting().await.unwrap();
-        assert_eq!(seats.count().0, 0);
-        assert_eq!(gone.read(&mut [0; 8]).await.unwrap(), 0);
+    async fn enqueue(&mut self, accepted: io::Result<AcceptedConnection<A::Io>>) -> io::Result<()> {
+        let (io, local, remote, scheme) = match accepted {
+            Ok(connection) => connection,
+            Err(error) => {
+                // Without a free socket another try at once would only take processor time.
+                sleep(self.limits.pass_limit).await;
+                return Err(error);
+            }
+        };
+        let io = TrackedConnection::new(io, &self.connections, &remote);
+        self.queue.push_back(QueuedConnection {
+            accepted_at: Instant::now(),
+            connection: (io, local, remote, scheme),
+        });
+        Ok(())
     }
 }
--- a/crates/rushwalk/src/http/users.rs
+++ b/crates/rushwalk/src/http/users.rs
@@ -323,7 +323,7 @@
 
 #[handler]
 async fn beat(body: Body, from: &RemoteAddr, node: Data<&Arc<Controller>>) -> Response {
-    node.connections.worker(from);
+    node.connections.mark_worker(from);
     let body = match bytes(body).await {
         Ok(body) => body,
         Err(response) => return response,
--- a/crates/rushwalk/src/main.rs
+++ b/crates/rushwalk/src/main.rs
@@ -142,9 +142,9 @@
         // leader and to lend the blocks, for up to 14 s.
         let _ = tokio::time::timeout(node.timing.member_lease, node.wait_until_registered()).await;
         let limits = AdmissionLimits {
-            pass: node.timing.round / 16,
-            patience: node.timing.round * 3,
-            silent: node.timing.unreachable_after,
+            pass_limit: node.timing.round / 16,
+            queue_timeout: node.timing.round * 3,
+            worker_idle_limit: node.timing.unreachable_after,
         };
         let listener =
             AdmissionListener::new(TcpListener::bind(public), node.connections.clone(), limits);
