--- a/crates/rushwalk/src/capacity/round.rs
+++ b/crates/rushwalk/src/capacity/round.rs
@@ -66,7 +66,7 @@
         turn.add_items(round.take_evaluations());
         drop(turn);
         rest = &rest[done..];
-        node.runtime_lag.give_way(started.elapsed()).await;
+        node.runtime_lag.yield_after(started.elapsed()).await;
     }
     let mut ops = {
         let _turn = node.work_profile.start(WorkKind::Schedule);
@@ -253,7 +253,7 @@
         turn.add_items(round.take_evaluations());
         drop(turn);
         rest = &rest[done..];
-        node.runtime_lag.give_way(started.elapsed()).await;
+        node.runtime_lag.yield_after(started.elapsed()).await;
     }
     round.planned_time = round.current_time;
     late
--- a/crates/rushwalk/src/capacity/round/sizing.rs
+++ b/crates/rushwalk/src/capacity/round/sizing.rs
@@ -66,7 +66,7 @@
             requested_ms: now,
         };
         tracing::info!(?rental, "renting");
-        let request: Name = format!("r-{:x}", random::draw()).into();
+        let request: Name = format!("r-{:x}", random::random_u64()).into();
         memory
             .unsent_rentals
             .insert(request.clone(), (version, uptime));
--- a/crates/rushwalk/src/controller.rs
+++ b/crates/rushwalk/src/controller.rs
@@ -186,13 +186,13 @@
         tokio::spawn(crate::leadership::election::standing_loop(node.clone())),
         tokio::spawn(crate::leadership::election::lead_loop(node.clone())),
         tokio::spawn(tell_loop(node.clone())),
-        tokio::spawn(node.runtime_lag.clone().watch_loop()),
+        tokio::spawn(node.runtime_lag.clone().sampling_loop()),
         tokio::spawn(
             node.connections
                 .clone()
                 .sweep_loop(node.timing.worker_lease),
         ),
-        tokio::spawn(crate::observability::incidents::recovery_loop(node.clone())),
+        tokio::spawn(crate::observability::incidents::incident_loop(node.clone())),
     ];
     if let Some(queue) = lock(&node.user_write_queue).take() {
         loops.push(tokio::spawn(crate::store::log_writer::users_loop(
@@ -248,7 +248,7 @@
         let peers = settings.peers.iter().map(|p| p.member.as_str());
         let detector = FailureDetector::new(limits, peers, 0.0);
         Ok(Arc::new(Controller {
-            incarnation: random::nonce(),
+            incarnation: random::random_id(),
             store: StoreClient::new(http.clone(), state),
             cloud: CloudClient::new(http.clone(), cloud, settings.site.cloud.rps),
             workers: WorkerClient::new(http.clone(), kept(settings.site.limits.fd_limit)),
--- a/crates/rushwalk/src/http/admin.rs
+++ b/crates/rushwalk/src/http/admin.rs
@@ -80,8 +80,7 @@
         .map(|(why, jobs)| json!({"why": why, "jobs": jobs.len(), "first": &jobs[..jobs.len().min(NAMED)]}))
         .collect();
     let (up_s, busy_s) = node.busy_seconds();
-    let recovery = lock(&node.incidents);
-    let (trouble, last_trouble) = recovery.summary();
+    let incidents = lock(&node.incidents).summary();
     let (connections, workers) = node.connections.count();
     let age = node
         .last_read_sent
@@ -95,7 +94,7 @@
         "members": view.members.keys().collect::<Vec<_>>(),
         "grants": grants, "machines": machines, "served": view.service_counts,
         "up_s": up_s, "busy_s": busy_s, "late_ms": node.runtime_lag.recent_lag().as_millis() as u64,
-        "trouble": trouble, "last_trouble": last_trouble,
+        "trouble": incidents.current, "last_trouble": incidents.last,
         "connections": {"open": connections, "workers": workers}, "work": node.work_profile.summary(), "rentals": view.rentals.len(), "jobs_active": view.active.len(),
         "jobs_live": view.with_tasks.len(), "waiting": waiting}))
 }
--- a/crates/rushwalk/src/leadership/election.rs
+++ b/crates/rushwalk/src/leadership/election.rs
@@ -415,7 +415,7 @@
         // A leader that was no member as yet lent all blocks to others.
         return;
     }
-    let nonce = random::nonce();
+    let nonce = random::random_id();
     let led;
     let txn = {
         let view = node.view();
--- a/crates/rushwalk/src/observability.rs
+++ b/crates/rushwalk/src/observability.rs
@@ -1,5 +1,5 @@
-//! What a controller reports about itself: where its time goes, whether it keeps up, and
-//! how long it did not serve as usual.
+//! What a controller reports about itself: where its time goes, whether its event loop
+//! keeps up, and for how long it did not serve as usual.
 
 pub mod incidents;
 pub mod runtime_lag;
--- a/crates/rushwalk/src/observability/incidents.rs
+++ b/crates/rushwalk/src/observability/incidents.rs
@@ -1,192 +1,235 @@
-//! How long troubles last: since when this controller has not served as usual, what
-//! of it is to blame, and how long the last trouble took to be over.
+//! How long incidents last: since when this controller has not served as usual, for which
+//! causes, and how long the last incident took.
+
+#[cfg(test)]
+mod tests;
 
 use crate::controller::{Controller, lock};
+use crate::view::{ClusterState, Name};
+use crate::workers::registry::WorkerRegistry;
 use serde::Serialize;
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// What keeps a controller from serving as usual.
+/// The store counts as unreachable when no read was answered for this many rounds.
+const STORE_UNREACHABLE_ROUNDS: u32 = 4;
+
+/// An incident is over when there was no cause for this many rounds, and only one that
+/// lasted for longer than this is logged: a single late timer interests nobody.
+const RECOVERY_ROUNDS: u32 = 3;
+
+/// The causes of an incident.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum IncidentCause {
-    /// The state service has not answered for longer than it takes.
+    /// The key-value store has answered no read for some rounds.
     #[serde(rename = "state_out_of_reach")]
     StoreUnreachable,
+    /// No controller leads.
     NoLeader,
-    /// Machines whose block nobody holds: nothing is placed on them.
+    /// Some machines' shard has no owner: nothing is placed on them.
     #[serde(rename = "blocks_without_holder")]
     UnownedShards,
-    /// More than one in twenty of the machines held here were not heard of lately.
+    /// More than one in twenty of the workers of this controller's shards have sent no
+    /// heartbeat lately.
     #[serde(rename = "workers_not_heard")]
     WorkersUnreachable,
-    /// Timers fire late: there is more to do than this thread can.
+    /// Timers fire late: there is more work than this thread can do.
     #[serde(rename = "thread_behind")]
     RuntimeLagging,
-    /// Users were told 429 or 503.
+    /// Users' requests were answered with status 429 or 503.
     #[serde(rename = "users_refused")]
     RequestsRejected,
 }
 
-/// One trouble: its seconds so far, and those of each cause.
+/// One incident.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Incident {
-    pub took_s: f64,
+    /// How long it lasted, or has lasted so far, in seconds.
+    #[serde(rename = "took_s")]
+    pub duration_s: f64,
+    /// For how many seconds of these each cause was present.
     pub causes: BTreeMap<IncidentCause, f64>,
 }
 
+/// The incident that is going on, and the last one that is over.
+#[derive(Debug, Clone, Default, PartialEq)]
+pub struct IncidentSummary {
+    /// The incident that is going on.
+    pub current: Option<Incident>,
+    /// The last incident that is over.
+    pub last: Option<Incident>,
+}
+
+/// Derives incidents with a beginning and an end from the causes present at each check.
+#[derive(Debug, Default)]
+pub struct IncidentRecorder {
+    current: Option<Incident>,
+    last: Option<Incident>,
+    /// For how many seconds there has been no cause.
+    healthy_s: f64,
+}
+
 impl Incident {
-    /// In tenths of seconds: the looks are no closer than that.
+    /// With times in tenths of seconds: the checks are no closer than that.
     fn rounded(&self) -> Incident {
-        let tenths = |s: f64| (s * 10.0).round() / 10.0;
-        let causes = self.causes.iter().map(|(c, s)| (*c, tenths(*s)));
+        let causes = self.causes.iter();
         Incident {
-            took_s: tenths(self.took_s),
-            causes: causes.collect(),
+            duration_s: tenths(self.duration_s),
+            causes: causes.map(|(cause, s)| (*cause, tenths(*s))).collect(),
         }
     }
 }
 
-/// From what is wrong at each look to troubles with a beginning and an end.
-#[derive(Debug, Default)]
-pub struct IncidentRecorder {
-    now: Option<Incident>,
-    last: Option<Incident>,
-    /// How long nothing has been wrong since.
-    calm_s: f64,
+fn tenths(seconds: f64) -> f64 {
+    (seconds * 10.0).round() / 10.0
 }
 
 impl IncidentRecorder {
-    /// A look after `passed_s`. A trouble is over when nothing was wrong for `calm_s`,
-    /// which does not count; then it is returned.
+    /// Records a check, `elapsed_s` after the one before, with the causes present at it.
+    ///
+    /// An incident is over when there has been no cause for `recovery_s`, which doesn't
+    /// count as part of it; then it is returned.
     pub fn observe(
         &mut self,
-        passed_s: f64,
-        wrong: &[IncidentCause],
-        calm_s: f64,
+        elapsed_s: f64,
+        causes: &[IncidentCause],
+        recovery_s: f64,
     ) -> Option<Incident> {
-        if wrong.is_empty() {
-            self.calm_s += passed_s;
-            if self.calm_s < calm_s {
+        if causes.is_empty() {
+            self.healthy_s += elapsed_s;
+            if self.healthy_s < recovery_s {
                 return None;
             }
-            self.last = Some(self.now.take()?.rounded());
+            self.last = Some(self.current.take()?.rounded());
             return self.last.clone();
         }
-        let trouble = self.now.get_or_insert_with(|| {
-            self.calm_s = 0.0;
-            Incident::default()
-        });
-        trouble.took_s += passed_s + self.calm_s;
-        self.calm_s = 0.0;
-        for cause in wrong {
-            *trouble.causes.entry(*cause).or_default() += passed_s;
+        if self.current.is_none() {
+            self.healthy_s = 0.0;
+        }
+        let incident = self.current.get_or_insert_default();
+        // A pause shorter than `recovery_s` belongs to the incident.
+        incident.duration_s += elapsed_s + self.healthy_s;
+        self.healthy_s = 0.0;
+        for cause in causes {
+            *incident.causes.entry(*cause).or_default() += elapsed_s;
         }
         None
     }
 
-    /// The trouble there is, and the last one that is over.
-    pub fn summary(&self) -> (Option<Incident>, Option<Incident>) {
-        let rounded = |t: &Option<Incident>| t.as_ref().map(Incident::rounded);
-        (rounded(&self.now), rounded(&self.last))
+    /// The current incident and the last one, with rounded times.
+    pub fn summary(&self) -> IncidentSummary {
+        IncidentSummary {
+            current: self.current.as_ref().map(Incident::rounded),
+            last: self.last.clone(),
+        }
     }
 }
 
-fn wrong(node: &Controller) -> Vec<IncidentCause> {
-    let mut out = Vec::new();
-    let mut found = |is: bool, cause: IncidentCause| {
-        if is {
-            out.push(cause);
+/// The workers of this controller's shards that should send heartbeats.
+#[derive(Debug, Default)]
+struct WorkerReachability {
+    expected: usize,
+    /// Of these, those without a recent heartbeat.
+    silent: usize,
+}
+
+impl WorkerReachability {
+    /// Counts a machine, unless it is not ready or already known to be unreachable: that
+    /// is then an incident of the machine, not of this controller.
+    fn count(
+        &mut self,
+        machine: &Name,
+        state: &ClusterState,
+        registry: &WorkerRegistry,
+        unreachable_after: Duration,
+    ) {
+        let record = state.machines.get(machine).map(|m| &m.record);
+        if !record.is_some_and(|r| r.ready_ms.is_some() && r.unreachable_since_ms.is_none()) {
+            return;
         }
+        let session = registry.sessions.get(machine);
+        let last_heartbeat = session.and_then(|session| session.last_heard);
+        self.expected += 1;
+        self.silent +=
+            usize::from(last_heartbeat.is_none_or(|at| at.elapsed() > unreachable_after));
+    }
+
+    /// Whether more than one in twenty are silent.
+    fn is_degraded(&self) -> bool {
+        self.silent * 20 > self.expected
+    }
+}
+
+/// Whether a shard that has machines has no live owner.
+fn has_unowned_shard(state: &ClusterState) -> bool {
+    let is_unowned = |shard: &Name, machines: &BTreeSet<Name>| {
+        let lease = state.shard_leases.get(shard);
+        !machines.is_empty() && !lease.is_some_and(|(_, lease)| state.is_owner_registered(lease))
     };
-    let times = &node.timing;
-    found(
-        node.staleness() > times.round * 4,
-        IncidentCause::StoreUnreachable,
-    );
-    let view = node.view();
-    found(view.leader.is_none(), IncidentCause::NoLeader);
-    let held = |block| {
-        view.shard_leases
-            .get(block)
-            .is_some_and(|(_, g)| view.is_owner_registered(g))
-    };
-    let without = view.shards.iter().any(|(b, m)| !m.is_empty() && !held(b));
-    found(without, IncidentCause::UnownedShards);
-    let (mut all, mut unheard) = (0, 0);
-    let reports = lock(&node.workers_seen);
-    for (block, machines) in &view.shards {
-        if node.fencing_token(&view, block).is_none() {
-            continue;
-        }
-        for name in machines {
-            // Those known to be silent are a trouble of theirs, not of this node.
-            let row = view.machines.get(name);
-            if !row.is_some_and(|r| {
-                r.record.ready_ms.is_some() && r.record.unreachable_since_ms.is_none()
-            }) {
-                continue;
+    state
+        .shards
+        .iter()
+        .any(|(shard, machines)| is_unowned(shard, machines))
+}
+
+/// The causes that are present now. Rejected requests are counted since the last call.
+fn current_causes(controller: &Controller) -> Vec<IncidentCause> {
+    let timing = &controller.timing;
+    let state = controller.view();
+    let registry = lock(&controller.workers_seen);
+    let mut reachability = WorkerReachability::default();
+    for (shard, machines) in &state.shards {
+        if controller.fencing_token(&state, shard).is_some() {
+            for machine in machines {
+                reachability.count(machine, &state, &registry, timing.unreachable_after);
             }
-            let heard = reports.sessions.get(name).and_then(|w| w.last_heard);
-            all += 1;
-            unheard += usize::from(heard.is_none_or(|at| at.elapsed() > times.unreachable_after));
         }
     }
-    found(unheard * 20 > all, IncidentCause::WorkersUnreachable);
-    found(node.runtime_lag.is_lagging(), IncidentCause::RuntimeLagging);
-    let refused = node.rejected_requests.swap(0, Ordering::Relaxed) > 0;
-    found(refused, IncidentCause::RequestsRejected);
-    out
+    let store_unreachable = controller.staleness() > timing.round * STORE_UNREACHABLE_ROUNDS;
+    let rejected = controller.rejected_requests.swap(0, Ordering::Relaxed);
+    let causes = [
+        (store_unreachable, IncidentCause::StoreUnreachable),
+        (state.leader.is_none(), IncidentCause::NoLeader),
+        (has_unowned_shard(&state), IncidentCause::UnownedShards),
+        (
+            reachability.is_degraded(),
+            IncidentCause::WorkersUnreachable,
+        ),
+        (
+            controller.runtime_lag.is_lagging(),
+            IncidentCause::RuntimeLagging,
+        ),
+        (rejected > 0, IncidentCause::RequestsRejected),
+    ];
+    let present = causes.into_iter().filter(|(is_present, _)| *is_present);
+    present.map(|(_, cause)| cause).collect()
 }
 
-/// Looks once a round. From the start it is a trouble until all is well.
-pub async fn recovery_loop(node: Arc<Controller>) {
-    let round = node.timing.round;
-    let calm = (round * 3).as_secs_f64();
-    let mut looked = Instant::now();
+/// Checks for causes once in a round, for ever. A process begins with an incident, which
+/// lasts until there is no cause any more.
+pub async fn incident_loop(controller: Arc<Controller>) {
+    let round = controller.timing.round;
+    let recovery_s = (round * RECOVERY_ROUNDS).as_secs_f64();
+    let mut last_check = Instant::now();
     loop {
         sleep(round).await;
-        let passed = looked.elapsed();
-        looked = Instant::now();
-        let wrong = wrong(&node);
-        let over = lock(&node.incidents).observe(passed.as_secs_f64(), &wrong, calm);
-        // A single late timer is no trouble that anybody wants to read of.
-        if let Some(trouble) = over
-            && Duration::from_secs_f64(trouble.took_s) > 3 * round
+        let elapsed_s = last_check.elapsed().as_secs_f64();
+        last_check = Instant::now();
+        let causes = current_causes(&controller);
+        let resolved = lock(&controller.incidents).observe(elapsed_s, &causes, recovery_s);
+        if let Some(incident) = resolved
+            && Duration::from_secs_f64(incident.duration_s) > round * RECOVERY_ROUNDS
         {
-            let causes = serde_json::to_string(&trouble.causes).unwrap_or_default();
-            tracing::info!(took_s = trouble.took_s, causes, "back to normal");
+            let causes = serde_json::to_string(&incident.causes).unwrap_or_default();
+            tracing::info!(
+                duration_s = incident.duration_s,
+                causes,
+                "incident resolved"
+            );
         }
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use IncidentCause::{NoLeader, RuntimeLagging};
-
-    #[test]
-    fn a_trouble_lasts_until_its_last_cause_and_pauses_belong_to_it() {
-        let mut recovery = IncidentRecorder::default();
-        assert_eq!(recovery.observe(1.0, &[], 3.0), None);
-        assert_eq!(
-            recovery.observe(1.0, &[NoLeader, RuntimeLagging], 3.0),
-            None
-        );
-        assert_eq!(recovery.observe(2.0, &[], 3.0), None);
-        assert_eq!(recovery.observe(1.0, &[RuntimeLagging], 3.0), None);
-        let told = recovery.summary().0.unwrap();
-        assert_eq!(told.took_s, 4.0);
-        assert_eq!(recovery.observe(2.0, &[], 3.0), None);
-        let over = recovery.observe(2.0, &[], 3.0).unwrap();
-        assert_eq!(over.took_s, 4.0);
-        assert_eq!(over.causes, [(NoLeader, 1.0), (RuntimeLagging, 2.0)].into());
-        assert_eq!(recovery.summary(), (None, Some(over)));
-        assert_eq!(recovery.observe(9.0, &[], 3.0), None, "told once");
-        recovery.observe(1.0, &[NoLeader], 3.0);
-        assert_eq!(recovery.summary().0.unwrap().took_s, 1.0);
-    }
-}
--- a/crates/rushwalk/src/observability/runtime_lag.rs
+++ b/crates/rushwalk/src/observability/runtime_lag.rs
@@ -1,122 +1,103 @@
-//! Whether this controller's one thread keeps up.
+//! Whether the event loop, which is this controller's only thread, keeps up.
 //!
-//! A timer that fires late shows it, whatever the reason: too many callers, a share of
-//! a processor that is used up, a long turn. What can be left out then is left out,
-//! instead of taking its time from what can't: after an end of all controllers each
-//! asked thousands of workers for news, who were coming by themselves, and answered
-//! these so late that they went to the next controller, and so on.
+//! It is measured by how late timers fire, which shows overload from any cause: too many
+//! clients, an exhausted share of a processor, a long turn. While the loop lags, work that
+//! can be omitted is: after a restart of all controllers each used to ask thousands of
+//! workers for heartbeats that were coming by themselves, and answered those so late that
+//! the workers went to the next controller, and so on.
 
-use crate::lock::lock;
-use std::sync::{Arc, Mutex};
+#[cfg(test)]
+mod tests;
+
+use parking_lot::Mutex;
+use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
+/// Samples over which the lag is averaged: about one scheduling round.
+const MEAN_SAMPLES: u32 = 8;
+
+/// One sample counts in the mean for at most this many intervals.
+const MAX_SAMPLE_INTERVALS: u32 = 4;
+
+/// While the event loop lags, a task sleeps this many times as long as its turn took.
+const YIELD_FACTOR: u32 = 3;
+
+/// The lag of the event loop, by how late its timers fire.
 pub struct RuntimeLag {
-    /// How often it is looked at.
-    every: Duration,
-    late: Mutex<Duration>,
-    /// How late they are in the mean of some looks.
-    lag: Mutex<Duration>,
-    /// What is added to each look in trials.
-    pretended: Mutex<Duration>,
+    /// The time between two samples.
+    interval: Duration,
+    lag: Mutex<Lag>,
+    /// Added to each sample in simulations.
+    simulated: Mutex<Duration>,
 }
 
-/// Looks over which lateness is averaged: about a round.
-const AVERAGED: u32 = 8;
+#[derive(Default)]
+struct Lag {
+    recent: Duration,
+    mean: Duration,
+}
 
 impl RuntimeLag {
-    pub fn new(every: Duration) -> RuntimeLag {
+    /// Measures with one sample in each `interval`.
+    pub fn new(interval: Duration) -> RuntimeLag {
         RuntimeLag {
-            every,
-            late: Mutex::default(),
+            interval,
             lag: Mutex::default(),
-            pretended: Mutex::default(),
+            simulated: Mutex::default(),
         }
     }
 
-    /// How late timers are in the mean of the last round or so. A thread that has less
-    /// processor than work is late again and again, with good turns in between: the
-    /// mean shows it where the latest turns don't.
+    /// The mean lag of about the last scheduling round. A thread with less processor than
+    /// work lags again and again with good turns in between: the mean shows that where
+    /// [`RuntimeLag::recent_lag`] does not.
     pub fn mean_lag(&self) -> Duration {
-        *lock(&self.lag)
+        self.lag.lock().mean
     }
 
-    /// How late timers are of late.
+    /// The lag of the latest samples: it rises with one sample and decays over several.
     pub fn recent_lag(&self) -> Duration {
-        *lock(&self.late)
+        self.lag.lock().recent
     }
 
-    /// Whether they are later than the time between two looks.
+    /// Whether the recent lag exceeds the time between two samples.
     pub fn is_lagging(&self) -> bool {
-        self.recent_lag() > self.every
-    }
-
-    /// A timer was so late. Rises at once, and falls by a quarter with each that was
-    /// in time: one good turn doesn't end a storm.
-    fn record(&self, late: Duration) {
-        let mut before = lock(&self.late);
-        *before = late.max(*before * 3 / 4);
-        // However long it was, it is one look: who stood still for seconds is not slow.
-        let mut lag = lock(&self.lag);
-        *lag = (*lag * (AVERAGED - 1) + late.min(self.every * 4)) / AVERAGED;
+        self.recent_lag() > self.interval
     }
 
-    /// Lets the others on this thread go on after a turn that took so long: while
-    /// timers are late, for three times as long.
-    pub async fn give_way(&self, took: Duration) {
-        match self.is_lagging() {
-            true => sleep(3 * took).await,
-            false => tokio::task::yield_now().await,
+    /// Lets other tasks run after a turn that took `turn`; while the event loop lags, for
+    /// three times as long as that.
+    pub async fn yield_after(&self, turn: Duration) {
+        if self.is_lagging() {
+            sleep(YIELD_FACTOR * turn).await;
+        } else {
+            tokio::task::yield_now().await;
         }
     }
 
-    /// From now on each look counts as so much later: on virtual time no thread is ever
-    /// late, so trials must say so.
-    pub fn set_simulated_lag(&self, late: Duration) {
-        *lock(&self.pretended) = late;
+    /// Adds a lag to all samples from now on: with virtual time no timer is ever late, so
+    /// simulations must set it.
+    pub fn set_simulated_lag(&self, lag: Duration) {
+        *self.simulated.lock() = lag;
     }
 
-    pub async fn watch_loop(self: Arc<RuntimeLag>) {
+    /// Takes samples, for ever.
+    pub async fn sampling_loop(self: Arc<RuntimeLag>) {
         loop {
-            let due = Instant::now() + self.every;
-            sleep(self.every).await;
-            let pretended = *lock(&self.pretended);
-            self.record(due.elapsed() + pretended);
-        }
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn late_timers_are_remembered_for_some_turns() {
-        let load = RuntimeLag::new(Duration::from_millis(100));
-        assert!(!load.is_lagging());
-        load.record(Duration::from_millis(300));
-        assert!(load.is_lagging());
-        load.record(Duration::from_millis(2));
-        assert!(load.is_lagging(), "one good turn");
-        for _ in 0..4 {
-            load.record(Duration::from_millis(2));
+            let due = Instant::now() + self.interval;
+            sleep(self.interval).await;
+            let simulated = *self.simulated.lock();
+            self.record(due.elapsed() + simulated);
         }
-        assert!(!load.is_lagging());
     }
 
-    /// A controller eight times slower was late in two looks of three, and by the
-    /// latest ones in time again and again.
-    #[test]
-    fn lateness_that_comes_and_goes_shows_in_the_mean() {
-        let load = RuntimeLag::new(Duration::from_millis(100));
-        load.record(Duration::from_millis(30_000));
-        assert!(
-            load.mean_lag() <= Duration::from_millis(50),
-            "it stood still"
-        );
-        (0..20).for_each(|i| load.record(Duration::from_millis([2, 300, 500][i % 3])));
-        assert!(load.mean_lag() > Duration::from_millis(200));
-        (0..40).for_each(|_| load.record(Duration::from_millis(2)));
-        assert!(load.mean_lag() < Duration::from_millis(10));
+    /// Records that a timer was `sample` late. The recent lag rises at once and decays by a
+    /// quarter with each sample below it: one good turn does not end an overload.
+    fn record(&self, sample: Duration) {
+        let mut lag = self.lag.lock();
+        lag.recent = sample.max(lag.recent * 3 / 4);
+        // However long it was, it is one sample: a pause of seconds is no slowness.
+        let limited = sample.min(self.interval * MAX_SAMPLE_INTERVALS);
+        lag.mean = (lag.mean * (MEAN_SAMPLES - 1) + limited) / MEAN_SAMPLES;
     }
 }
--- /dev/null
+++ b/crates/rushwalk/src/observability/runtime_lag/tests.rs
@@ -0,0 +1,28 @@
+use super::*;
+
+#[test]
+fn recent_lag_decays_over_several_samples() {
+    let lag = RuntimeLag::new(Duration::from_millis(100));
+    assert!(!lag.is_lagging());
+    lag.record(Duration::from_millis(300));
+    assert!(lag.is_lagging());
+    lag.record(Duration::from_millis(2));
+    assert!(lag.is_lagging(), "one good turn");
+    for _ in 0..4 {
+        lag.record(Duration::from_millis(2));
+    }
+    assert!(!lag.is_lagging());
+}
+
+/// A controller that was eight times slower was late in two samples of three, and by the
+/// latest ones in time again and again.
+#[test]
+fn intermittent_lag_shows_in_the_mean() {
+    let lag = RuntimeLag::new(Duration::from_millis(100));
+    lag.record(Duration::from_millis(30_000));
+    assert!(lag.mean_lag() <= Duration::from_millis(50), "one pause");
+    (0..20).for_each(|i| lag.record(Duration::from_millis([2, 300, 500][i % 3])));
+    assert!(lag.mean_lag() > Duration::from_millis(200));
+    (0..40).for_each(|_| lag.record(Duration::from_millis(2)));
+    assert!(lag.mean_lag() < Duration::from_millis(10));
+}
--- a/crates/rushwalk/src/observability/work_profile.rs
+++ b/crates/rushwalk/src/observability/work_profile.rs
@@ -1,32 +1,40 @@
-//! Where a controller's time goes: how often each kind of work is done, how long
-//! it takes, and the longest that it ever kept the others on this thread waiting.
+//! Where a controller's time goes: how often each kind of work is done, how long it takes,
+//! and the longest that it ever kept the other tasks of the thread waiting.
 
-use crate::lock::lock;
-use serde_json::{Value, json};
-use std::sync::Mutex;
+#[cfg(test)]
+mod tests;
+
+use parking_lot::Mutex;
+use serde::Serialize;
+use std::collections::BTreeMap;
+use std::fmt;
 use std::time::{Duration, Instant};
 
-/// Kinds of work that are done in one go.
+/// Kinds of work that run without yielding to other tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WorkKind {
-    /// Workers' reports: read, and answered.
+    /// Workers' heartbeats: parsing and responding.
     Heartbeat,
-    /// Users' submissions, read and checked, and answers to their questions.
+    /// Users' submissions, parsed and validated, and responses to their queries.
     UserRequest,
-    /// Reading and applying what the state service says has changed.
+    /// Parsing and applying the store's watch events.
     Watch,
-    /// Reading everything: at a start, or after a change was missed.
+    /// Listing the whole store: at a start, or after a watch gap.
     List,
-    /// A holder's ticks: outcomes, placements, and what workers are sent.
+    /// A shard owner's reconciliation: outcomes, placements, and commands to workers.
     Reconcile,
+    /// The leader's assignment of shards.
     AssignShards,
-    /// The leader's round: upkeep, and placing what waits.
+    /// The leader's scheduling round: maintenance, and placement of pending tasks.
     Schedule,
-    /// Sizing the fleet by what is expected.
+    /// Sizing the fleet by the expected demand.
     ScaleOut,
+    /// Encoding and writing a snapshot.
     Snapshot,
 }
 
+/// All kinds of work, in the order of [`WorkKind`], with their names in the administration
+/// API and in the log.
 const KINDS: [(WorkKind, &str); 9] = [
     (WorkKind::Heartbeat, "report"),
     (WorkKind::UserRequest, "user"),
@@ -42,74 +50,112 @@
 #[derive(Debug, Clone, Copy, Default)]
 struct WorkTotals {
     turns: u64,
-    /// What was looked at: machines by a holder, places by the leader, entries.
     items: u64,
     time: Duration,
     longest: Duration,
 }
 
+/// The totals of each kind of work since the start of the process.
 #[derive(Default)]
 pub struct WorkProfile {
-    spent: Mutex<[WorkTotals; KINDS.len()]>,
+    totals: Mutex<[WorkTotals; KINDS.len()]>,
 }
 
-/// Counts from its making until it is dropped; it must not outlive a turn.
+/// Measures one turn of work, from its creation to its drop. It must not be held over an
+/// await: others' turns would count, too.
 pub struct WorkTimer<'a> {
-    meter: &'a WorkProfile,
-    work: WorkKind,
+    profile: &'a WorkProfile,
+    kind: WorkKind,
     items: u64,
-    since: Instant,
+    started: Instant,
+}
+
+/// The totals of one kind of work, as shown by the administration API.
+#[derive(Debug, Clone, PartialEq, Serialize)]
+pub struct WorkKindSummary {
+    /// What was processed: machines by a shard owner, tasks by the leader, log entries.
+    pub items: u64,
+    /// The longest turn, in milliseconds.
+    pub longest_ms: f64,
+    /// All turns together, in milliseconds.
+    pub ms: f64,
+    /// How often the work was done.
+    pub turns: u64,
+}
+
+/// The totals of all kinds of work by their names; displayed as JSON.
+#[derive(Debug, Clone, PartialEq, Serialize)]
+#[serde(transparent)]
+pub struct WorkSummary {
+    kinds: BTreeMap<&'static str, WorkKindSummary>,
 }
 
 impl WorkTimer<'_> {
-    /// So much was looked at in it.
+    /// Counts processed items.
     pub fn add_items(&mut self, items: usize) {
         self.items += items as u64;
     }
 }
 
+impl Drop for WorkTimer<'_> {
+    fn drop(&mut self) {
+        let time = self.started.elapsed();
+        let mut totals = self.profile.totals.lock();
+        let total = &mut totals[self.kind as usize];
+        total.turns += 1;
+        total.items += self.items;
+        total.time += time;
+        total.longest = total.longest.max(time);
+    }
+}
+
 impl WorkProfile {
-    pub fn start(&self, work: WorkKind) -> WorkTimer<'_> {
+    /// Begins a turn of work.
+    pub fn start(&self, kind: WorkKind) -> WorkTimer<'_> {
         WorkTimer {
-            meter: self,
-            work,
+            profile: self,
+            kind,
             items: 0,
-            since: Instant::now(),
+            started: Instant::now(),
         }
     }
 
-    /// How many things were looked at in one kind of work so far.
-    pub fn items(&self, work: WorkKind) -> u64 {
-        let spent = lock(&self.spent);
-        spent[work as usize].items
+    /// How many items one kind of work has processed so far.
+    pub fn items(&self, kind: WorkKind) -> u64 {
+        self.totals.lock()[kind as usize].items
     }
 
-    /// Turns, things looked at, milliseconds and the longest turn of each kind of work so far.
-    pub fn summary(&self) -> Value {
-        let spent = lock(&self.spent);
-        let ms = |d: Duration| (d.as_secs_f64() * 1e4).round() / 10.0;
-        let kinds = KINDS.iter().zip(spent.iter());
-        kinds
-            .map(|((_, name), s)| {
-                let told = json!({"turns": s.turns, "items": s.items, "ms": ms(s.time), "longest_ms": ms(s.longest)});
-                (name.to_string(), told)
-            })
-            .collect::<serde_json::Map<_, _>>()
-            .into()
+    /// The totals of each kind of work so far.
+    pub fn summary(&self) -> WorkSummary {
+        let totals = self.totals.lock();
+        let kinds = KINDS.iter().zip(totals.iter());
+        WorkSummary {
+            kinds: kinds
+                .map(|((_, name), total)| (*name, total.summary()))
+                .collect(),
+        }
     }
 }
 
-impl Drop for WorkTimer<'_> {
-    fn drop(&mut self) {
-        let time = self.since.elapsed();
-        let mut spent = lock(&self.meter.spent);
-        let spent = &mut spent[self.work as usize];
-        spent.turns += 1;
-        spent.items += self.items;
-        spent.time += time;
-        spent.longest = spent.longest.max(time);
+impl WorkTotals {
+    fn summary(&self) -> WorkKindSummary {
+        WorkKindSummary {
+            items: self.items,
+            longest_ms: rounded_ms(self.longest),
+            ms: rounded_ms(self.time),
+            turns: self.turns,
+        }
     }
 }
 
-#[cfg(test)]
-mod tests;
+impl fmt::Display for WorkSummary {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let json = serde_json::to_string(self).map_err(|_| fmt::Error)?;
+        formatter.write_str(&json)
+    }
+}
+
+/// Milliseconds, rounded to tenths.
+fn rounded_ms(duration: Duration) -> f64 {
+    (duration.as_secs_f64() * 1e4).round() / 10.0
+}
--- a/crates/rushwalk/src/observability/work_profile/tests.rs
+++ b/crates/rushwalk/src/observability/work_profile/tests.rs
@@ -11,7 +11,7 @@
     };
     totals[WorkKind::AssignShards as usize].items = 2;
     let profile = WorkProfile {
-        spent: Mutex::new(totals),
+        totals: Mutex::new(totals),
     };
     let expected = concat!(
         r#"{"hold":{"items":0,"longest_ms":0.0,"ms":0.0,"turns":0},"#,
--- a/crates/rushwalk/src/observable.rs
+++ b/crates/rushwalk/src/observable.rs
@@ -1,36 +1,42 @@
-//! A value that others wait for. Who waits goes on in the order of arrival: a library's
-//! channel wakes in an order of its own, and two plays of one seed would differ.
+//! A value that tasks can wait on.
+//!
+//! Waiters resume in the order of their arrival. `tokio::sync::watch` wakes them in an
+//! order of its own, with which two runs of one simulation seed would differ.
 
-use crate::lock::lock;
-use std::sync::Mutex;
+use parking_lot::Mutex;
+use std::pin::pin;
 use tokio::sync::Notify;
 
+/// A shared value whose changes can be awaited.
 #[derive(Default)]
 pub struct Observable<T> {
     value: Mutex<T>,
-    moved: Notify,
+    changed: Notify,
 }
 
 impl<T: Copy> Observable<T> {
+    /// The current value.
     pub fn get(&self) -> T {
-        *lock(&self.value)
+        *self.value.lock()
     }
 
+    /// Changes the value and wakes all that wait for it.
     pub fn update(&self, change: impl FnOnce(&mut T)) {
-        change(&mut lock(&self.value));
-        self.moved.notify_waiters();
+        change(&mut self.value.lock());
+        self.changed.notify_waiters();
     }
 
-    /// Waits until the value is as wanted, and returns it.
-    pub async fn wait_for(&self, wanted: impl Fn(T) -> bool) -> T {
+    /// Waits until `condition` holds for the value, and returns that value.
+    pub async fn wait_for(&self, condition: impl Fn(T) -> bool) -> T {
         loop {
-            let mut moved = std::pin::pin!(self.moved.notified());
-            moved.as_mut().enable();
+            let mut changed = pin!(self.changed.notified());
+            // Registered before the value is read: a change in between wakes us, too.
+            changed.as_mut().enable();
             let value = self.get();
-            if wanted(value) {
+            if condition(value) {
                 return value;
             }
-            moved.await;
+            changed.await;
         }
     }
 }
--- a/crates/rushwalk/src/random.rs
+++ b/crates/rushwalk/src/random.rs
@@ -1,5 +1,5 @@
-//! Where random numbers come from: the system, or on threads whose time is virtual a
-//! seed, so that a day there is played the same each time, to the last commit.
+//! Random numbers: from the operating system or, on threads with virtual time, from a
+//! seed, so that a simulated day is reproduced down to its last commit.
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -7,46 +7,53 @@
 use std::collections::HashMap;
 use std::hash::{BuildHasher, DefaultHasher, Hasher};
 
+/// Identifiers have 52 bits, so that they are exact in JSON's numbers.
+const BITS_CUT_FROM_ID: u32 = 12;
+
 thread_local! {
+    /// The generator of a thread that was seeded.
     static SEEDED: RefCell<Option<SmallRng>> = const { RefCell::new(None) };
 }
 
-/// From now on this thread draws its numbers from a seed.
+/// Makes the random numbers of this thread follow from a seed.
 pub fn seed(seed: u64) {
     SEEDED.set(Some(SmallRng::seed_from_u64(seed)));
 }
 
-pub fn draw() -> u64 {
+/// A random number of 64 bits.
+pub fn random_u64() -> u64 {
     SEEDED.with_borrow_mut(|seeded| match seeded {
-        Some(random) => random.random(),
+        Some(generator) => generator.random(),
         None => rand::random(),
     })
 }
 
-/// A number of a process or of a term: no two of them are the same.
-pub fn nonce() -> u64 {
-    draw() >> 12
+/// An identifier of a process or of a leader's term; two are practically never equal.
+pub fn random_id() -> u64 {
+    random_u64() >> BITS_CUT_FROM_ID
 }
 
-/// Hashes under a key that is drawn, so that users can't choose names that collide.
+/// A hasher whose key is random, so that users can't choose names that collide.
 #[derive(Clone)]
-pub struct SeededHasher(u64);
+pub struct SeededState {
+    key: u64,
+}
 
-impl Default for SeededHasher {
-    fn default() -> SeededHasher {
-        SeededHasher(draw())
+impl Default for SeededState {
+    fn default() -> SeededState {
+        SeededState { key: random_u64() }
     }
 }
 
-impl BuildHasher for SeededHasher {
+impl BuildHasher for SeededState {
     type Hasher = DefaultHasher;
 
     fn build_hasher(&self) -> DefaultHasher {
         let mut hasher = DefaultHasher::new();
-        hasher.write_u64(self.0);
+        hasher.write_u64(self.key);
         hasher
     }
 }
 
-/// A map whose order follows from the seed where something is decided in it.
-pub type SeededMap<K, V> = HashMap<K, V, SeededHasher>;
+/// A map whose order follows from the seed, for maps whose order decides something.
+pub type SeededMap<K, V> = HashMap<K, V, SeededState>;
