--- a/crates/rushwalk/src/http.rs
+++ b/crates/rushwalk/src/http.rs
@@ -1,7 +1,7 @@
 //! The HTTP interfaces: users and workers on the public address, other controllers and
 //! operators on the peer address.
 
-pub mod admin;
+mod admin;
 pub mod admission;
 pub mod connections;
 pub mod peers;
--- /dev/null
+++ b/crates/rushwalk/src/http/admin/status_response.rs
@@ -0,0 +1,254 @@
+//! The body of `/admin/status`: a controller's own state and what it knows of the cluster.
+
+use crate::controller::{Controller, lock};
+use crate::observability::incidents::Incident;
+use crate::observability::work_profile::WorkSummary;
+use crate::view::served::ServiceCounts;
+use crate::view::{ClusterState, MachineState};
+use rushwalk_failure_detector::LocalHealth;
+use rushwalk_failure_detector::detector::PeerStatus;
+use rushwalk_protocol::records::MachineLifecycle;
+use serde::Serialize;
+use std::collections::BTreeMap;
+
+/// How many jobs are named for each reason to be pending.
+const JOBS_NAMED_PER_REASON: usize = 10;
+
+/// The state of a controller as operators see it.
+#[derive(Serialize)]
+pub(super) struct StatusResponse<'a> {
+    member: &'a str,
+    #[serde(rename = "leads")]
+    is_leader: bool,
+    /// The member that leads.
+    leader: Option<&'a str>,
+    /// The store's revision up to which this controller has applied all changes.
+    revision: u64,
+    /// Seconds since the latest successful read of the store was sent.
+    #[serde(rename = "state_age_s")]
+    staleness_s: Option<f64>,
+    /// The key of a record that can't be read.
+    unreadable: Option<&'a str>,
+    snapshot: SnapshotStatus,
+    #[serde(rename = "standings")]
+    peers: Vec<PeerStatus>,
+    members: Vec<&'a str>,
+    #[serde(rename = "grants")]
+    shard_leases: Vec<ShardLeaseStatus<'a>>,
+    machines: Vec<MachineGroup<'a>>,
+    #[serde(rename = "served")]
+    service_counts: &'a ServiceCounts,
+    /// Seconds since the start of the process.
+    #[serde(rename = "up_s")]
+    uptime_s: f64,
+    /// For how many of these seconds its thread was busy.
+    busy_s: f64,
+    #[serde(rename = "late_ms")]
+    lag_ms: u64,
+    #[serde(rename = "trouble")]
+    incident: Option<Incident>,
+    #[serde(rename = "last_trouble")]
+    last_incident: Option<Incident>,
+    connections: ConnectionCounts,
+    work: WorkSummary,
+    /// Rental requests under way.
+    rentals: usize,
+    #[serde(rename = "jobs_active")]
+    active_jobs: usize,
+    /// Jobs that have active tasks.
+    #[serde(rename = "jobs_live")]
+    jobs_with_tasks: usize,
+    #[serde(rename = "waiting")]
+    pending: Vec<PendingJobs<'a>>,
+}
+
+/// The snapshot that the store holds, and the log since.
+#[derive(Serialize)]
+struct SnapshotStatus {
+    #[serde(rename = "at")]
+    revision: u64,
+    chunks: usize,
+    entries_since: usize,
+}
+
+#[derive(Serialize)]
+struct ShardLeaseStatus<'a> {
+    #[serde(rename = "block")]
+    shard: &'a str,
+    #[serde(rename = "holder")]
+    owner: &'a str,
+    #[serde(rename = "token")]
+    fencing_token: u64,
+    /// How many machines the shard has.
+    machines: usize,
+}
+
+/// What the machines of a group have in common.
+#[derive(Serialize, PartialEq, Eq, PartialOrd, Ord)]
+struct MachineGroupKey<'a> {
+    zone: &'a str,
+    #[serde(rename = "type")]
+    machine_type: &'a str,
+    spot: bool,
+}
+
+/// How many machines of a group there are, and how many in each condition.
+#[derive(Default, Serialize)]
+struct MachineCounts {
+    machines: usize,
+    /// Have sent a heartbeat.
+    #[serde(rename = "up")]
+    ready: usize,
+    #[serde(rename = "silent")]
+    unreachable: usize,
+    /// Take no new tasks, or are being deleted.
+    #[serde(rename = "leaving")]
+    draining: usize,
+    /// Have no task.
+    idle: usize,
+    /// Tasks on all of them.
+    tasks: usize,
+}
+
+#[derive(Serialize)]
+struct MachineGroup<'a> {
+    #[serde(flatten)]
+    key: MachineGroupKey<'a>,
+    #[serde(flatten)]
+    counts: MachineCounts,
+}
+
+/// Connections at the public address.
+#[derive(Serialize)]
+struct ConnectionCounts {
+    open: usize,
+    /// Of the open ones, those of workers.
+    workers: usize,
+}
+
+/// The jobs that are pending for one reason.
+#[derive(Serialize)]
+struct PendingJobs<'a> {
+    #[serde(rename = "why")]
+    reason: &'a str,
+    #[serde(rename = "jobs")]
+    count: usize,
+    /// The first of them by name.
+    first: Vec<String>,
+}
+
+impl<'a> StatusResponse<'a> {
+    /// The status of a controller with `state`, its copy of the cluster's state.
+    pub(super) fn new(
+        controller: &'a Controller,
+        state: &'a ClusterState,
+        health: LocalHealth,
+    ) -> StatusResponse<'a> {
+        let is_leader = controller.leadership(state).is_some();
+        let (uptime_s, busy_s) = controller.busy_seconds();
+        let (open, workers) = controller.connections.count();
+        let incidents = lock(&controller.incidents).summary();
+        let last_read = controller.last_read_sent.get();
+        StatusResponse {
+            member: controller.member(),
+            is_leader,
+            leader: state.leader.as_ref().map(|(_, l)| l.member.as_str()),
+            revision: state.revision,
+            staleness_s: last_read.map(|sent_at| sent_at.elapsed().as_secs_f64()),
+            unreadable: state.unreadable.as_deref(),
+            snapshot: SnapshotStatus::new(state),
+            peers: lock(&controller.detector).statuses(controller.uptime_s(), health),
+            members: state.members.keys().map(String::as_str).collect(),
+            shard_leases: shard_lease_statuses(state),
+            machines: machine_groups(state),
+            service_counts: &state.service_counts,
+            uptime_s,
+            busy_s,
+            lag_ms: controller.runtime_lag.recent_lag().as_millis() as u64,
+            incident: incidents.current,
+            last_incident: incidents.last,
+            connections: ConnectionCounts { open, workers },
+            work: controller.work_profile.summary(),
+            rentals: state.rentals.len(),
+            active_jobs: state.active.len(),
+            jobs_with_tasks: state.with_tasks.len(),
+            pending: if is_leader {
+                pending_jobs(controller)
+            } else {
+                // Only the leader schedules, so only it knows why a job is pending.
+                Vec::new()
+            },
+        }
+    }
+}
+
+impl SnapshotStatus {
+    fn new(state: &ClusterState) -> SnapshotStatus {
+        SnapshotStatus {
+            revision: state.snapshot.revision,
+            chunks: state.snapshot.chunks,
+            entries_since: state.entries_since_snapshot,
+        }
+    }
+}
+
+impl MachineCounts {
+    fn add(&mut self, machine: &MachineState) {
+        let record = &machine.record;
+        self.machines += 1;
+        self.ready += usize::from(record.ready_ms.is_some());
+        self.unreachable += usize::from(record.unreachable_since_ms.is_some());
+        self.draining += usize::from(record.lifecycle != MachineLifecycle::Active);
+        self.idle += usize::from(machine.tasks.is_empty());
+        self.tasks += machine.tasks.len();
+    }
+}
+
+fn shard_lease_statuses(state: &ClusterState) -> Vec<ShardLeaseStatus<'_>> {
+    let leases = state.shard_leases.iter();
+    leases
+        .map(|(shard, (fencing_token, lease))| ShardLeaseStatus {
+            shard,
+            owner: &lease.owner,
+            fencing_token: *fencing_token,
+            machines: state.shards.get(shard).map_or(0, |machines| machines.len()),
+        })
+        .collect()
+}
+
+/// The machines by zone, type and kind of rental, in that order.
+fn machine_groups(state: &ClusterState) -> Vec<MachineGroup<'_>> {
+    let mut groups: BTreeMap<MachineGroupKey<'_>, MachineCounts> = BTreeMap::new();
+    for machine in state.machines.values() {
+        let key = MachineGroupKey {
+            zone: &machine.record.zone,
+            machine_type: &machine.record.machine_type,
+            spot: machine.record.spot,
+        };
+        groups.entry(key).or_default().add(machine);
+    }
+    let groups = groups.into_iter();
+    groups
+        .map(|(key, counts)| MachineGroup { key, counts })
+        .collect()
+}
+
+/// The pending jobs by reason, as of the leader's latest round.
+fn pending_jobs(controller: &Controller) -> Vec<PendingJobs<'static>> {
+    let mut jobs_by_reason: BTreeMap<&str, Vec<String>> = BTreeMap::new();
+    for (job, reason) in &lock(&controller.leader_state).pending_reasons {
+        jobs_by_reason.entry(reason).or_default().push(job.clone());
+    }
+    let reasons = jobs_by_reason.into_iter();
+    reasons
+        .map(|(reason, mut jobs)| {
+            let count = jobs.len();
+            jobs.truncate(JOBS_NAMED_PER_REASON);
+            PendingJobs {
+                reason,
+                count,
+                first: jobs,
+            }
+        })
+        .collect()
+}
--- a/crates/rushwalk/src/http/admin/tests.rs
+++ b/crates/rushwalk/src/http/admin/tests.rs
@@ -1,17 +1,20 @@
+use super::machines_page::MACHINES_PER_PAGE;
 use super::*;
-use crate::controller::virtual_time;
+use crate::controller::{lock, virtual_time};
 use crate::http::connections::TrackedConnection;
 use crate::http::peers;
 use crate::observability::incidents::IncidentCause;
 use poem::web::RemoteAddr;
 use poem::{Addr, Endpoint, Request};
+use rushwalk_clients::HttpClient;
 use rushwalk_protocol::jobs::JobSpec;
 use rushwalk_protocol::records::{
-    LeaderRecord, MachineRecord, MemberRecord, Mutation, RentalRequest, ShardLease,
-    SnapshotManifest,
+    LeaderRecord, MachineLifecycle, MachineRecord, MemberRecord, Mutation, RentalRequest,
+    ShardLease, SnapshotManifest,
 };
 use rushwalk_protocol::settings::Settings;
 use std::net::SocketAddr;
+use std::time::Duration;
 use tokio::time::{Instant, advance};
 
 const STATUS: &str = include_str!("tests/status.json");
--- a/crates/rushwalk/src/http/peers.rs
+++ b/crates/rushwalk/src/http/peers.rs
@@ -22,8 +22,8 @@
         .at("/mesh/hello", post(greet))
         .at("/mesh/job", post(job))
         .at("/mesh/change", post(take_change))
-        .at("/admin/status", get(crate::http::admin::status))
-        .at("/admin/machines", get(crate::http::admin::page))
+        .at("/admin/status", get(crate::http::admin::get_status))
+        .at("/admin/machines", get(crate::http::admin::get_machines))
         .data(node)
 }
 
--- a/crates/rushwalk/src/main.rs
+++ b/crates/rushwalk/src/main.rs
@@ -1,16 +1,26 @@
 //! rushwalk: one controller of a cluster scheduler.
 
+mod admin_cli;
+
+use admin_cli::AdminArgs;
 use clap::{Parser, Subcommand};
 use poem::listener::TcpListener;
-use rushwalk::controller::{self, Controller};
+use rushwalk::controller::{self, Controller, Timing};
 use rushwalk::http::admission::{AdmissionLimits, AdmissionListener};
-use rushwalk::http::{admin, peers, users};
+use rushwalk::http::{peers, users};
 use rushwalk_clients::HttpClient;
-use rushwalk_protocol::settings::Settings;
-use std::path::PathBuf;
+use rushwalk_protocol::settings::{Settings, SettingsError};
+use std::fmt::Display;
+use std::io;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
+use std::sync::Arc;
+use tokio::runtime::Runtime;
 use tracing_subscriber::filter::LevelFilter;
 
+/// The exit code for settings that can't be used.
+const EXIT_INVALID_SETTINGS: u8 = 2;
+
 /// Schedules tasks on rented machines, together with the other controllers.
 #[derive(Parser)]
 #[command(version, about, subcommand_negates_reqs = true)]
@@ -22,54 +32,88 @@
     #[arg(long)]
     check: bool,
     #[command(subcommand)]
-    admin: Option<Verb>,
+    command: Option<Command>,
 }
 
 #[derive(Subcommand)]
-enum Verb {
+enum Command {
     /// Ask a running controller, at its mesh address.
-    Admin {
-        /// IP:port, `mesh_addr` in that controller's settings.
-        #[arg(long)]
-        address: String,
-        #[command(subcommand)]
-        what: What,
-    },
+    Admin(AdminArgs),
 }
 
-#[derive(Subcommand)]
-enum What {
-    /// Leader, grants, machines by zone and type, and why jobs wait.
-    Status,
-    /// Machines one by one, a page at a time.
-    Machines {
-        /// Begin behind this machine, the last one of the page before.
-        #[arg(long, default_value = "")]
-        after: String,
+/// Why a controller did not start.
+#[derive(Debug, thiserror::Error)]
+enum StartupError {
+    /// The settings file can't be read.
+    #[error("{}: {source}", path.display())]
+    UnreadableSettings { path: PathBuf, source: io::Error },
+    /// The settings are malformed or inconsistent.
+    #[error("{}: {source}", path.display())]
+    InvalidSettings {
+        path: PathBuf,
+        source: SettingsError,
     },
+    /// The asynchronous runtime could not be started.
+    #[error("no runtime: {0}")]
+    Runtime(#[source] io::Error),
+}
+
+/// Why a controller stopped serving.
+#[derive(Debug, thiserror::Error)]
+enum ServeError {
+    /// The address of the store or of the cloud is malformed.
+    #[error(transparent)]
+    ServiceAddress(#[from] rushwalk_clients::Error),
+    /// A listener could not be opened, or failed.
+    #[error(transparent)]
+    Listener(#[from] io::Error),
 }
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    if let Some(Verb::Admin { address, what }) = cli.admin {
-        return administer(&address, what);
+    if let Some(Command::Admin(args)) = cli.command {
+        return match admin_cli::run(&args) {
+            Ok(()) => ExitCode::SUCCESS,
+            Err(error) => fail(&error, ExitCode::FAILURE),
+        };
     }
     let config = cli.config.unwrap_or_default();
-    let settings = match std::fs::read_to_string(&config) {
-        Ok(text) => Settings::parse(&text).map_err(|e| e.to_string()),
-        Err(error) => Err(error.to_string()),
-    };
-    let settings = match settings {
+    let settings = match load_settings(&config) {
         Ok(settings) => settings,
-        Err(error) => {
-            eprintln!("rushwalk: {}: {error}", config.display());
-            return ExitCode::from(2);
-        }
+        Err(error) => return fail(&error, ExitCode::from(EXIT_INVALID_SETTINGS)),
     };
     if cli.check {
         println!("{}: ok", config.display());
         return ExitCode::SUCCESS;
     }
+    init_logging();
+    match build_runtime().map_err(StartupError::Runtime) {
+        Ok(runtime) => run_until_failure(&runtime, settings),
+        Err(error) => fail(&error, ExitCode::FAILURE),
+    }
+}
+
+/// Prints why the program ends.
+fn fail(error: &dyn Display, code: ExitCode) -> ExitCode {
+    eprintln!("rushwalk: {error}");
+    code
+}
+
+fn load_settings(path: &Path) -> Result<Settings, StartupError> {
+    let text =
+        std::fs::read_to_string(path).map_err(|source| StartupError::UnreadableSettings {
+            path: path.to_path_buf(),
+            source,
+        })?;
+    Settings::parse(&text).map_err(|source| StartupError::InvalidSettings {
+        path: path.to_path_buf(),
+        source,
+    })
+}
+
+/// Logs to standard error, from the level that the environment variable `LOG_LEVEL` names:
+/// `error`, `info` (the default) or `debug`.
+fn init_logging() {
     let level = match std::env::var("LOG_LEVEL").as_deref() {
         Ok("error") => LevelFilter::ERROR,
         Ok("debug") => LevelFilter::DEBUG,
@@ -77,81 +121,80 @@
     };
     tracing_subscriber::fmt()
         .with_max_level(level)
-        .with_writer(std::io::stderr)
+        .with_writer(io::stderr)
         .with_ansi(false)
         .init();
-    let runtime = match tokio::runtime::Builder::new_current_thread()
+}
+
+/// A runtime on this thread alone: a controller may use a fraction of a processor.
+fn build_runtime() -> io::Result<Runtime> {
+    tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-    {
-        Ok(runtime) => runtime,
-        Err(error) => {
-            eprintln!("rushwalk: no runtime: {error}");
-            return ExitCode::FAILURE;
-        }
-    };
+}
+
+fn run_until_failure(runtime: &Runtime, settings: Settings) -> ExitCode {
     match runtime.block_on(serve(settings)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            tracing::error!(error, "ended");
+            tracing::error!(error = error.to_string(), "ended");
             ExitCode::FAILURE
         }
     }
 }
 
-fn administer(address: &str, what: What) -> ExitCode {
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build();
-    let answer = match (runtime, what) {
-        (Ok(runtime), What::Status) => runtime.block_on(admin::ask(address, "/admin/status")),
-        (Ok(runtime), What::Machines { after }) => {
-            // A name has no characters that a path could not hold.
-            let name: String = after.chars().filter(char::is_ascii_graphic).collect();
-            let path = format!("/admin/machines?after={name}");
-            runtime.block_on(admin::ask(address, &path))
-        }
-        (Err(error), _) => Err(error.to_string()),
-    };
-    match answer {
-        Ok(text) => {
-            println!("{text}");
-            ExitCode::SUCCESS
-        }
-        Err(error) => {
-            eprintln!("rushwalk: {error}");
-            ExitCode::FAILURE
-        }
-    }
+/// Runs a controller: its loops, and its public and peer listeners.
+async fn serve(settings: Settings) -> Result<(), ServeError> {
+    let public_address = settings.public_addr.clone();
+    let peer_address = settings.mesh_addr.clone();
+    let http = HttpClient::new(controller::kept(settings.site.limits.fd_limit));
+    let controller = Controller::new(settings, http)?;
+    tracing::info!(
+        member = controller.member(),
+        nonce = controller.incarnation,
+        "started"
+    );
+    let _loops = controller::start(&controller);
+    let (public, peers) = tokio::join!(
+        serve_public(&controller, public_address),
+        serve_peers(&controller, peer_address),
+    );
+    Ok(public.and(peers)?)
 }
 
-async fn serve(settings: Settings) -> Result<(), String> {
-    let public = settings.public_addr.clone();
-    let mesh = settings.mesh_addr.clone();
-    let http = HttpClient::new(controller::kept(settings.site.limits.fd_limit));
-    let node = Controller::new(settings, http).map_err(|e| e.to_string())?;
-    tracing::info!(member = node.member(), nonce = node.incarnation, "started");
-    let _loops = controller::start(&node);
-    let mesh = poem::Server::new(TcpListener::bind(mesh)).run(peers::routes(node.clone()));
-    let public = async {
-        // Until the view is there nobody can be served. Behind a closed port the
-        // workers of a whole fleet, who ask again each second, cost nothing; at
-        // an open one they once held up a restarted node's listing for 7 s.
-        // Nor while its blocks belong to the process before: after an end
-        // of all, refusing two thousand workers a second left no time to elect a
-        // leader and to lend the blocks, for up to 14 s.
-        let _ = tokio::time::timeout(node.timing.member_lease, node.wait_until_registered()).await;
-        let limits = AdmissionLimits {
-            pass_limit: node.timing.round / 16,
-            queue_timeout: node.timing.round * 3,
-            worker_idle_limit: node.timing.unreachable_after,
-        };
-        let listener =
-            AdmissionListener::new(TcpListener::bind(public), node.connections.clone(), limits);
-        poem::Server::new(listener)
-            .run(users::routes(node.clone()))
-            .await
-    };
-    let (public, mesh) = tokio::join!(public, mesh);
-    public.and(mesh).map_err(|e| e.to_string())
+/// Serves other controllers and operators.
+async fn serve_peers(controller: &Arc<Controller>, address: String) -> io::Result<()> {
+    poem::Server::new(TcpListener::bind(address))
+        .run(peers::routes(controller.clone()))
+        .await
+}
+
+/// Serves users and workers, from when this process is registered, or else after a
+/// membership lease.
+///
+/// Until the cluster's state is listed nobody can be served. With the port closed the
+/// workers of a whole fleet, who retry each second, cost nothing; with it open they once
+/// delayed a restarted controller's listing by 7 s. Nor is anybody served while shards
+/// still belong to the process before: after a restart of all controllers, rejecting two
+/// thousand workers a second delayed the election and the assignment of shards by up to
+/// 14 s.
+async fn serve_public(controller: &Arc<Controller>, address: String) -> io::Result<()> {
+    let registered = controller.wait_until_registered();
+    let _ = tokio::time::timeout(controller.timing.member_lease, registered).await;
+    let listener = AdmissionListener::new(
+        TcpListener::bind(address),
+        controller.connections.clone(),
+        admission_limits(&controller.timing),
+    );
+    poem::Server::new(listener)
+        .run(users::routes(controller.clone()))
+        .await
+}
+
+fn admission_limits(timing: &Timing) -> AdmissionLimits {
+    AdmissionLimits {
+        pass_limit: timing.round / 16,
+        queue_timeout: timing.round * 3,
+        worker_idle_limit: timing.unreachable_after,
+    }
 }
