--- a/crates/rushwalk/src/http/connections.rs
+++ b/crates/rushwalk/src/http/connections.rs
@@ -72,7 +72,7 @@
     }
 
     /// Whether no further connection may be accepted.
-    pub fn is_full(&self) -> bool {
+    pub(super) fn is_full(&self) -> bool {
         self.connections.lock().len() >= self.capacity
     }
 
@@ -92,7 +92,7 @@
 
     /// Closes some connections to make room: users' that are idle for longer than
     /// `user_idle`, or workers' that are idle for longer than `worker_idle`.
-    pub fn shed(&self, user_idle: Duration, worker_idle: Duration) {
+    pub(super) fn shed(&self, user_idle: Duration, worker_idle: Duration) {
         let mut candidates = self.shed_candidates(user_idle, worker_idle);
         candidates.sort_by_key(|candidate| (candidate.is_worker, candidate.last_used_ms));
         candidates.truncate((self.capacity / SHED_DIVISOR).max(1));
@@ -102,7 +102,7 @@
     }
 
     /// Closes all connections that are idle for longer than `idle_limit`.
-    pub fn close_idle(&self, idle_limit: Duration) {
+    fn close_idle(&self, idle_limit: Duration) {
         let now_ms = self.elapsed_ms();
         for connection in self.connections.lock().values() {
             if connection.idle_time(now_ms) > idle_limit {
--- a/crates/rushwalk/src/observability/incidents.rs
+++ b/crates/rushwalk/src/observability/incidents.rs
@@ -19,7 +19,7 @@
 
 /// An incident is over when there was no cause for this many rounds, and only one that
 /// lasted for longer than this is logged: a single late timer interests nobody.
-const RECOVERY_ROUNDS: u32 = 3;
+const HEALTHY_ROUNDS: u32 = 3;
 
 /// The causes of an incident.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
@@ -91,17 +91,17 @@
 impl IncidentRecorder {
     /// Records a check, `elapsed_s` after the one before, with the causes present at it.
     ///
-    /// An incident is over when there has been no cause for `recovery_s`, which doesn't
+    /// An incident is over when there has been no cause for `resolve_after_s`, which doesn't
     /// count as part of it; then it is returned.
     pub fn observe(
         &mut self,
         elapsed_s: f64,
         causes: &[IncidentCause],
-        recovery_s: f64,
+        resolve_after_s: f64,
     ) -> Option<Incident> {
         if causes.is_empty() {
             self.healthy_s += elapsed_s;
-            if self.healthy_s < recovery_s {
+            if self.healthy_s < resolve_after_s {
                 return None;
             }
             self.last = Some(self.current.take()?.rounded());
@@ -111,7 +111,7 @@
             self.healthy_s = 0.0;
         }
         let incident = self.current.get_or_insert_default();
-        // A pause shorter than `recovery_s` belongs to the incident.
+        // A pause shorter than `resolve_after_s` belongs to the incident.
         incident.duration_s += elapsed_s + self.healthy_s;
         self.healthy_s = 0.0;
         for cause in causes {
@@ -213,16 +213,16 @@
 /// lasts until there is no cause any more.
 pub async fn incident_loop(controller: Arc<Controller>) {
     let round = controller.timing.round;
-    let recovery_s = (round * RECOVERY_ROUNDS).as_secs_f64();
+    let resolve_after_s = (round * HEALTHY_ROUNDS).as_secs_f64();
     let mut last_check = Instant::now();
     loop {
         sleep(round).await;
         let elapsed_s = last_check.elapsed().as_secs_f64();
         last_check = Instant::now();
         let causes = current_causes(&controller);
-        let resolved = lock(&controller.incidents).observe(elapsed_s, &causes, recovery_s);
+        let resolved = lock(&controller.incidents).observe(elapsed_s, &causes, resolve_after_s);
         if let Some(incident) = resolved
-            && Duration::from_secs_f64(incident.duration_s) > round * RECOVERY_ROUNDS
+            && Duration::from_secs_f64(incident.duration_s) > round * HEALTHY_ROUNDS
         {
             let causes = serde_json::to_string(&incident.causes).unwrap_or_default();
             tracing::info!(
--- a/crates/rushwalk/src/random.rs
+++ b/crates/rushwalk/src/random.rs
@@ -8,7 +8,7 @@
 use std::hash::{BuildHasher, DefaultHasher, Hasher};
 
 /// Identifiers have 52 bits, so that they are exact in JSON's numbers.
-const BITS_CUT_FROM_ID: u32 = 12;
+const ID_SHIFT: u32 = 12;
 
 thread_local! {
     /// The generator of a thread that was seeded.
@@ -30,7 +30,7 @@
 
 /// An identifier of a process or of a leader's term; two are practically never equal.
 pub fn random_id() -> u64 {
-    random_u64() >> BITS_CUT_FROM_ID
+    random_u64() >> ID_SHIFT
 }
 
 /// A hasher whose key is random, so that users can't choose names that collide.
