--- a/crates/rushwalk/src/capacity/scale_out.rs
+++ b/crates/rushwalk/src/capacity/scale_out.rs
@@ -68,7 +68,7 @@
                 requested_ms: basis.began_ms,
             };
             tracing::info!(?request, "scale out: renting");
-            let rental: RentalId = format!("r-{:x}", rushwalk_random::draw()).into();
+            let rental: RentalId = format!("r-{:x}", rushwalk_random::random_u64()).into();
             let unsent = UnsentRental {
                 leader: basis.leader,
                 decided_s: context.uptime_s(),
--- a/crates/rushwalk/src/context.rs
+++ b/crates/rushwalk/src/context.rs
@@ -32,7 +32,7 @@
     pub fn new(settings: Settings) -> Context {
         Context {
             timing: Timing::new(&settings),
-            incarnation: rushwalk_random::nonce(),
+            incarnation: rushwalk_random::random_id(),
             started: Instant::now(),
             settings,
         }
--- a/crates/rushwalk/src/controller.rs
+++ b/crates/rushwalk/src/controller.rs
@@ -4,10 +4,10 @@
 //! that it uses (see `docs/ARCHITECTURE.md`).
 
 use crate::capacity::{Deletion, Inventory, RentalTracker, Rentals};
+use crate::connections::ConnectionTable;
 use crate::context::Context;
 use crate::failure_detection::heartbeats::heartbeat_loop;
 use crate::failure_detection::{FailureDetection, HeartbeatSource, LocalHealthSource};
-use crate::http::connections::ConnectionTable;
 use crate::leadership::Leadership;
 use crate::leadership::election::{Election, ElectionParts};
 use crate::leadership::snapshot_writer::SnapshotWriter;
@@ -242,7 +242,7 @@
             tokio::spawn(self.failure_detection().run()),
             tokio::spawn(controller.election().run()),
             tokio::spawn(self.usage_report().run()),
-            tokio::spawn(controller.runtime_lag.clone().watch_loop()),
+            tokio::spawn(controller.runtime_lag.clone().sampling_loop()),
             tokio::spawn(controller.connections.clone().sweep_loop(worker_lease)),
             tokio::spawn(self.incident_observer().run()),
         ];
--- a/crates/rushwalk/src/http.rs
+++ b/crates/rushwalk/src/http.rs
@@ -1,9 +1,8 @@
 //! The HTTP interfaces: users and workers on the public address, other controllers and
 //! operators on the peer address.
 
-pub mod admin;
+mod admin;
 pub mod admission;
-pub mod connections;
 mod forwarding;
 mod health;
 pub mod peers;
@@ -42,8 +41,8 @@
         user_requests: user_requests(controller),
     });
     peers::routes(api)
-        .at("/admin/status", get(admin::status))
-        .at("/admin/machines", get(admin::page))
+        .at("/admin/status", get(admin::get_status))
+        .at("/admin/machines", get(admin::get_machines))
         .data(controller.clone())
 }
 
--- a/crates/rushwalk/src/http/admin.rs
+++ b/crates/rushwalk/src/http/admin.rs
@@ -1,143 +1,53 @@
-//! The administration API, on the mesh address only: what an on-call person
-//! asks first. Read-only.
+//! The administration API, for operators: read-only, and only on the peer address.
+
+mod machines_page;
+mod status_response;
+
+#[cfg(test)]
+mod tests;
 
 use crate::controller::Controller;
+use machines_page::MachinesPage;
+use poem::error::InternalServerError;
 use poem::web::{Data, Query};
 use poem::{Response, handler};
-use rushwalk_clients::{HttpClient, Method};
-use rushwalk_state::records::MachineLifecycle;
-use serde::Deserialize;
-use serde_json::json;
-use std::collections::BTreeMap;
-use std::ops::Bound;
+use serde::{Deserialize, Serialize};
+use status_response::StatusResponse;
 use std::sync::Arc;
-use std::time::Duration;
-
-/// Jobs named for each reason to wait, and machines on one page.
-const NAMED: usize = 10;
-const PAGE: usize = 100;
-
-fn answer(body: serde_json::Value) -> Response {
-    Response::builder()
-        .content_type("application/json")
-        .body(body.to_string())
-}
-
-#[derive(Default)]
-struct MachineCounts {
-    all: usize,
-    up: usize,
-    silent: usize,
-    leaving: usize,
-    idle: usize,
-    tasks: usize,
-}
-
-/// Leader, members, grants, machines by zone and type, waiting jobs by reason.
-#[handler]
-pub async fn status(node: Data<&Arc<Controller>>) -> Response {
-    let own = node.local_health.local_health();
-    let view = node.replica.state();
-    let mut groups: BTreeMap<(&str, &str, bool), MachineCounts> = BTreeMap::new();
-    for row in view.machines.values() {
-        let m = &row.record;
-        let count = groups
-            .entry((&m.zone, &m.machine_type, m.spot))
-            .or_default();
-        count.all += 1;
-        count.up += usize::from(m.ready_ms.is_some());
-        count.silent += usize::from(m.unreachable_since_ms.is_some());
-        count.leaving += usize::from(m.lifecycle != MachineLifecycle::Active);
-        count.idle += usize::from(row.tasks.is_empty());
-        count.tasks += row.tasks.len();
-    }
-    let machines: Vec<_> = groups
-        .into_iter()
-        .map(|((zone, kind, spot), c)| {
-            json!({"zone": zone, "type": kind, "spot": spot, "machines": c.all, "up": c.up,
-                "silent": c.silent, "leaving": c.leaving, "idle": c.idle, "tasks": c.tasks})
-        })
-        .collect();
-    let grants: Vec<_> = view
-        .shard_leases
-        .iter()
-        .map(|(block, lease)| {
-            let (token, grant) = (lease.version, &lease.value);
-            let machines = view.shards.get(block).map_or(0, |b| b.len());
-            json!({"block": &**block, "holder": grant.owner, "token": token,
-                "machines": machines})
-        })
-        .collect();
-    let leads = node.leadership.version(&view).is_some();
-    // Only the leader plans, so only it knows why a job waits.
-    let mut reasons: BTreeMap<&str, Vec<String>> = BTreeMap::new();
-    if leads {
-        for (job, why) in &*node.pending_reasons.by_job() {
-            reasons.entry(why.as_str()).or_default().push(job.clone());
-        }
-    }
-    let waiting: Vec<_> = reasons
-        .into_iter()
-        .map(|(why, jobs)| json!({"why": why, "jobs": jobs.len(), "first": &jobs[..jobs.len().min(NAMED)]}))
-        .collect();
-    let times = node.context.process_times();
-    let (up_s, busy_s) = (times.up_s, times.busy_s);
-    let recovery = node.incidents.lock();
-    let (trouble, last_trouble) = recovery.summary();
-    let (connections, workers) = node.connections.count();
-    let age = node.replica.last_read_age().map(|age| age.as_secs_f64());
-    answer(json!({"member": node.context.member(), "leads": leads,
-        "leader": view.leader.as_ref().map(|l| l.value.member.clone()),
-        "revision": view.revision, "state_age_s": age, "unreadable": view.unreadable,
-        "snapshot": {"at": view.snapshot.revision, "chunks": view.snapshot.chunks, "entries_since": view.entries_since_snapshot},
-        "standings": node.peers.detector().statuses(node.context.uptime_s(), own),
-        "members": view.members.keys().collect::<Vec<_>>(),
-        "grants": grants, "machines": machines, "served": view.service_counts,
-        "up_s": up_s, "busy_s": busy_s, "late_ms": node.runtime_lag.recent_lag().as_millis() as u64,
-        "trouble": trouble, "last_trouble": last_trouble,
-        "connections": {"open": connections, "workers": workers}, "work": node.work_profile.summary(), "rentals": view.rentals.len(), "jobs_active": view.queue.len(),
-        "jobs_live": view.jobs_with_tasks.len(), "waiting": waiting}))
-}
 
+/// Where a page of machines begins.
 #[derive(Deserialize)]
-pub struct From {
+pub(crate) struct PageQuery {
+    /// The last machine of the page before; empty for the first page.
     #[serde(default)]
     after: String,
 }
 
+/// Leader, members, shard leases, machines by zone and type, pending jobs by reason.
+#[handler]
+pub(crate) async fn get_status(controller: Data<&Arc<Controller>>) -> poem::Result<Response> {
+    let health = controller.local_health.local_health();
+    let state = controller.replica.state();
+    json_response(&StatusResponse::new(&controller, &state, health))
+}
+
 /// Machines one by one, a page at a time, in the order of their names.
 #[handler]
-pub async fn page(node: Data<&Arc<Controller>>, from: Query<From>) -> Response {
-    let view = node.replica.state();
-    let after = (Bound::Excluded(&*from.after), Bound::Unbounded);
-    let mut rest = view.machines.range::<str, _>(after);
-    let listed: Vec<_> = rest
-        .by_ref()
-        .take(PAGE)
-        .map(|(name, row)| {
-            let m = &row.record;
-            json!({"name": &**name, "type": &*m.machine_type, "zone": &*m.zone, "spot": m.spot,
-                "block": &*m.shard, "leaving": m.lifecycle != MachineLifecycle::Active, "up": m.ready_ms.is_some(),
-                "silent": m.unreachable_since_ms.is_some(), "images": m.images.len(),
-                "tasks": row.tasks.iter().map(|id| id.to_string()).collect::<Vec<_>>()})
-        })
-        .collect();
-    answer(json!({"machines": listed, "more": rest.next().is_some()}))
+pub(crate) async fn get_machines(
+    controller: Data<&Arc<Controller>>,
+    query: Query<PageQuery>,
+) -> poem::Result<Response> {
+    json_response(&MachinesPage::after(
+        &controller.replica.state(),
+        &query.after,
+    ))
 }
 
-/// `rushwalk admin`: asks a controller and prints its answer.
-pub async fn ask(address: &str, path: &str) -> Result<String, String> {
-    let to = rushwalk_clients::http::parse_address(address).map_err(|e| e.to_string())?;
-    let request = rushwalk_clients::http::Request {
-        address: to,
-        method: Method::GET,
-        path,
-        body: Vec::new(),
-        timeout: Duration::from_secs(5),
-    };
-    let answer: serde_json::Value = HttpClient::new(0)
-        .json(request)
-        .await
-        .map_err(|e| format!("{address}: {e}"))?;
-    serde_json::to_string_pretty(&answer).map_err(|e| e.to_string())
+/// A response with `body` as JSON, the keys of its objects in alphabetical order.
+fn json_response(body: &impl Serialize) -> poem::Result<Response> {
+    // The maps of a `Value` are sorted.
+    let body = serde_json::to_value(body).map_err(InternalServerError)?;
+    Ok(Response::builder()
+        .content_type("application/json")
+        .body(body.to_string()))
 }
--- a/crates/rushwalk/src/http/public.rs
+++ b/crates/rushwalk/src/http/public.rs
@@ -1,9 +1,9 @@
 //! The users' and workers' interface on the public address.
 
-use super::connections::ConnectionTable;
 use super::health::is_healthy;
 use super::responses::{error, json, read_body};
 use super::user_requests::{UserRequests, unavailable};
+use crate::connections::ConnectionTable;
 use crate::observability::work_profile::WorkKind;
 use crate::peers::PeerMonitor;
 use crate::workers::heartbeats::{HeartbeatHandler, HeartbeatReply};
@@ -68,7 +68,7 @@
 
 #[handler]
 async fn heartbeat(body: Body, from: &RemoteAddr, api: Data<&Arc<PublicApi>>) -> Response {
-    api.connections.worker(from);
+    api.connections.mark_worker(from);
     let body = match read_body(body).await {
         Ok(body) => body,
         Err(response) => return response,
--- a/crates/rushwalk/src/leadership/election.rs
+++ b/crates/rushwalk/src/leadership/election.rs
@@ -258,7 +258,7 @@
         if !self.replica.is_registered() {
             return;
         }
-        let election_id = rushwalk_random::nonce();
+        let election_id = rushwalk_random::random_id();
         let candidacy = {
             let state = self.replica.state();
             self.candidacy(&state, election_id, lease)
--- a/crates/rushwalk/src/leadership/leader.rs
+++ b/crates/rushwalk/src/leadership/leader.rs
@@ -175,7 +175,7 @@
     }
 
     /// Notes the election that this process is about to try.
-    pub(super) fn begin_election(&self, election_id: u64) {
+    pub(crate) fn begin_election(&self, election_id: u64) {
         self.term.lock().election_id = Some(election_id);
     }
 
--- a/crates/rushwalk/src/lib.rs
+++ b/crates/rushwalk/src/lib.rs
@@ -5,12 +5,12 @@
 
 mod capacity;
 pub mod clock;
+pub mod connections;
 pub mod context;
 pub mod controller;
 pub mod failure_detection;
 pub mod http;
 pub mod leadership;
-mod lock;
 pub mod observability;
 pub mod observable;
 pub mod peers;
--- a/crates/rushwalk/src/main.rs
+++ b/crates/rushwalk/src/main.rs
@@ -1,16 +1,27 @@
 //! rushwalk: one controller of a cluster scheduler.
 
+mod admin_cli;
+
+use admin_cli::AdminArgs;
 use clap::{Parser, Subcommand};
 use poem::listener::TcpListener;
 use rushwalk::controller::{self, Controller};
 use rushwalk::http::admission::{AdmissionLimits, AdmissionListener};
-use rushwalk::http::{self, admin};
+use rushwalk::http::{peer_routes, public_routes};
+use rushwalk::timing::Timing;
 use rushwalk_clients::HttpClient;
-use rushwalk_protocol::settings::Settings;
-use std::path::PathBuf;
+use rushwalk_protocol::settings::{Settings, SettingsError};
+use std::fmt::Display;
+use std::io;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
+use std::sync::Arc;
+use tokio::runtime::Runtime;
 use tracing_subscriber::filter::LevelFilter;
 
+/// The exit code for settings that can't be used.
+const EXIT_INVALID_SETTINGS: u8 = 2;
+
 /// Schedules tasks on rented machines, together with the other controllers.
 #[derive(Parser)]
 #[command(version, about, subcommand_negates_reqs = true)]
@@ -22,54 +33,88 @@
     #[arg(long)]
     check: bool,
     #[command(subcommand)]
-    admin: Option<Verb>,
+    command: Option<Command>,
 }
 
 #[derive(Subcommand)]
-enum Verb {
+enum Command {
     /// Ask a running controller, at its mesh address.
-    Admin {
-        /// IP:port, `mesh_addr` in that controller's settings.
-        #[arg(long)]
-        address: String,
-        #[command(subcommand)]
-        what: What,
-    },
+    Admin(AdminArgs),
 }
 
-#[derive(Subcommand)]
-enum What {
-    /// Leader, grants, machines by zone and type, and why jobs wait.
-    Status,
-    /// Machines one by one, a page at a time.
-    Machines {
-        /// Begin behind this machine, the last one of the page before.
-        #[arg(long, default_value = "")]
-        after: String,
+/// Why a controller did not start.
+#[derive(Debug, thiserror::Error)]
+enum StartupError {
+    /// The settings file can't be read.
+    #[error("{}: {source}", path.display())]
+    UnreadableSettings { path: PathBuf, source: io::Error },
+    /// The settings are malformed or inconsistent.
+    #[error("{}: {source}", path.display())]
+    InvalidSettings {
+        path: PathBuf,
+        source: SettingsError,
     },
+    /// The asynchronous runtime could not be started.
+    #[error("no runtime: {0}")]
+    Runtime(#[source] io::Error),
+}
+
+/// Why a controller stopped serving.
+#[derive(Debug, thiserror::Error)]
+enum ServeError {
+    /// The address of the store or of the cloud is malformed.
+    #[error(transparent)]
+    ServiceAddress(#[from] rushwalk_clients::Error),
+    /// A listener could not be opened, or failed.
+    #[error(transparent)]
+    Listener(#[from] io::Error),
 }
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    if let Some(Verb::Admin { address, what }) = cli.admin {
-        return administer(&address, what);
+    if let Some(Command::Admin(args)) = cli.command {
+        return match admin_cli::run(&args) {
+            Ok(()) => ExitCode::SUCCESS,
+            Err(error) => fail(&error, ExitCode::FAILURE),
+        };
     }
     let config = cli.config.unwrap_or_default();
-    let settings = match std::fs::read_to_string(&config) {
-        Ok(text) => Settings::parse(&text).map_err(|e| e.to_string()),
-        Err(error) => Err(error.to_string()),
-    };
-    let settings = match settings {
+    let settings = match load_settings(&config) {
         Ok(settings) => settings,
-        Err(error) => {
-            eprintln!("rushwalk: {}: {error}", config.display());
-            return ExitCode::from(2);
-        }
+        Err(error) => return fail(&error, ExitCode::from(EXIT_INVALID_SETTINGS)),
     };
     if cli.check {
         println!("{}: ok", config.display());
         return ExitCode::SUCCESS;
     }
+    init_logging();
+    match build_runtime().map_err(StartupError::Runtime) {
+        Ok(runtime) => run_until_failure(&runtime, settings),
+        Err(error) => fail(&error, ExitCode::FAILURE),
+    }
+}
+
+/// Prints why the program ends.
+fn fail(error: &dyn Display, code: ExitCode) -> ExitCode {
+    eprintln!("rushwalk: {error}");
+    code
+}
+
+fn load_settings(path: &Path) -> Result<Settings, StartupError> {
+    let text =
+        std::fs::read_to_string(path).map_err(|source| StartupError::UnreadableSettings {
+            path: path.to_path_buf(),
+            source,
+        })?;
+    Settings::parse(&text).map_err(|source| StartupError::InvalidSettings {
+        path: path.to_path_buf(),
+        source,
+    })
+}
+
+/// Logs to standard error, from the level that the environment variable `LOG_LEVEL` names:
+/// `error`, `info` (the default) or `debug`.
+fn init_logging() {
     let level = match std::env::var("LOG_LEVEL").as_deref() {
         Ok("error") => LevelFilter::ERROR,
         Ok("debug") => LevelFilter::DEBUG,
@@ -77,92 +122,82 @@
     };
     tracing_subscriber::fmt()
         .with_max_level(level)
-        .with_writer(std::io::stderr)
+        .with_writer(io::stderr)
         .with_ansi(false)
         .init();
-    let runtime = match tokio::runtime::Builder::new_current_thread()
+}
+
+/// A runtime on this thread alone: a controller may use a fraction of a processor.
+fn build_runtime() -> io::Result<Runtime> {
+    tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-    {
-        Ok(runtime) => runtime,
-        Err(error) => {
-            eprintln!("rushwalk: no runtime: {error}");
-            return ExitCode::FAILURE;
-        }
-    };
-    match runtime.block_on(serve(settings)) {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(error) => {
-            tracing::error!(error, "ended");
-            ExitCode::FAILURE
-        }
-    }
 }
 
-fn administer(address: &str, what: What) -> ExitCode {
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build();
-    let answer = match (runtime, what) {
-        (Ok(runtime), What::Status) => runtime.block_on(admin::ask(address, "/admin/status")),
-        (Ok(runtime), What::Machines { after }) => {
-            // A name has no characters that a path could not hold.
-            let name: String = after.chars().filter(char::is_ascii_graphic).collect();
-            let path = format!("/admin/machines?after={name}");
-            runtime.block_on(admin::ask(address, &path))
-        }
-        (Err(error), _) => Err(error.to_string()),
-    };
-    match answer {
-        Ok(text) => {
-            println!("{text}");
-            ExitCode::SUCCESS
-        }
+fn run_until_failure(runtime: &Runtime, settings: Settings) -> ExitCode {
+    match runtime.block_on(serve(settings)) {
+        Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("rushwalk: {error}");
+            tracing::error!(error = error.to_string(), "ended");
             ExitCode::FAILURE
         }
     }
 }
 
-async fn serve(settings: Settings) -> Result<(), String> {
+/// Runs a controller: its loops, and its public and peer listeners.
+async fn serve(settings: Settings) -> Result<(), ServeError> {
     let public_address = settings.public_addr.clone();
     let peer_address = settings.peer_addr.clone();
-    let max_idle = controller::max_idle_connections(settings.site.limits.fd_limit);
-    let (controller, loops) =
-        Controller::new(settings, HttpClient::new(max_idle)).map_err(|e| e.to_string())?;
-    let context = &controller.context;
+    let http = HttpClient::new(controller::max_idle_connections(
+        settings.site.limits.fd_limit,
+    ));
+    let (controller, loops) = Controller::new(settings, http)?;
     tracing::info!(
-        member = context.member(),
-        incarnation = context.incarnation,
+        member = controller.context.member(),
+        incarnation = controller.context.incarnation,
         "started"
     );
     let _loops = loops.spawn();
-    let peer_server =
-        poem::Server::new(TcpListener::bind(peer_address)).run(http::peer_routes(&controller));
-    let public_server = async {
-        // Until the state is listed nobody can be served. Behind a closed port the workers of
-        // a whole fleet, who ask again each second, cost nothing; at an open one they once
-        // held up a restarted controller's listing for 7 s. Nor while its shards belong to
-        // the previous process: after an end of all, rejecting two thousand workers a second
-        // left no time to elect a leader and to assign the shards, for up to 14 s.
-        let timing = &context.timing;
-        let registered = controller.replica.wait_until_registered();
-        let _ = tokio::time::timeout(timing.member_lease, registered).await;
-        let limits = AdmissionLimits {
-            pass: timing.round / 16,
-            patience: timing.round * 3,
-            silent: timing.unreachable_after,
-        };
-        let listener = AdmissionListener::new(
-            TcpListener::bind(public_address),
-            controller.connections.clone(),
-            limits,
-        );
-        poem::Server::new(listener)
-            .run(http::public_routes(&controller))
-            .await
-    };
-    let (public_result, peer_result) = tokio::join!(public_server, peer_server);
-    public_result.and(peer_result).map_err(|e| e.to_string())
+    let (public, peers) = tokio::join!(
+        serve_public(&controller, public_address),
+        serve_peers(&controller, peer_address),
+    );
+    Ok(public.and(peers)?)
+}
+
+/// Serves other controllers and operators.
+async fn serve_peers(controller: &Arc<Controller>, address: String) -> io::Result<()> {
+    poem::Server::new(TcpListener::bind(address))
+        .run(peer_routes(controller))
+        .await
+}
+
+/// Serves users and workers, from when this process is registered, or else after a
+/// membership lease.
+///
+/// Until the cluster's state is listed nobody can be served. With the port closed the
+/// workers of a whole fleet, who retry each second, cost nothing; with it open they once
+/// delayed a restarted controller's listing by 7 s. Nor is anybody served while shards
+/// still belong to the process before: after a restart of all controllers, rejecting two
+/// thousand workers a second delayed the election and the assignment of shards by up to
+/// 14 s.
+async fn serve_public(controller: &Arc<Controller>, address: String) -> io::Result<()> {
+    let registered = controller.replica.wait_until_registered();
+    let _ = tokio::time::timeout(controller.context.timing.member_lease, registered).await;
+    let listener = AdmissionListener::new(
+        TcpListener::bind(address),
+        controller.connections.clone(),
+        admission_limits(&controller.context.timing),
+    );
+    poem::Server::new(listener)
+        .run(public_routes(controller))
+        .await
+}
+
+fn admission_limits(timing: &Timing) -> AdmissionLimits {
+    AdmissionLimits {
+        pass_limit: timing.round / 16,
+        queue_timeout: timing.round * 3,
+        worker_idle_limit: timing.unreachable_after,
+    }
 }
--- a/crates/rushwalk/src/reporting/incidents.rs
+++ b/crates/rushwalk/src/reporting/incidents.rs
@@ -54,10 +54,14 @@
                 .lock()
                 .observe(passed_s, &causes, calm.as_secs_f64());
             if let Some(incident) = ended
-                && Duration::from_secs_f64(incident.took_s) > calm
+                && Duration::from_secs_f64(incident.duration_s) > calm
             {
                 let causes = serde_json::to_string(&incident.causes).unwrap_or_default();
-                tracing::info!(took_s = incident.took_s, causes, "incident ended");
+                tracing::info!(
+                    duration_s = incident.duration_s,
+                    causes,
+                    "incident resolved"
+                );
             }
         }
     }
--- a/crates/rushwalk/src/reporting/usage.rs
+++ b/crates/rushwalk/src/reporting/usage.rs
@@ -1,7 +1,7 @@
 //! Logs from time to time where the time went, and which jobs are served least.
 
+use crate::connections::ConnectionTable;
 use crate::context::Context;
-use crate::http::connections::ConnectionTable;
 use crate::observability::runtime_lag::RuntimeLag;
 use crate::observability::work_profile::WorkProfile;
 use crate::store::Replica;
--- a/crates/rushwalk/src/scheduling/turns.rs
+++ b/crates/rushwalk/src/scheduling/turns.rs
@@ -51,7 +51,7 @@
             timer.add_items(round.take_evaluations());
             drop(timer);
             rest = &rest[done..];
-            self.runtime_lag.give_way(turn_began.elapsed()).await;
+            self.runtime_lag.yield_after(turn_began.elapsed()).await;
         }
         decisions
     }
@@ -78,7 +78,7 @@
             timer.add_items(round.take_evaluations());
             drop(timer);
             rest = &rest[done..];
-            self.runtime_lag.give_way(turn_began.elapsed()).await;
+            self.runtime_lag.yield_after(turn_began.elapsed()).await;
         }
         round.planned_time_s = round.current_time_s;
         late
--- a/crates/rushwalk/src/store/replica.rs
+++ b/crates/rushwalk/src/store/replica.rs
@@ -88,7 +88,8 @@
         self.last_read_age().unwrap_or(Duration::MAX)
     }
 
-    fn record_read(&self, sent: Instant) {
+    /// Notes that a read which was sent then has succeeded.
+    pub(crate) fn record_read(&self, sent: Instant) {
         self.last_read_sent
             .update(|last| *last = Some(last.map_or(sent, |before| before.max(sent))));
         self.notify_changed();
