--- a/crates/simulator/src/commands.rs
+++ b/crates/simulator/src/commands.rs
@@ -6,21 +6,21 @@
 
 use std::num::ParseFloatError;
 
-/// Whether the simulated controllers kept all invariants.
+/// Result of checking the invariants over all runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
-    /// They did.
+pub enum CheckResult {
+    /// All hold.
     Passed,
     /// Some were violated.
     Violated,
 }
 
-impl Verdict {
-    fn from_passed(passed: bool) -> Verdict {
+impl CheckResult {
+    fn from_passed(passed: bool) -> CheckResult {
         if passed {
-            Verdict::Passed
+            CheckResult::Passed
         } else {
-            Verdict::Violated
+            CheckResult::Violated
         }
     }
 }
--- a/crates/simulator/src/commands/detector_sweep.rs
+++ b/crates/simulator/src/commands/detector_sweep.rs
@@ -1,6 +1,6 @@
 //! `detector-sweep`: the failure detector's errors and speed, over its settings.
 
-use super::{NumberError, Verdict};
+use super::{CheckResult, NumberError};
 use crate::parallel;
 use crate::quantiles::format_quantiles;
 use clap::Args;
@@ -103,7 +103,7 @@
 ///
 /// # Errors
 /// If the plot can't be written.
-pub fn run(args: &DetectorSweepArgs) -> Result<Verdict, SimulatorError> {
+pub fn run(args: &DetectorSweepArgs) -> Result<CheckResult, SimulatorError> {
     let network = args.network();
     print_header(args, &network);
     let mut series = Vec::new();
@@ -115,7 +115,7 @@
     if let Some(path) = &args.plot {
         cumulative_distributions(path, "Time to the first verdict", &series)?;
     }
-    Ok(Verdict::Passed)
+    Ok(CheckResult::Passed)
 }
 
 fn print_header(args: &DetectorSweepArgs, network: &Network) {
--- a/crates/simulator/src/commands/failover.rs
+++ b/crates/simulator/src/commands/failover.rs
@@ -1,6 +1,6 @@
 //! `failover`: measures scenarios, several runs of each.
 
-use super::{NumberError, Verdict, init_controller_log};
+use super::{CheckResult, NumberError, init_controller_log};
 use crate::parallel;
 use crate::quantiles::format_quantiles;
 use clap::{Args, Parser};
@@ -104,7 +104,7 @@
 ///
 /// # Errors
 /// If no runtime can be created, or a result not be written.
-pub fn run(args: &FailoverArgs) -> Result<Verdict, SimulatorError> {
+pub fn run(args: &FailoverArgs) -> Result<CheckResult, SimulatorError> {
     let controllers = usize::from(args.controllers);
     let cases = args.cases();
     if args.log {
@@ -130,7 +130,7 @@
         plot_round_gaps(path, &args.scenarios, &runs)?;
     }
     let passed = runs.iter().all(|run| run.violations.is_empty());
-    Ok(Verdict::from_passed(passed))
+    Ok(CheckResult::from_passed(passed))
 }
 
 fn print_table(args: &FailoverArgs, cases: &[Case], runs: &[FailoverMeasurements]) {
--- a/crates/simulator/src/commands/search.rs
+++ b/crates/simulator/src/commands/search.rs
@@ -1,6 +1,6 @@
 //! `search`: runs random combinations of faults; one that violates an invariant is reduced.
 
-use super::{Verdict, init_controller_log};
+use super::{CheckResult, init_controller_log};
 use crate::parallel;
 use clap::{Args, ValueEnum};
 use rushwalk_simulator::SimulatorError;
@@ -63,7 +63,7 @@
 ///
 /// # Errors
 /// If no runtime can be created, or an outcome not be written as JSON.
-pub fn run(args: &SearchArgs) -> Result<Verdict, SimulatorError> {
+pub fn run(args: &SearchArgs) -> Result<CheckResult, SimulatorError> {
     if args.log {
         init_controller_log();
     }
@@ -97,7 +97,7 @@
         violated.len(),
         longest_cancellation_s
     );
-    Ok(Verdict::from_passed(violated.is_empty()))
+    Ok(CheckResult::from_passed(violated.is_empty()))
 }
 
 /// Leaves out faults one by one for as long as an invariant is still violated.
--- a/crates/simulator/src/failover/observer.rs
+++ b/crates/simulator/src/failover/observer.rs
@@ -140,7 +140,8 @@
             return;
         }
         let machines = &self.unrecovered_machines;
-        let recovered = inspect::machines_heard_since(controller, self.failed_at, machines);
+        let recovered =
+            inspect::machines_with_heartbeat_since(controller, self.failed_at, machines);
         let after_s = (now - self.failed_at).as_secs_f64();
         for machine in recovered {
             self.unrecovered_machines.remove(&machine);
--- a/crates/simulator/src/inspect.rs
+++ b/crates/simulator/src/inspect.rs
@@ -1,4 +1,4 @@
-//! What the simulator reads of a running controller's internal state, kept in one place.
+//! Access to a running controller's internal state, in one place.
 
 use rushwalk::controller::{Controller, lock};
 use rushwalk::leadership::election;
@@ -123,21 +123,23 @@
 
 /// Of some machines, those whose shard a controller owns and that sent it a heartbeat after
 /// a time.
-pub fn machines_heard_since(
+pub fn machines_with_heartbeat_since(
     controller: &Controller,
     since: Instant,
     names: impl IntoIterator<Item = impl AsRef<str>>,
 ) -> Vec<String> {
     let view = controller.view();
     let workers = lock(&controller.workers_seen);
-    let heard = |name: &str| {
+    let with_heartbeat = |name: &str| {
         let row = view.machines.get(name)?;
         controller.fencing_token(&view, &row.record.shard)?;
         let last_heard = workers.sessions.get(name)?.last_heard?;
         (last_heard > since).then(|| name.to_string())
     };
     let names = names.into_iter();
-    names.filter_map(|name| heard(name.as_ref())).collect()
+    names
+        .filter_map(|name| with_heartbeat(name.as_ref()))
+        .collect()
 }
 
 /// Pretends that a controller's timers are late by some quarters of its round.
@@ -146,6 +148,14 @@
     controller.runtime_lag.set_simulated_lag(lag);
 }
 
+/// Lets a controller campaign for leadership once, with a new lease, whatever its membership.
+/// Panics if the store grants no lease.
+pub async fn campaign(controller: &Controller) {
+    let lease_duration = controller.timing.member_lease;
+    let lease = controller.store.grant_lease(lease_duration).await.unwrap();
+    election::elect(controller, lease).await;
+}
+
 /// Machines that a controller has reconciled so far, counted each time.
 pub fn reconciled_machines(controller: &Controller) -> u64 {
     controller.work_profile.items(WorkKind::Reconcile)
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -35,8 +35,8 @@
         Some(Command::DetectorSweep(args)) => detector_sweep::run(&args),
     };
     match result {
-        Ok(commands::Verdict::Passed) => ExitCode::SUCCESS,
-        Ok(commands::Verdict::Violated) => ExitCode::FAILURE,
+        Ok(commands::CheckResult::Passed) => ExitCode::SUCCESS,
+        Ok(commands::CheckResult::Violated) => ExitCode::FAILURE,
         Err(error) => {
             eprintln!("rushwalk-simulator: {error}");
             ExitCode::from(2)
--- a/crates/simulator/tests/cluster/restart.rs
+++ b/crates/simulator/tests/cluster/restart.rs
@@ -76,12 +76,6 @@
     cluster.start(0);
     let process = cluster.processes[0].as_ref().unwrap();
     process.loops.iter().for_each(JoinHandle::abort);
-    let controller = &process.controller;
-    let lease = controller
-        .store
-        .grant_lease(controller.timing.member_lease)
-        .await
-        .unwrap();
-    rushwalk::leadership::election::elect(controller, lease).await;
+    inspect::campaign(&process.controller).await;
     assert!(!cluster.platform.has_key("w/leader"));
 }
