--- a/crates/protocol/src/ids.rs
+++ b/crates/protocol/src/ids.rs
@@ -118,6 +118,18 @@
     pub index: u32,
 }
 
+impl TaskId {
+    /// Reads a task's name, such as `j-000412/3`, which is what is displayed; `None` if the
+    /// text is none.
+    pub fn parse(name: &str) -> Option<TaskId> {
+        let (job, index) = name.split_once('/')?;
+        Some(TaskId {
+            job: job.into(),
+            index: index.parse().ok()?,
+        })
+    }
+}
+
 impl fmt::Display for TaskId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}/{}", self.job, self.index)
--- a/crates/protocol/src/jobs.rs
+++ b/crates/protocol/src/jobs.rs
@@ -1,9 +1,7 @@
 //! The users' API: submitting, querying and cancelling jobs.
 
-mod task_name;
 mod validation;
 
-pub use task_name::TaskName;
 pub use validation::Malformed;
 
 use serde::{Deserialize, Serialize};
--- a/crates/protocol/src/worker.rs
+++ b/crates/protocol/src/worker.rs
@@ -54,7 +54,7 @@
 /// One task on a machine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskStatus {
-    /// The task's name, see [`TaskName`](crate::jobs::TaskName).
+    /// The task's name, see [`TaskId`](crate::ids::TaskId).
     #[serde(rename = "piece")]
     pub task: String,
     /// Which start of the task it is.
