--- a/crates/rushwalk/src/shards/assignment.rs
+++ b/crates/rushwalk/src/shards/assignment.rs
@@ -225,8 +225,8 @@
         let flapping = state.members.keys().filter(|name| is_flapping(name));
         let few_are_flapping = 2 * flapping.count() < state.members.len();
         let members = state.members.iter().filter(|(name, member)| {
-            !(few_are_flapping && is_flapping(name))
-                && !detector.has_lost_shards(name, member.incarnation)
+            let is_excluded = few_are_flapping && is_flapping(name);
+            !is_excluded && !detector.has_lost_shards(name, member.incarnation)
         });
         members.collect()
     }
