--- a/crates/rushwalk/src/failure_detection/local_health.rs
+++ b/crates/rushwalk/src/failure_detection/local_health.rs
@@ -22,7 +22,7 @@
 
 impl LocalHealthSource {
     /// The health at this moment.
-    pub fn local_health(&self) -> LocalHealth {
+    pub fn now(&self) -> LocalHealth {
         let revision = self.replica.state().revision;
         let since_transfer = self.leadership.since_last_transfer();
         LocalHealth {
--- a/crates/rushwalk/src/failure_detection/observation.rs
+++ b/crates/rushwalk/src/failure_detection/observation.rs
@@ -90,7 +90,7 @@
         loop {
             sleep(self.context.timing.peer_heartbeat / 2).await;
             self.measure_busy_share();
-            let local_health = self.local_health.local_health();
+            let local_health = self.local_health.now();
             self.observe();
             let now_s = self.context.uptime_s();
             let transitions = self.peers.detector().evaluate(now_s, local_health);
--- a/crates/rushwalk/src/http/admin.rs
+++ b/crates/rushwalk/src/http/admin.rs
@@ -26,7 +26,7 @@
 /// Leader, members, shard leases, machines by zone and type, pending jobs by reason.
 #[handler]
 pub(crate) async fn get_status(controller: Data<&Arc<Controller>>) -> poem::Result<Response> {
-    let health = controller.local_health.local_health();
+    let health = controller.local_health().now();
     let state = controller.replica.state();
     json_response(&StatusResponse::new(&controller, &state, health))
 }
--- /dev/null
+++ b/crates/rushwalk/src/shards/assignment/inputs.rs
@@ -0,0 +1,98 @@
+//! What an assignment of shards goes by, gathered for one pass.
+
+use super::ShardAssignerParts;
+use super::history::MoveHistory;
+use crate::shards::reachability::ShardReachability;
+use rushwalk_protocol::ids::ShardId;
+use rushwalk_scheduler::shard_assignment::{OwnerCandidate, ShardStatus};
+use rushwalk_state::ClusterState;
+use rushwalk_state::records::ShardLease;
+use std::collections::BTreeSet;
+
+/// The inputs of one pass.
+pub(super) struct Inputs<'a> {
+    /// Who may own shards.
+    pub(super) candidates: Vec<OwnerCandidate<'a>>,
+    /// The shards that may be assigned now.
+    pub(super) ids: &'a [ShardId],
+    /// The same, as they are now.
+    pub(super) statuses: Vec<ShardStatus<'a>>,
+    /// Shards whose machines turned up at other controllers than their owner.
+    pub(super) reachable_elsewhere: Vec<ShardId>,
+}
+
+/// Everything that the inputs are gathered from, at one moment.
+pub(super) struct InputGatherer<'a> {
+    pub(super) parts: &'a ShardAssignerParts,
+    pub(super) history: &'a MoveHistory,
+    pub(super) state: &'a ClusterState,
+    pub(super) reachability: &'a ShardReachability,
+}
+
+impl<'a> InputGatherer<'a> {
+    /// The inputs for the shards that may be assigned now.
+    pub(super) fn gather(&self, ids: &'a [ShardId]) -> Inputs<'a> {
+        let members = self.eligible_members();
+        let names: Vec<&str> = members.iter().map(|(name, _)| name.as_str()).collect();
+        let mut inputs = Inputs {
+            candidates: self.candidates(&members),
+            ids,
+            statuses: Vec::with_capacity(ids.len()),
+            reachable_elsewhere: Vec::new(),
+        };
+        for id in ids {
+            let reachable_from = self.reachable_from(id);
+            if !reachable_from.is_empty() {
+                inputs.reachable_elsewhere.push(id.clone());
+            }
+            let status = self.status(&names, id, &reachable_from);
+            inputs.statuses.push(status);
+        }
+        inputs
+    }
+
+    /// The controllers that a shard's machines reach in place of its owner.
+    fn reachable_from(&self, id: &ShardId) -> Vec<&'a str> {
+        let counts = self.state.shard_counts(id);
+        let Some(lease) = self.valid_lease(id) else {
+            return Vec::new();
+        };
+        let timing = &self.parts.context.timing;
+        let has_unreachable = counts.unreachable > 0;
+        if self
+            .history
+            .moved_to_reachable_recently(id, has_unreachable, timing)
+        {
+            return Vec::new();
+        }
+        let machines = counts.ready.saturating_sub(counts.unreachable);
+        self.reachability.reachable_from(id, &lease.owner, machines)
+    }
+
+    /// A shard as it is now; `names` are those of the candidates.
+    fn status(&self, names: &[&str], id: &'a ShardId, reachable_from: &[&str]) -> ShardStatus<'a> {
+        let lease = self.valid_lease(id);
+        let counts = self.state.shard_counts(id);
+        let timing = &self.parts.context.timing;
+        let moved_recently = self.history.moved_recently(id, timing);
+        let looks_cut_off = lease.is_some() && !moved_recently && counts.mostly_unreachable();
+        let position = |name: &str| names.binary_search(&name).ok();
+        ShardStatus {
+            zone: id.zone(),
+            machines: self.state.shards.get(id).map_or(0, BTreeSet::len),
+            owner: lease.and_then(|lease| position(&lease.owner)),
+            has_unreachable: counts.unreachable > 0,
+            owner_cut_off: !reachable_from.is_empty() || looks_cut_off,
+            reachable_from: reachable_from
+                .iter()
+                .filter_map(|name| position(name))
+                .collect(),
+        }
+    }
+
+    /// A shard's lease, if its owner is registered.
+    fn valid_lease(&self, shard: &ShardId) -> Option<&'a ShardLease> {
+        let lease = &self.state.shard_leases.get(shard)?.value;
+        self.state.is_owner_registered(lease).then_some(lease)
+    }
+}
--- a/crates/simulator/src/inspect.rs
+++ b/crates/simulator/src/inspect.rs
@@ -104,7 +104,7 @@
 
 /// The other controllers that a controller suspects or has declared failed.
 pub fn unhealthy_peers(controller: &Controller) -> Vec<UnhealthyPeer> {
-    let local_health = controller.local_health.local_health();
+    let local_health = controller.local_health().now();
     let now_s = controller.context.uptime_s();
     let statuses = controller.peers.detector().statuses(now_s, local_health);
     let unhealthy = statuses
