--- a/crates/simulator/tests/failover.rs
+++ b/crates/simulator/tests/failover.rs
@@ -1,4 +1,4 @@
-//! Each row of the table in `docs/SUSPICION.md`, by whole controllers on virtual time: how
+//! Each row of the table in `docs/FAILURE_DETECTION.md`, by whole controllers on virtual time: how
 //! long a failover takes, and that no healthy controller is declared failed.
 
 use rushwalk_simulator::failover::{FailoverMeasurements, FailoverScenario, run as run_scenario};
--- a/crates/simulator/tests/fault_combinations.rs
+++ b/crates/simulator/tests/fault_combinations.rs
@@ -1,4 +1,4 @@
-//! Combinations of two faults, as `docs/MEETINGS.md` lists them, with whole controllers on
+//! Combinations of two faults, as `docs/FAULT_COMBINATIONS.md` lists them, with whole controllers on
 //! virtual time. Each test says what happened before the service was guarded against it.
 
 mod common;
--- a/crates/simulator/tests/real_machines/main.rs
+++ b/crates/simulator/tests/real_machines/main.rs
@@ -1,5 +1,5 @@
 //! Combinations of faults that were observed on real machines or that operators asked for,
-//! with whole controllers on virtual time. `docs/MEETINGS.md` says what each guards against.
+//! with whole controllers on virtual time. `docs/FAULT_COMBINATIONS.md` says what each guards against.
 
 mod cancellation;
 #[path = "../common/mod.rs"]
