--- a/crates/rushwalk/src/capacity/shard_allocation.rs
+++ b/crates/rushwalk/src/capacity/shard_allocation.rs
@@ -1,20 +1,26 @@
-//! Which shards new machines join.
+//! Which shards new machines join, and how many machines a shard may have.
+//!
+//! A zone's shards are filled one after the other, `<zone>` first, then `<zone>#1` and so on.
 
 use rushwalk_protocol::ids::ShardId;
 use rushwalk_state::ClusterState;
 use std::collections::{BTreeSet, HashMap};
 
-/// Machines of all shards that one controller out of three should own.
-const MACHINES_PER_CONTROLLERS: usize = 768;
+/// The most machines of a shard, times the number of controllers.
+const SHARD_SIZE_TIMES_CONTROLLERS: usize = 768;
 
-/// The smallest limit of a shard's machines.
+/// Up to this many controllers don't make shards smaller.
+const MIN_CONTROLLERS: usize = 3;
+
+/// The smallest limit of a shard's machines, however many controllers there are: smaller
+/// shards would need more leases than the store takes writes for.
 const MIN_SHARD_SIZE: usize = 32;
 
 /// The most machines of a shard: so many that few leases cover the fleet, so few that a
 /// failed controller's machines can be shared out, and that more controllers have more
 /// shards to share.
 fn max_shard_size(controllers: usize) -> usize {
-    (MACHINES_PER_CONTROLLERS / controllers.max(3)).max(MIN_SHARD_SIZE)
+    (SHARD_SIZE_TIMES_CONTROLLERS / controllers.max(MIN_CONTROLLERS)).max(MIN_SHARD_SIZE)
 }
 
 /// Gives new machines to the shards of their zones.
@@ -38,8 +44,6 @@
     /// Shards with room for so many machines of a zone, one for each.
     pub(super) fn allocate(&mut self, zone: &str, machines: usize) -> Vec<ShardId> {
         let max_size = max_shard_size(self.controllers);
-        // As many shards as there are controllers share a large zone evenly.
-        let max_at_once = max_size / self.controllers.min(3);
         let mut allocated = Vec::with_capacity(machines);
         let mut number = 0;
         while allocated.len() < machines {
@@ -47,12 +51,10 @@
             let used = self.state.shards.get(&shard).map_or(0, BTreeSet::len);
             let added = self.added.entry(shard.clone()).or_default();
             let room = max_size.saturating_sub(used + *added);
-            let take = room.min(machines - allocated.len()).min(max_at_once);
+            let take = room.min(machines - allocated.len());
             *added += take;
             allocated.extend(std::iter::repeat_n(shard, take));
-            if room <= take {
-                number += 1;
-            }
+            number += 1;
         }
         allocated
     }
