--- a/crates/random/src/lib.rs
+++ b/crates/random/src/lib.rs
@@ -1,6 +1,8 @@
 //! Random numbers: from the operating system or, on threads with virtual time, from a
 //! seed, so that a simulated day is reproduced down to its last commit.
 
+#![deny(missing_docs)]
+
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::cell::RefCell;
--- a/crates/rushwalk/src/capacity.rs
+++ b/crates/rushwalk/src/capacity.rs
@@ -1,16 +1,16 @@
 //! The machines that are rented: what the cloud has, rentals and deletions, how machines
 //! boot, and how many are needed.
 
-pub mod boot_supervision;
-pub mod deletion;
-pub mod inventory;
-pub mod machines;
-pub mod rentals;
-pub mod scale_in;
-pub mod scale_out;
-pub mod scarcity;
+pub(crate) mod boot_supervision;
+pub(crate) mod deletion;
+pub(crate) mod inventory;
+pub(crate) mod machines;
+pub(crate) mod rentals;
+pub(crate) mod scale_in;
+pub(crate) mod scale_out;
+pub(crate) mod scarcity;
 mod shard_allocation;
 
-pub use deletion::Deletion;
-pub use inventory::Inventory;
-pub use rentals::{RentalTracker, Rentals};
+pub(crate) use deletion::Deletion;
+pub(crate) use inventory::Inventory;
+pub(crate) use rentals::{RentalTracker, Rentals};
--- a/crates/rushwalk/src/capacity/boot_supervision.rs
+++ b/crates/rushwalk/src/capacity/boot_supervision.rs
@@ -41,14 +41,14 @@
 
 /// Learns how machines boot, and abandons those that don't come.
 #[derive(Default)]
-pub struct BootSupervisor {
+pub(crate) struct BootSupervisor {
     boot_times: BootTimeEstimator,
     abandoned: Vec<AbandonedBoot>,
     trials: Vec<Trial>,
 }
 
 /// The group with which a machine boots, and its type.
-pub fn boot_group<'a>(
+pub(crate) fn boot_group<'a>(
     machine: &MachineRecord,
     types: &'a MachineTypes,
     zones: &[Arc<str>],
@@ -61,12 +61,12 @@
 
 impl BootSupervisor {
     /// How machines boot, as of the latest update.
-    pub fn boot_times(&self) -> &BootTimeEstimator {
+    pub(crate) fn boot_times(&self) -> &BootTimeEstimator {
         &self.boot_times
     }
 
     /// When a machine that boots should be ready, in seconds.
-    pub fn expected_ready_s(
+    pub(crate) fn expected_ready_s(
         &self,
         machine: &MachineRecord,
         types: &MachineTypes,
@@ -83,7 +83,7 @@
 
     /// Learns from the machines there are and from those that were abandoned. A machine may
     /// be ready for `heartbeat_s` before it is seen to be.
-    pub fn update(
+    pub(crate) fn update(
         &mut self,
         state: &ClusterState,
         types: &MachineTypes,
@@ -118,7 +118,7 @@
     /// Machines to abandon since others would come sooner. One that never comes holds what
     /// can be rented of its kind: 580 did for 250 s, and all others were in use. Only if
     /// `jobs_wait` it is worth a try to abandon one of many that are all late.
-    pub fn abandon_late(
+    pub(crate) fn abandon_late(
         &mut self,
         state: &ClusterState,
         types: &MachineTypes,
--- a/crates/rushwalk/src/capacity/deletion.rs
+++ b/crates/rushwalk/src/capacity/deletion.rs
@@ -15,7 +15,7 @@
 use super::rentals::RentalTracker;
 
 /// Deletes machines while this process leads.
-pub struct Deletion {
+pub(crate) struct Deletion {
     /// This process's context.
     pub context: Arc<Context>,
     /// Shows what is to be deleted.
@@ -38,7 +38,7 @@
 impl Deletion {
     /// Deletes what is to be deleted: at once if tasks wait to be gone or a call is full,
     /// else once in a round, for a call costs the same for one machine as for a hundred.
-    pub async fn run(self) {
+    pub(crate) async fn run(self) {
         let mut last_call: Option<Instant> = None;
         loop {
             sleep(self.context.timing.round / 4).await;
--- a/crates/rushwalk/src/capacity/inventory.rs
+++ b/crates/rushwalk/src/capacity/inventory.rs
@@ -27,7 +27,7 @@
 const AGE_TOLERANCE_MS: UnixMillis = 2000;
 
 /// Reads machine types and the machine list while this process leads.
-pub struct Inventory {
+pub(crate) struct Inventory {
     /// This process's context.
     pub context: Arc<Context>,
     /// Shows the machines that are known.
@@ -42,7 +42,7 @@
 
 impl Inventory {
     /// Reads both from time to time, for good.
-    pub async fn run(self) {
+    pub(crate) async fn run(self) {
         let mut types_read: Option<Instant> = None;
         let mut list_read: Option<Instant> = None;
         let timing = &self.context.timing;
--- a/crates/rushwalk/src/capacity/machines.rs
+++ b/crates/rushwalk/src/capacity/machines.rs
@@ -18,7 +18,7 @@
 const RENTAL_ROOM: usize = 64;
 
 /// Builds rounds of scheduling from the state.
-pub struct RoundBuilder<'c, 's> {
+pub(crate) struct RoundBuilder<'c, 's> {
     /// This process's context.
     pub context: &'c Context,
     /// The state.
@@ -49,7 +49,7 @@
 
 impl<'c> RoundBuilder<'c, '_> {
     /// A round with all machines and rentals, and with what may be rented.
-    pub fn build(&self, rentals: &mut RentalState) -> SchedulingRound<'c> {
+    pub(crate) fn build(&self, rentals: &mut RentalState) -> SchedulingRound<'c> {
         let rentable = self.rentable(rentals);
         let machines = self.state.machines.len() + RENTAL_ROOM;
         let zones = self.zones.clone();
--- a/crates/rushwalk/src/capacity/rentals.rs
+++ b/crates/rushwalk/src/capacity/rentals.rs
@@ -22,7 +22,7 @@
 
 /// A rental that was never requested from the cloud.
 #[derive(Debug, Clone, Copy)]
-pub struct UnsentRental {
+pub(crate) struct UnsentRental {
     /// The leadership under which it was decided: no other controller can have requested it.
     pub leader: LeaderVersion,
     /// When it was decided, in seconds since the start of this process.
@@ -31,7 +31,7 @@
 
 /// What is known of rentals beyond the cluster's state. A new process starts with nothing.
 #[derive(Default)]
-pub struct RentalState {
+pub(crate) struct RentalState {
     /// What the cloud has to rent, as far as its responses show.
     pub capacity: CapacityEstimator,
     /// Rentals whose request is in flight.
@@ -44,19 +44,19 @@
 
 /// The rental state, shared by all that deal with the cloud.
 #[derive(Default)]
-pub struct RentalTracker {
+pub(crate) struct RentalTracker {
     state: Mutex<RentalState>,
 }
 
 impl RentalTracker {
     /// The state. The lock is taken after that of the cluster's state, if both are.
-    pub fn state(&self) -> MutexGuard<'_, RentalState> {
+    pub(crate) fn state(&self) -> MutexGuard<'_, RentalState> {
         self.state.lock()
     }
 }
 
 /// The kind of machine that a rental asks for.
-pub fn kind_of(request: &RentalRequest) -> InstanceKind {
+pub(crate) fn kind_of(request: &RentalRequest) -> InstanceKind {
     InstanceKind::new(
         request.machine_type.as_str(),
         request.zone.as_str(),
@@ -73,7 +73,7 @@
 
 /// Requests rentals while this process leads.
 #[derive(Clone)]
-pub struct Rentals {
+pub(crate) struct Rentals {
     /// This process's context.
     pub context: Arc<Context>,
     /// Shows the rentals to be requested.
@@ -88,7 +88,7 @@
 
 impl Rentals {
     /// Requests rentals side by side, and commits together what became of them, for good.
-    pub async fn run(self) {
+    pub(crate) async fn run(self) {
         let (responses, mut received) = mpsc::unbounded_channel::<RentalResponse>();
         loop {
             sleep(self.context.timing.round / 8).await;
--- a/crates/rushwalk/src/capacity/scale_in.rs
+++ b/crates/rushwalk/src/capacity/scale_in.rs
@@ -35,7 +35,7 @@
 
 /// Chooses machines to do without. A new leader starts with nothing.
 #[derive(Default)]
-pub struct ScaleIn {
+pub(crate) struct ScaleIn {
     idle_since: HashMap<MachineId, Instant>,
     /// When a machine with services was last emptied.
     service_moved: Option<Instant>,
@@ -53,7 +53,11 @@
 
 impl ScaleIn {
     /// Drains machines that nothing needs, and deletes drained ones.
-    pub fn remove_idle(&mut self, state: &ClusterState, round: &SchedulingRound) -> Vec<Mutation> {
+    pub(crate) fn remove_idle(
+        &mut self,
+        state: &ClusterState,
+        round: &SchedulingRound,
+    ) -> Vec<Mutation> {
         let in_use = round.machines.iter().filter(|machine| machine.tasks > 0);
         let needed: BTreeSet<&str> = in_use.map(|machine| &*machine.name).collect();
         self.idle_since
@@ -104,7 +108,7 @@
     /// same: the dearest for what is on them first. They are closed in the round. Batch
     /// tasks end where they are; services move, one machine's at a time, to where their
     /// images are already.
-    pub fn empty_machines(
+    pub(crate) fn empty_machines(
         &mut self,
         state: &ClusterState,
         round: &mut SchedulingRound,
@@ -146,7 +150,7 @@
     }
 
     /// Notes whether the jobs found their places without the emptied machines.
-    pub fn record_trial(&mut self, succeeded: bool) {
+    pub(crate) fn record_trial(&mut self, succeeded: bool) {
         if succeeded {
             self.batch = (self.batch * 2).min(MAX_EMPTIED);
         } else {
--- a/crates/rushwalk/src/capacity/scale_out.rs
+++ b/crates/rushwalk/src/capacity/scale_out.rs
@@ -15,7 +15,7 @@
 
 /// What a round decides its rentals by.
 #[derive(Debug, Clone, Copy)]
-pub struct RentalBasis {
+pub(crate) struct RentalBasis {
     /// The leadership of the round.
     pub leader: LeaderVersion,
     /// When the round began.
@@ -26,7 +26,7 @@
 
 /// Whether a round has also looked at what is expected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum DemandSeen {
+pub(crate) enum DemandSeen {
     /// Only what waits.
     Waiting,
     /// What waits and what is expected.
@@ -35,7 +35,7 @@
 
 /// Machines found lacking that no rental was decided for yet.
 #[derive(Default)]
-pub struct ScaleOut {
+pub(crate) struct ScaleOut {
     shortfall: BTreeMap<InstanceKind, Shortfall>,
 }
 
@@ -45,7 +45,7 @@
     ///
     /// What was wished for beyond them used to stand in a queue of requests, many of them
     /// for kinds refused meanwhile, in front of what was needed by then.
-    pub fn rent(
+    pub(crate) fn rent(
         &mut self,
         context: &Context,
         tracker: &RentalTracker,
@@ -82,7 +82,7 @@
     /// Takes in the machines that a round found lacking: those beyond `for_waiting` are for
     /// what is only expected. That is not looked at in each round, so what was lacking for
     /// it last time still is, unless it was seen anew.
-    pub fn update_shortfall(
+    pub(crate) fn update_shortfall(
         &mut self,
         round: &SchedulingRound,
         types: &MachineTypes,
--- a/crates/rushwalk/src/capacity/scarcity.rs
+++ b/crates/rushwalk/src/capacity/scarcity.rs
@@ -17,13 +17,13 @@
 /// The factors of each class of jobs, by machine type. Where no zone has more of a kind to
 /// rent, its machines should serve those for whom another kind would be dearest: the others
 /// count them dearer by as much as they would lose less.
-pub struct PriceBias {
+pub(crate) struct PriceBias {
     by_class: BTreeMap<String, Vec<PriceFactors>>,
 }
 
 impl PriceBias {
     /// The factors at this moment; none if nothing has run out.
-    pub fn new(
+    pub(crate) fn new(
         state: &ClusterState,
         capacity: &CapacityEstimator,
         types: &MachineTypes,
@@ -49,7 +49,7 @@
     }
 
     /// Sets the factors of a job.
-    pub fn apply(&self, job: &mut PendingJob) {
+    pub(crate) fn apply(&self, job: &mut PendingJob) {
         job.price_bias = self
             .by_class
             .get(&job.spec.class)
--- a/crates/rushwalk/src/connections.rs
+++ b/crates/rushwalk/src/connections.rs
@@ -16,7 +16,7 @@
 #[cfg(test)]
 mod tests;
 
-pub use tracked::TrackedConnection;
+pub(crate) use tracked::TrackedConnection;
 
 use parking_lot::Mutex;
 use poem::web::RemoteAddr;
--- a/crates/rushwalk/src/failure_detection.rs
+++ b/crates/rushwalk/src/failure_detection.rs
@@ -2,10 +2,10 @@
 //! that feeds the failure detector. The detector itself is the package
 //! `rushwalk-failure-detector`.
 
-pub mod heartbeats;
-pub mod local_health;
-pub mod observation;
+pub(crate) mod heartbeats;
+pub(crate) mod local_health;
+pub(crate) mod observation;
 
-pub use heartbeats::HeartbeatSource;
-pub use local_health::LocalHealthSource;
-pub use observation::FailureDetection;
+pub(crate) use heartbeats::HeartbeatSource;
+pub(crate) use local_health::LocalHealthSource;
+pub(crate) use observation::FailureDetection;
--- a/crates/rushwalk/src/failure_detection/heartbeats.rs
+++ b/crates/rushwalk/src/failure_detection/heartbeats.rs
@@ -18,7 +18,7 @@
 use tokio::time::{Instant, sleep};
 
 /// The path at which controllers take heartbeats.
-pub const HEARTBEAT_PATH: &str = "/mesh/hello";
+pub(crate) const HEARTBEAT_PATH: &str = "/mesh/hello";
 
 /// Puts together what this controller tells its peers.
 pub struct HeartbeatSource {
@@ -79,7 +79,7 @@
 
 /// Sends heartbeats to each peer in a loop of its own: a peer that hangs must not keep the
 /// others from being heard.
-pub async fn heartbeat_loop(source: Arc<HeartbeatSource>, client: PeerClient) {
+pub(crate) async fn heartbeat_loop(source: Arc<HeartbeatSource>, client: PeerClient) {
     let context = source.context.clone();
     let each = |peer: &PeerSettings| {
         let (source, client, peer) = (source.clone(), client.clone(), peer.clone());
--- a/crates/rushwalk/src/failure_detection/observation.rs
+++ b/crates/rushwalk/src/failure_detection/observation.rs
@@ -18,7 +18,7 @@
 const HEARD_WITHIN_HEARTBEATS: f64 = 4.0;
 
 /// The loop that watches the other controllers.
-pub struct FailureDetection {
+pub(crate) struct FailureDetection {
     context: Arc<Context>,
     replica: Arc<Replica>,
     membership: Arc<Membership>,
@@ -64,7 +64,7 @@
 
 impl FailureDetection {
     /// A loop that has seen nothing yet.
-    pub fn new(
+    pub(crate) fn new(
         context: Arc<Context>,
         membership: Arc<Membership>,
         local_health: LocalHealthSource,
@@ -86,7 +86,7 @@
     }
 
     /// Observes and evaluates a few times between two heartbeats, for good.
-    pub async fn run(mut self) {
+    pub(crate) async fn run(mut self) {
         loop {
             sleep(self.context.timing.peer_heartbeat / 2).await;
             self.measure_busy_share();
--- a/crates/rushwalk/src/http.rs
+++ b/crates/rushwalk/src/http.rs
@@ -5,8 +5,8 @@
 pub mod admission;
 mod forwarding;
 mod health;
-pub mod peers;
-pub mod public;
+mod peers;
+mod public;
 mod responses;
 mod user_requests;
 
--- a/crates/rushwalk/src/http/forwarding.rs
+++ b/crates/rushwalk/src/http/forwarding.rs
@@ -27,7 +27,7 @@
 
 /// Forwards requests to peers that reach the store.
 #[derive(Clone)]
-pub struct PeerForwarder {
+pub(super) struct PeerForwarder {
     /// This process's context.
     pub context: Arc<Context>,
     /// Tells which peers are healthy.
@@ -56,7 +56,7 @@
 
     /// Forwards a request; `None` if no peer could carry it out. If the response is lost it
     /// may have been: as with any lost response, users ask again.
-    pub async fn forward(&self, request: &ForwardedRequest) -> Option<ForwardedResponse> {
+    pub(super) async fn forward(&self, request: &ForwardedRequest) -> Option<ForwardedResponse> {
         for endpoint in self.able_peers().iter().take(MAX_PEERS) {
             let patience = self.context.timing.round;
             let call =
@@ -72,7 +72,7 @@
     }
 
     /// Asks for a job's status; `None` if no peer answers.
-    pub async fn job_status(&self, job: &str) -> Option<JobStatusReply> {
+    pub(super) async fn job_status(&self, job: &str) -> Option<JobStatusReply> {
         let query = JobStatusQuery { job: job.into() };
         for endpoint in self.able_peers().iter().take(MAX_PEERS) {
             let patience = self.context.timing.round / 2;
--- a/crates/rushwalk/src/http/peers.rs
+++ b/crates/rushwalk/src/http/peers.rs
@@ -19,7 +19,7 @@
 const CBOR_FACTOR: usize = 4;
 
 /// What the peers' interface uses.
-pub struct PeerApi {
+pub(super) struct PeerApi {
     /// Tells this controller's heartbeat.
     pub heartbeats: Arc<HeartbeatSource>,
     /// Carries out forwarded requests.
@@ -27,7 +27,7 @@
 }
 
 /// The routes for other controllers.
-pub fn routes(api: Arc<PeerApi>) -> Route {
+pub(super) fn routes(api: Arc<PeerApi>) -> Route {
     Route::new()
         .at(HEARTBEAT_PATH, post(heartbeat.data(api.clone())))
         .at(JOB_STATUS_PATH, post(job_status.data(api.clone())))
--- a/crates/rushwalk/src/http/public.rs
+++ b/crates/rushwalk/src/http/public.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 
 /// What the public interface uses.
-pub struct PublicApi {
+pub(super) struct PublicApi {
     /// Carries out users' requests.
     pub user_requests: UserRequests,
     /// Answers workers' heartbeats.
@@ -26,7 +26,7 @@
 }
 
 /// The routes of the public address.
-pub fn routes(api: Arc<PublicApi>) -> impl Endpoint {
+pub(super) fn routes(api: Arc<PublicApi>) -> impl Endpoint {
     Route::new()
         .at("/api/jobs", post(submit))
         .at("/api/jobs/:uid", get(status))
--- a/crates/rushwalk/src/http/user_requests.rs
+++ b/crates/rushwalk/src/http/user_requests.rs
@@ -35,7 +35,7 @@
 
 /// Carries out users' requests.
 #[derive(Clone)]
-pub struct UserRequests {
+pub(super) struct UserRequests {
     /// This process's context.
     pub context: Arc<Context>,
     /// Answers questions.
@@ -62,21 +62,21 @@
 
 impl UserRequests {
     /// A submission.
-    pub async fn submit(&self, body: Vec<u8>) -> Response {
+    pub(super) async fn submit(&self, body: Vec<u8>) -> Response {
         let request = ForwardedRequest::Submit(body.clone());
         self.here_or_forwarded(self.submit_here(&body), &request)
             .await
     }
 
     /// A cancellation.
-    pub async fn cancel(&self, job: String) -> Response {
+    pub(super) async fn cancel(&self, job: String) -> Response {
         let request = ForwardedRequest::Cancel(job.clone());
         self.here_or_forwarded(self.cancel_here(&job), &request)
             .await
     }
 
     /// A question about a job: final statuses from memory, others after a linearizable read.
-    pub async fn status(&self, job: &str) -> Response {
+    pub(super) async fn status(&self, job: &str) -> Response {
         let final_status = {
             let state = self.replica.state();
             let is_finished = state.is_finished(job);
@@ -176,7 +176,7 @@
     }
 
     /// A submission, carried out here or not at all.
-    pub async fn submit_here(&self, body: &[u8]) -> Response {
+    pub(super) async fn submit_here(&self, body: &[u8]) -> Response {
         let mut timer = self.work_profile.start(WorkKind::UserRequest);
         timer.add_items(1);
         // A known job is answered by its status, however the submission looks now.
@@ -267,7 +267,7 @@
     }
 
     /// A cancellation, carried out here or not at all.
-    pub async fn cancel_here(&self, job: &str) -> Response {
+    pub(super) async fn cancel_here(&self, job: &str) -> Response {
         if !self.knows_job(job) {
             if !self.replica.linearizable_read(MAX_READ_WAIT).await {
                 return self.unavailable("the state service does not answer");
@@ -309,7 +309,7 @@
 
     /// Rejected because the store is out of reach, or not applied yet: it is tried anew
     /// within a quarter of a round.
-    pub fn unavailable(&self, reason: &str) -> Response {
+    pub(super) fn unavailable(&self, reason: &str) -> Response {
         unavailable(&self.context, reason)
     }
 
--- a/crates/rushwalk/src/leadership.rs
+++ b/crates/rushwalk/src/leadership.rs
@@ -1,7 +1,7 @@
 //! Who leads: election, failover and stepping down, and what only the leader may commit.
 
-pub mod election;
-pub mod leader;
-pub mod snapshot_writer;
+pub(crate) mod election;
+pub(crate) mod leader;
+pub(crate) mod snapshot_writer;
 
-pub use leader::{LeaderVersion, Leadership};
+pub(crate) use leader::{LeaderVersion, Leadership};
--- a/crates/rushwalk/src/leadership/leader.rs
+++ b/crates/rushwalk/src/leadership/leader.rs
@@ -38,7 +38,7 @@
 }
 
 /// The term that ends when a leader relinquishes leadership, by the version of its key.
-pub fn leadership_term(version: Revision) -> MembershipTerm {
+pub(crate) fn leadership_term(version: Revision) -> MembershipTerm {
     MembershipTerm {
         incarnation: 0,
         since: version,
--- a/crates/rushwalk/src/leadership/snapshot_writer.rs
+++ b/crates/rushwalk/src/leadership/snapshot_writer.rs
@@ -25,7 +25,7 @@
 const MAX_CHUNK_BYTES: usize = 40 << 10;
 
 /// Writes snapshots while this process leads.
-pub struct SnapshotWriter {
+pub(crate) struct SnapshotWriter {
     /// This process's context.
     pub context: Arc<Context>,
     /// The state of which snapshots are made.
@@ -56,7 +56,7 @@
 
 impl SnapshotWriter {
     /// Writes a snapshot whenever the log has grown enough, for good.
-    pub async fn run(self) {
+    pub(crate) async fn run(self) {
         let write_rps = self.context.settings.site.store.write_rps;
         let max_entries = (ENTRIES_S * write_rps) as usize;
         loop {
--- a/crates/rushwalk/src/lib.rs
+++ b/crates/rushwalk/src/lib.rs
@@ -3,21 +3,23 @@
 //! The program is `main.rs`; this library is for it and for the simulator
 //! (`crates/simulator`). It is no stable interface.
 
+#![deny(missing_docs)]
+
 mod capacity;
 pub mod clock;
-pub mod connections;
-pub mod context;
+mod connections;
+mod context;
 pub mod controller;
-pub mod failure_detection;
+mod failure_detection;
 pub mod http;
-pub mod leadership;
+mod leadership;
 pub mod observability;
 pub mod observable;
-pub mod peers;
-pub mod reporting;
+mod peers;
+mod reporting;
 mod scheduler_inputs;
-pub mod scheduling;
+mod scheduling;
 mod shards;
-pub mod store;
+mod store;
 pub mod timing;
-pub mod workers;
+mod workers;
--- a/crates/rushwalk/src/reporting.rs
+++ b/crates/rushwalk/src/reporting.rs
@@ -1,8 +1,8 @@
 //! What a controller tells whoever follows its log: where its time goes, who is served, and
 //! how long it did not serve as usual.
 
-pub mod incidents;
-pub mod usage;
+pub(crate) mod incidents;
+pub(crate) mod usage;
 
-pub use incidents::IncidentObserver;
-pub use usage::UsageReport;
+pub(crate) use incidents::IncidentObserver;
+pub(crate) use usage::UsageReport;
--- a/crates/rushwalk/src/reporting/incidents.rs
+++ b/crates/rushwalk/src/reporting/incidents.rs
@@ -23,7 +23,7 @@
 const UNHEARD_WORKERS: usize = 20;
 
 /// Looks for causes once a round.
-pub struct IncidentObserver {
+pub(crate) struct IncidentObserver {
     /// This process's context.
     pub context: Arc<Context>,
     /// Shows the leader and the shard leases.
@@ -40,7 +40,7 @@
 
 impl IncidentObserver {
     /// Observes for good. From its start a controller has an incident until all is well.
-    pub async fn run(self) {
+    pub(crate) async fn run(self) {
         let round = self.context.timing.round;
         let calm = round * CALM_ROUNDS;
         let mut last = Instant::now();
--- a/crates/rushwalk/src/reporting/usage.rs
+++ b/crates/rushwalk/src/reporting/usage.rs
@@ -9,7 +9,7 @@
 use tokio::time::sleep;
 
 /// Logs once in a worker lease.
-pub struct UsageReport {
+pub(crate) struct UsageReport {
     /// This process's context.
     pub context: Arc<Context>,
     /// Counts the jobs that are served.
@@ -24,7 +24,7 @@
 
 impl UsageReport {
     /// Logs for good.
-    pub async fn run(self) {
+    pub(crate) async fn run(self) {
         loop {
             sleep(self.context.timing.worker_lease).await;
             self.log_time();
--- a/crates/rushwalk/src/scheduler_inputs.rs
+++ b/crates/rushwalk/src/scheduler_inputs.rs
@@ -22,19 +22,19 @@
 const OVERRUN_SHARE: f64 = 0.25;
 
 /// A time of day in seconds, as the scheduler counts.
-pub fn seconds(time_ms: UnixMillis) -> f64 {
+pub(crate) fn seconds(time_ms: UnixMillis) -> f64 {
     time_ms as f64 / 1000.0
 }
 
 /// All zones, in their order.
-pub fn zones(types: &MachineTypes, site: &SiteSettings) -> Vec<Arc<str>> {
+pub(crate) fn zones(types: &MachineTypes, site: &SiteSettings) -> Vec<Arc<str>> {
     let offered = types.types.iter().flat_map(|t| &t.zones);
     let all: BTreeSet<&String> = offered.chain(&site.zones).collect();
     all.into_iter().map(|zone| zone.as_str().into()).collect()
 }
 
 /// A round of scheduling without machines, with room for some.
-pub fn empty_round<'a>(
+pub(crate) fn empty_round<'a>(
     context: &'a Context,
     now_s: f64,
     zones: Vec<Arc<str>>,
@@ -55,7 +55,11 @@
 }
 
 /// A job without tasks, with what a task takes on machines of each type.
-pub fn pending_job(state: &ClusterState, spec: &Arc<JobSpec>, types: &MachineTypes) -> PendingJob {
+pub(crate) fn pending_job(
+    state: &ClusterState,
+    spec: &Arc<JobSpec>,
+    types: &MachineTypes,
+) -> PendingJob {
     let durations = &state.durations;
     let resources = Resources::of_task(spec);
     let estimates = types.types.iter().map(|t| TaskEstimate {
@@ -80,7 +84,7 @@
 }
 
 /// What is needed to see a machine as the scheduler does.
-pub struct TimelineInputs<'a> {
+pub(crate) struct TimelineInputs<'a> {
     /// The state.
     pub state: &'a ClusterState,
     /// The machine types that the cloud offers.
@@ -94,7 +98,7 @@
 impl TimelineInputs<'_> {
     /// A machine that is ready, or boots and takes tasks from `ready_s` on, with the tasks
     /// it has. `None` if its type or zone is not known.
-    pub fn timeline(
+    pub(crate) fn timeline(
         &self,
         id: &MachineId,
         machine: &MachineState,
@@ -155,7 +159,7 @@
 }
 
 /// When a placed task should be off its machine, in seconds.
-pub fn predicted_end(
+pub(crate) fn predicted_end(
     state: &ClusterState,
     job: &JobState,
     task: &TaskState,
--- a/crates/rushwalk/src/scheduling.rs
+++ b/crates/rushwalk/src/scheduling.rs
@@ -10,4 +10,4 @@
 mod turns;
 mod usage;
 
-pub use scheduler::{PendingReasons, Scheduler, SchedulerParts};
+pub(crate) use scheduler::{PendingReasons, Scheduler, SchedulerParts};
--- a/crates/rushwalk/src/scheduling/scheduler.rs
+++ b/crates/rushwalk/src/scheduling/scheduler.rs
@@ -50,7 +50,7 @@
 }
 
 /// The parts that scheduling uses.
-pub struct SchedulerParts {
+pub(crate) struct SchedulerParts {
     /// This process's context.
     pub context: Arc<Context>,
     /// Shows jobs and machines.
@@ -72,7 +72,7 @@
 }
 
 /// Makes scheduling rounds while this process leads.
-pub struct Scheduler {
+pub(crate) struct Scheduler {
     parts: SchedulerParts,
     boots: BootSupervisor,
     scale_out: ScaleOut,
@@ -94,7 +94,7 @@
 
 impl Scheduler {
     /// A scheduler that has made no round.
-    pub fn new(parts: SchedulerParts) -> Scheduler {
+    pub(crate) fn new(parts: SchedulerParts) -> Scheduler {
         let turns = TurnPlanner {
             round: parts.context.timing.round,
             runtime_lag: parts.runtime_lag.clone(),
@@ -113,7 +113,7 @@
     }
 
     /// Makes rounds, for good.
-    pub async fn run(mut self) {
+    pub(crate) async fn run(mut self) {
         let context = self.parts.context.clone();
         let leadership = self.parts.leadership.clone();
         loop {
--- a/crates/rushwalk/src/shards.rs
+++ b/crates/rushwalk/src/shards.rs
@@ -3,16 +3,16 @@
 //! assigned tasks on machines, and commands workers, all under the fencing token of its
 //! shard lease.
 
-pub mod assignment;
+pub(crate) mod assignment;
 mod dispatch;
-pub mod fencing;
+pub(crate) mod fencing;
 mod findings;
 mod outcomes;
 mod placement;
 mod reachability;
-pub mod reconciler;
+pub(crate) mod reconciler;
 
-pub use assignment::ShardAssigner;
-pub use dispatch::Dispatcher;
-pub use fencing::Fencing;
-pub use reconciler::Reconciler;
+pub(crate) use assignment::ShardAssigner;
+pub(crate) use dispatch::Dispatcher;
+pub(crate) use fencing::Fencing;
+pub(crate) use reconciler::Reconciler;
--- a/crates/rushwalk/src/shards/dispatch.rs
+++ b/crates/rushwalk/src/shards/dispatch.rs
@@ -31,7 +31,7 @@
 
 /// Sends commands and probes.
 #[derive(Clone)]
-pub struct Dispatcher {
+pub(crate) struct Dispatcher {
     /// This process's context.
     pub context: Arc<Context>,
     /// Shows which tasks should be on which machine.
--- a/crates/rushwalk/src/shards/fencing.rs
+++ b/crates/rushwalk/src/shards/fencing.rs
@@ -14,7 +14,7 @@
 
 /// A start whose outcome is unknown keeps its machine's absences from being proved. A new
 /// fencing token, which the owner of the shard gives itself, makes the worker refuse it.
-pub struct Fencing {
+pub(crate) struct Fencing {
     /// This process's context.
     pub context: Arc<Context>,
     /// Shows the shards that are owned.
@@ -27,7 +27,7 @@
 
 impl Fencing {
     /// Fences what is unresolved, for good.
-    pub async fn run(self) {
+    pub(crate) async fn run(self) {
         loop {
             sleep(self.context.timing.unreachable_after).await;
             for (shard, token) in self.shards_to_fence() {
--- a/crates/rushwalk/src/shards/reachability.rs
+++ b/crates/rushwalk/src/shards/reachability.rs
@@ -11,13 +11,13 @@
 const MAX_HEARTBEAT_ROUNDS: f64 = 2.0;
 
 /// The recent heartbeats of all controllers, this one's included.
-pub struct ShardReachability {
+pub(super) struct ShardReachability {
     heartbeats: BTreeMap<String, PeerHeartbeat>,
 }
 
 impl ShardReachability {
     /// What is known at this moment.
-    pub fn now(context: &Context, source: &HeartbeatSource) -> ShardReachability {
+    pub(super) fn now(context: &Context, source: &HeartbeatSource) -> ShardReachability {
         let mut heartbeats: BTreeMap<String, PeerHeartbeat> = {
             let detector = source.peers.detector();
             let max_age_s = detector.config().round_s * MAX_HEARTBEAT_ROUNDS;
@@ -40,7 +40,12 @@
     /// If the owner of a shard says that it hears none of its machines, and enough of these
     /// turned up at other controllers: the names of those. `machines` are those of the shard
     /// that should be heard.
-    pub fn reachable_from(&self, shard: &ShardId, owner: &str, machines: usize) -> Vec<&str> {
+    pub(super) fn reachable_from(
+        &self,
+        shard: &ShardId,
+        owner: &str,
+        machines: usize,
+    ) -> Vec<&str> {
         let owner_heartbeat = self.heartbeats.get(owner);
         if !owner_heartbeat.is_some_and(|heartbeat| says_unreachable(heartbeat, shard)) {
             return Vec::new();
--- a/crates/rushwalk/src/shards/reconciler.rs
+++ b/crates/rushwalk/src/shards/reconciler.rs
@@ -22,7 +22,7 @@
 type OwnedShard = (ShardId, Revision);
 
 /// Does the work of the owner of shards.
-pub struct Reconciler {
+pub(crate) struct Reconciler {
     /// This process's context.
     pub context: Arc<Context>,
     /// Shows which shards are owned, and what should be.
@@ -50,7 +50,7 @@
 
 impl Reconciler {
     /// Ticks a few times in each round, for good.
-    pub async fn run(self) {
+    pub(crate) async fn run(self) {
         let interval = self.context.timing.round / 3;
         let mut tick = TickState::default();
         loop {
--- a/crates/rushwalk/src/store/replica.rs
+++ b/crates/rushwalk/src/store/replica.rs
@@ -2,7 +2,7 @@
 
 mod follow;
 
-pub use follow::{read_loop, watch_loop};
+pub(crate) use follow::{read_loop, watch_loop};
 
 use crate::context::Context;
 use crate::observable::Observable;
--- a/crates/rushwalk/src/store/replica/follow.rs
+++ b/crates/rushwalk/src/store/replica/follow.rs
@@ -21,7 +21,7 @@
 const GONE: u16 = 410;
 
 /// Follows the store by long polls, for good.
-pub async fn watch_loop(replica: Arc<Replica>, work_profile: Arc<WorkProfile>) {
+pub(crate) async fn watch_loop(replica: Arc<Replica>, work_profile: Arc<WorkProfile>) {
     let round = replica.context.timing.round;
     let mut listed = false;
     loop {
@@ -164,7 +164,7 @@
 
 /// Reads the store when somebody waits for a linearizable read; one cheap read serves all
 /// who wait.
-pub async fn read_loop(replica: Arc<Replica>, work_profile: Arc<WorkProfile>) {
+pub(crate) async fn read_loop(replica: Arc<Replica>, work_profile: Arc<WorkProfile>) {
     let context = &replica.context;
     // The reads of all controllers together take at most a third of the store's budget.
     let gap_s = 3.0 * context.controllers() as f64 / context.settings.site.store.rps;
--- a/crates/rushwalk/src/workers.rs
+++ b/crates/rushwalk/src/workers.rs
@@ -1,9 +1,9 @@
 //! What is known of workers from their heartbeats, and what they are told.
 
-pub mod commands;
-pub mod heartbeats;
-pub mod registry;
-pub mod session;
+pub(crate) mod commands;
+pub(crate) mod heartbeats;
+pub(crate) mod registry;
+pub(crate) mod session;
 
-pub use registry::WorkerRegistry;
-pub use session::WorkerSession;
+pub(crate) use registry::WorkerRegistry;
+pub(crate) use session::WorkerSession;
--- a/crates/rushwalk/src/workers/commands.rs
+++ b/crates/rushwalk/src/workers/commands.rs
@@ -10,7 +10,7 @@
 const CHECKPOINT_MARGIN_S: f64 = 1.0;
 
 /// The commands for a machine, under a fencing token.
-pub fn commands(
+pub(crate) fn commands(
     state: &ClusterState,
     session: &WorkerSession,
     machine: &MachineId,
@@ -34,7 +34,7 @@
 }
 
 /// The start that a command carries.
-pub fn start_in(command: &Command) -> Option<SentStart> {
+pub(crate) fn start_in(command: &Command) -> Option<SentStart> {
     match command {
         Command::Run { task, attempt } => Some(SentStart {
             task: task.clone(),
--- a/crates/rushwalk/src/workers/heartbeats.rs
+++ b/crates/rushwalk/src/workers/heartbeats.rs
@@ -13,7 +13,7 @@
 
 /// What a worker's heartbeat is answered with.
 #[derive(Debug)]
-pub enum HeartbeatReply {
+pub(crate) enum HeartbeatReply {
     /// Its owner's response.
     Accepted(HeartbeatResponse),
     /// Another controller owns its shard; its name, if it is known and lives.
@@ -24,7 +24,7 @@
 
 /// Answers workers' heartbeats.
 #[derive(Clone)]
-pub struct HeartbeatHandler {
+pub(crate) struct HeartbeatHandler {
     /// This process's context.
     pub context: Arc<Context>,
     /// Tells who owns the worker's shard, and what its machine should do.
@@ -38,7 +38,7 @@
 impl HeartbeatHandler {
     /// Answers a heartbeat. Costs what its machine's tasks cost, however many other
     /// machines there are.
-    pub fn handle(&self, heartbeat: &Heartbeat) -> HeartbeatReply {
+    pub(crate) fn handle(&self, heartbeat: &Heartbeat) -> HeartbeatReply {
         let state = self.replica.state();
         let known = state.machines.get_key_value(heartbeat.machine.as_str());
         let Some((machine, machine_state)) = known else {
