--- a/crates/failure-detector/src/detector/assessment.rs
+++ b/crates/failure-detector/src/detector/assessment.rs
@@ -160,7 +160,7 @@
             .iter()
             .find(|o| o.member == member && o.incarnation == peer.incarnation)?;
         let heard_ago_s = observation
-            .last_heard_ms
+            .contact_age_ms
             .map(|ms| ms as f64 / 1000.0 + age_s);
         let suspected_s = now_s - peer.health_since_s;
         let silent = heard_ago_s.is_none_or(|ago| ago > SILENT_HEARTBEATS * config.heartbeat_s);
--- a/crates/failure-detector/src/detector/queries.rs
+++ b/crates/failure-detector/src/detector/queries.rs
@@ -43,7 +43,7 @@
     /// Whether nothing new should be assigned to a member: it has failed, or others have
     /// the same suspicion and it writes nothing. Behind a packet filter between
     /// controllers all suspect all, and each serves as before.
-    pub fn is_doubtful(&self, member: &str) -> bool {
+    pub fn is_suspected_by_majority(&self, member: &str) -> bool {
         self.peers
             .get(member)
             .is_some_and(|peer| match peer.health {
@@ -80,7 +80,7 @@
 
     /// Whether a process whose lease expired not longer than `grace_s` ago is still heard
     /// from, cut off from the store alone.
-    pub fn lingers_after_expiry(
+    pub fn is_alive_after_expiry(
         &self,
         member: &str,
         incarnation: u64,
@@ -124,7 +124,7 @@
         let observation = |(member, peer): (&String, &PeerState)| PeerObservation {
             member: member.clone(),
             incarnation: peer.incarnation,
-            last_heard_ms: peer
+            contact_age_ms: peer
                 .silent_s(now_s)
                 .map(|silent| (silent * 1000.0).max(0.0) as u64),
             refused: peer.refuses(self.config.refusal_threshold),
--- a/crates/failure-detector/src/detector/status.rs
+++ b/crates/failure-detector/src/detector/status.rs
@@ -22,7 +22,7 @@
     pub phi: f64,
     /// When it was last heard from.
     #[serde(rename = "heard_s")]
-    pub last_heard_s: Option<f64>,
+    pub contact_age_s: Option<f64>,
     /// Heartbeats that its port refused in a row.
     #[serde(rename = "refused")]
     pub consecutive_refusals: u32,
@@ -62,7 +62,7 @@
             reason: peer.reason,
             since_s: round_to_tenths(now_s - peer.health_since_s),
             phi: round_to_tenths(peer.arrivals.phi(now_s, local.recent_lag_s)),
-            last_heard_s: peer.silent_s(now_s).map(round_to_tenths),
+            contact_age_s: peer.silent_s(now_s).map(round_to_tenths),
             consecutive_refusals: peer.consecutive_refusals,
             last_write_s: peer.last_write_s.map(|at| round_to_tenths(now_s - at)),
             lag_ms: last.map_or(0, |last| last.heartbeat.lag_ms),
--- a/crates/failure-detector/src/detector/tests.rs
+++ b/crates/failure-detector/src/detector/tests.rs
@@ -41,7 +41,7 @@
     let observation = |(m, incarnation, heard, refused): &(&str, u64, u64, bool)| PeerObservation {
         member: m.to_string(),
         incarnation: *incarnation,
-        last_heard_ms: Some(*heard),
+        contact_age_ms: Some(*heard),
         refused: *refused,
     };
     PeerHeartbeat {
@@ -129,7 +129,10 @@
         PeerHealth::Failed,
         "no other controller was heard"
     );
-    assert!(!detector.is_doubtful("b"), "it is assigned work as before");
+    assert!(
+        !detector.is_suspected_by_majority("b"),
+        "it is assigned work as before"
+    );
 }
 
 #[test]
--- a/crates/failure-detector/src/reachability.rs
+++ b/crates/failure-detector/src/reachability.rs
@@ -18,7 +18,7 @@
 const MIN_SILENCE_INTERVALS: f64 = 1.0 / 8.0;
 
 /// When a worker should have been heard again, in seconds of the same clock. It was last
-/// heard at `last_heard_s`, or never since its shard came to this owner at
+/// heard at `last_contact_s`, or never since its shard came to this owner at
 /// `owned_since_s`. One that is new to an owner is given half an interval to find it.
 ///
 /// This is not the time since anybody was heard: workers that started together, or came
@@ -26,11 +26,11 @@
 /// With that time shards were taken from owners that heard all of their machines, one
 /// each three seconds.
 pub fn next_heartbeat_due_s(
-    last_heard_s: Option<f64>,
+    last_contact_s: Option<f64>,
     owned_since_s: f64,
     heartbeat_s: f64,
 ) -> f64 {
-    match last_heard_s.filter(|at| *at > owned_since_s) {
+    match last_contact_s.filter(|at| *at > owned_since_s) {
         Some(at) => at + LATEST_INTERVALS * heartbeat_s,
         None => owned_since_s + (LATEST_INTERVALS + DISCOVERY_INTERVALS) * heartbeat_s,
     }
--- a/crates/protocol/src/peers.rs
+++ b/crates/protocol/src/peers.rs
@@ -61,7 +61,7 @@
     pub incarnation: u64,
     /// Milliseconds since that process was heard from; none if never.
     #[serde(rename = "heard_ms")]
-    pub last_heard_ms: Option<u64>,
+    pub contact_age_ms: Option<u64>,
     /// Whether its port refused the latest heartbeats.
     pub refused: bool,
 }
--- a/crates/rushwalk/src/capacity/boot_supervision.rs
+++ b/crates/rushwalk/src/capacity/boot_supervision.rs
@@ -11,8 +11,8 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// One in so many of the machines that are late, as all that were rented with them are, is
-/// abandoned in a boot time to see how another one fares.
+/// One in so many of the machines that are as late as all that were rented with them is
+/// abandoned in a boot time, to try whether a new one boots faster.
 const LATE_PER_TRIAL: usize = 8;
 
 /// Boot times for which an abandoned machine still counts as a sample.
@@ -25,7 +25,7 @@
     sample: BootSample,
 }
 
-/// A machine abandoned only to see how another one fares.
+/// A machine abandoned only to try whether a new one boots faster.
 struct Trial {
     group: BootGroup,
     at: Instant,
@@ -39,7 +39,7 @@
     nominal_s: f64,
 }
 
-/// Learns how machines boot, and abandons those that don't come.
+/// Learns how machines boot, and abandons those that don't become ready.
 #[derive(Default)]
 pub(crate) struct BootSupervisor {
     boot_times: BootTimeEstimator,
@@ -82,7 +82,7 @@
     }
 
     /// Learns from the machines there are and from those that were abandoned. A machine may
-    /// be ready for `heartbeat_s` before it is seen to be.
+    /// be ready for `heartbeat_s` before its heartbeat shows it.
     pub(crate) fn update(
         &mut self,
         state: &ClusterState,
@@ -204,7 +204,7 @@
     }
 }
 
-/// Whether a machine boots, and a controller would hear it.
+/// Whether a machine boots, and a controller would receive its heartbeat.
 fn is_booting_under_an_owner(state: &ClusterState, machine: &MachineRecord) -> bool {
     let lease = state.shard_leases.get(&machine.shard);
     machine.ready_ms.is_none()
--- a/crates/rushwalk/src/capacity/inventory.rs
+++ b/crates/rushwalk/src/capacity/inventory.rs
@@ -23,7 +23,8 @@
 /// A listing may take at most one in so many of the calls to the cloud.
 const LIST_CALL_SHARE: f64 = 10.0;
 
-/// What a rental may be older than its machine's age tells, beyond the clocks' skew.
+/// By how much a rental may be older than its machine, beyond the clocks' skew, in
+/// milliseconds.
 const AGE_TOLERANCE_MS: UnixMillis = 2000;
 
 /// Reads machine types and the machine list while this process leads.
@@ -41,7 +42,7 @@
 }
 
 impl Inventory {
-    /// Reads both from time to time, for good.
+    /// Reads both from time to time, until the process ends.
     pub(crate) async fn run(self) {
         let mut types_read: Option<Instant> = None;
         let mut list_read: Option<Instant> = None;
--- a/crates/rushwalk/src/capacity/machines.rs
+++ b/crates/rushwalk/src/capacity/machines.rs
@@ -28,7 +28,7 @@
     /// All zones, in their order.
     pub zones: Vec<Arc<str>>,
     /// How machines boot.
-    pub boots: &'s BootSupervisor,
+    pub boot_supervisor: &'s BootSupervisor,
     /// The present, in seconds.
     pub now_s: f64,
 }
@@ -42,7 +42,7 @@
 
 impl ZoneCounts {
     /// Whether the zone is partitioned from us: what is rented there would be so too.
-    fn is_cut_off(self) -> bool {
+    fn is_partitioned(self) -> bool {
         self.unreachable > 2 && self.unreachable * 2 > self.machines
     }
 }
@@ -78,9 +78,12 @@
             }
             let ready_s = match record.ready_ms {
                 Some(_) => self.now_s,
-                None => self
-                    .boots
-                    .expected_ready_s(record, self.types, &self.zones, self.now_s),
+                None => self.boot_supervisor.expected_ready_s(
+                    record,
+                    self.types,
+                    &self.zones,
+                    self.now_s,
+                ),
             };
             if let Some(timeline) = inputs.timeline(id, machine, ready_s) {
                 round.machines.push(timeline);
@@ -108,7 +111,7 @@
     }
 
     fn expected_boot_s(&self, group: usize, zone: usize, machine_type: &MachineType) -> f64 {
-        self.boots
+        self.boot_supervisor
             .boot_times()
             .expected_boot_s(BootGroup::new(group, zone), machine_type.boot_s)
     }
@@ -125,7 +128,7 @@
                     .get(zone_name.as_str())
                     .copied()
                     .unwrap_or_default();
-                if in_zone.is_cut_off() {
+                if in_zone.is_partitioned() {
                     continue;
                 }
                 let Some(zone) = self.zones.iter().position(|z| **z == **zone_name) else {
--- a/crates/rushwalk/src/capacity/rentals.rs
+++ b/crates/rushwalk/src/capacity/rentals.rs
@@ -87,7 +87,7 @@
 }
 
 impl Rentals {
-    /// Requests rentals side by side, and commits together what became of them, for good.
+    /// Requests rentals side by side, and commits their outcomes together, until the process ends.
     pub(crate) async fn run(self) {
         let (responses, mut received) = mpsc::unbounded_channel::<RentalResponse>();
         loop {
--- a/crates/rushwalk/src/capacity/scale_in.rs
+++ b/crates/rushwalk/src/capacity/scale_in.rs
@@ -1,4 +1,4 @@
-//! Which machines to do without.
+//! Scale in: which machines to remove.
 
 use crate::scheduler_inputs;
 use rushwalk_protocol::ids::MachineId;
@@ -18,8 +18,9 @@
 /// Machines used by more than this share are not worth emptying.
 const WELL_USED: f64 = 0.7;
 
-/// A start that is stopped within this time does not count for the users.
-const SETTLED_MS: UnixMillis = 30_000;
+/// Services that started less than this ago are not moved: a start that is stopped so soon
+/// does not count for the users. In milliseconds.
+const MIN_SERVICE_UPTIME_MS: UnixMillis = 30_000;
 
 /// The share of a boot time for which a machine stays idle: having it again costs a boot.
 const IDLE_BOOT_SHARE: f64 = 0.5;
@@ -33,13 +34,13 @@
 /// The boot time that counts if all are longer, in seconds.
 const MAX_SHORTEST_BOOT_S: f64 = 60.0;
 
-/// Chooses machines to do without. A new leader starts with nothing.
+/// Chooses machines to remove. A new leader starts without any history.
 #[derive(Default)]
 pub(crate) struct ScaleIn {
     idle_since: HashMap<MachineId, Instant>,
     /// When a machine with services was last emptied.
     service_moved: Option<Instant>,
-    /// How many machines to try to do without; doubles while it works.
+    /// How many machines to try to remove; doubles while that succeeds.
     batch: usize,
     /// When that last failed.
     failed: Option<Instant>,
@@ -104,8 +105,8 @@
         }
     }
 
-    /// Machines to do without, if what waits and what is expected finds its places all the
-    /// same: the dearest for what is on them first. They are closed in the round. Batch
+    /// Machines to remove, if what is pending and what is expected finds its places without
+    /// them: the most expensive for what is on them first. They are cordoned in the round. Batch
     /// tasks end where they are; services move, one machine's at a time, to where their
     /// images are already.
     pub(crate) fn empty_machines(
@@ -173,7 +174,7 @@
     Duration::from_secs_f64(PAUSE_BOOT_SHARE * shortest_s)
 }
 
-/// Machines that might be emptied, the dearest for what is on them first.
+/// Machines that might be emptied, the most expensive for what is on them first.
 fn candidates(state: &ClusterState, round: &SchedulingRound) -> Vec<Candidate> {
     let mut candidates = Vec::new();
     for (index, machine) in round.machines.iter().enumerate() {
@@ -238,9 +239,9 @@
         let record = &task.record;
         let is_service = job.spec.shape == Shape::Service;
         let started_ms = record.started_ms;
-        let is_settled = started_ms.is_some_and(|at| now_ms > at + SETTLED_MS);
+        let is_established = started_ms.is_some_and(|at| now_ms > at + MIN_SERVICE_UPTIME_MS);
         let is_open = job.phase == JobPhase::Active && record.stop_reason.is_none();
-        if !is_open || job.spec.shape == Shape::Gang || (is_service && !is_settled) {
+        if !is_open || job.spec.shape == Shape::Gang || (is_service && !is_established) {
             return None;
         }
         if !is_service {
--- a/crates/rushwalk/src/capacity/scale_out.rs
+++ b/crates/rushwalk/src/capacity/scale_out.rs
@@ -1,4 +1,4 @@
-//! What to rent: the machines that a scheduling round found lacking.
+//! Scale out: rents the machines of a scheduling round's shortfall.
 
 use super::rentals::{RentalTracker, UnsentRental};
 use crate::context::Context;
@@ -13,38 +13,38 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What a round decides its rentals by.
+/// The round for which rentals are decided.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct RentalBasis {
     /// The leadership of the round.
     pub leader: LeaderVersion,
     /// When the round began.
     pub began_ms: UnixMillis,
-    /// Of the round's machines, so many there are with those lacking for what waits.
-    pub for_waiting: usize,
+    /// The number of the round's machines, those to rent for pending jobs included.
+    pub for_pending: usize,
 }
 
-/// Whether a round has also looked at what is expected.
+/// Which demand a round has planned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum DemandSeen {
-    /// Only what waits.
-    Waiting,
-    /// What waits and what is expected.
-    WaitingAndExpected,
+pub(crate) enum PlannedDemand {
+    /// Pending jobs only.
+    Pending,
+    /// Pending and expected jobs.
+    PendingAndExpected,
 }
 
-/// Machines found lacking that no rental was decided for yet.
+/// The shortfall of machines for which no rental was decided yet.
 #[derive(Default)]
 pub(crate) struct ScaleOut {
     shortfall: BTreeMap<InstanceKind, Shortfall>,
 }
 
 impl ScaleOut {
-    /// Rentals for what a round found lacking, as far as there are calls until the next
+    /// Rentals for the shortfall of a round, as far as there are calls until the next
     /// round, which comes the later the longer this one took (`took`).
     ///
-    /// What was wished for beyond them used to stand in a queue of requests, many of them
-    /// for kinds refused meanwhile, in front of what was needed by then.
+    /// Without that limit a queue of requests, many of them for kinds refused meanwhile,
+    /// delayed those that were needed by then.
     pub(crate) fn rent(
         &mut self,
         context: &Context,
@@ -79,23 +79,23 @@
         mutations
     }
 
-    /// Takes in the machines that a round found lacking: those beyond `for_waiting` are for
-    /// what is only expected. That is not looked at in each round, so what was lacking for
-    /// it last time still is, unless it was seen anew.
+    /// Updates the shortfall by a round: machines beyond `for_pending` are for expected jobs
+    /// only. Those are not planned in each round, so their shortfall of the last time stays
+    /// until they are planned anew.
     pub(crate) fn update_shortfall(
         &mut self,
         round: &SchedulingRound,
         types: &MachineTypes,
-        for_waiting: usize,
-        seen: DemandSeen,
+        for_pending: usize,
+        demand: PlannedDemand,
     ) {
         for shortfall in self.shortfall.values_mut() {
             shortfall.pending = 0;
-            if seen == DemandSeen::WaitingAndExpected {
+            if demand == PlannedDemand::PendingAndExpected {
                 shortfall.total = 0;
             }
         }
-        for (kind, found) in found_lacking(round, types, for_waiting) {
+        for (kind, found) in shortfall_by_kind(round, types, for_pending) {
             let shortfall = self.shortfall.entry(kind).or_default();
             shortfall.pending = found.pending;
             shortfall.total = shortfall.total.max(found.total);
@@ -104,10 +104,10 @@
     }
 }
 
-fn found_lacking(
+fn shortfall_by_kind(
     round: &SchedulingRound,
     types: &MachineTypes,
-    for_waiting: usize,
+    for_pending: usize,
 ) -> BTreeMap<InstanceKind, Shortfall> {
     let mut found: BTreeMap<InstanceKind, Shortfall> = BTreeMap::new();
     let rentals = round.machines.iter().enumerate().skip(round.first_rental);
@@ -118,7 +118,7 @@
             .entry(InstanceKind::new(name, zone, machine.spot))
             .or_default();
         shortfall.total += 1;
-        shortfall.pending += u32::from(index < for_waiting);
+        shortfall.pending += u32::from(index < for_pending);
     }
     found
 }
--- a/crates/rushwalk/src/capacity/scarcity.rs
+++ b/crates/rushwalk/src/capacity/scarcity.rs
@@ -1,4 +1,4 @@
-//! By how much dearer machines of a kind that ran out count for each class of jobs.
+//! Price factors of machine kinds that ran out, for each class of jobs.
 
 use rushwalk_protocol::jobs::JobSpec;
 use rushwalk_scheduler::Resources;
@@ -8,15 +8,15 @@
 use rushwalk_state::records::MachineTypes;
 use std::collections::BTreeMap;
 
-/// The most by which a kind counts dearer or cheaper.
+/// The largest factor by which a kind counts as more or less expensive.
 const MAX_FACTOR: f64 = 4.0;
 
 /// Two factors, for ordinary machines and for spot instances of one type.
 type PriceFactors = [f64; 2];
 
 /// The factors of each class of jobs, by machine type. Where no zone has more of a kind to
-/// rent, its machines should serve those for whom another kind would be dearest: the others
-/// count them dearer by as much as they would lose less.
+/// rent, its machines should serve the classes for which another kind would be the most
+/// expensive: for the others they count as more expensive, by as much as those would lose less.
 pub(crate) struct PriceBias {
     by_class: BTreeMap<String, Vec<PriceFactors>>,
 }
@@ -125,7 +125,7 @@
     greatest
 }
 
-/// Turns the losses of a class into factors.
+/// Converts the losses of a class into factors.
 fn weigh(losses: &mut [PriceFactors], greatest: &[PriceFactors], exhausted: &[[bool; 2]]) {
     for (group, factors) in losses.iter_mut().enumerate() {
         for spot in [0, 1] {
--- a/crates/rushwalk/src/connections.rs
+++ b/crates/rushwalk/src/connections.rs
@@ -4,7 +4,7 @@
 //! The limit leaves sockets for the calls that the controller itself must make: without
 //! the key-value store, the cloud and its workers it can keep no guarantee. At the limit
 //! connections are closed in this order: idle ones of users, the longest idle first, then
-//! those of workers that have fallen silent.
+//! those of workers that no longer send heartbeats.
 //!
 //! Machines that fail close no connection, so whatever is idle for as long as a worker
 //! lease is closed at any time: when a third of the machines had failed, a controller once
@@ -32,7 +32,7 @@
 /// [`ConnectionTable::shed`].
 const SHED_DIVISOR: usize = 64;
 
-/// How often [`ConnectionTable::sweep_loop`] looks within the idle limit.
+/// How often [`ConnectionTable::sweep_loop`] sweeps within the idle limit.
 const SWEEPS_PER_IDLE_LIMIT: u32 = 4;
 
 /// The connections that are open at the public address.
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Closes idle connections from time to time, for ever.
+    /// Closes idle connections from time to time, until the process ends.
     pub async fn sweep_loop(self: Arc<ConnectionTable>, idle_limit: Duration) {
         loop {
             sleep(idle_limit / SWEEPS_PER_IDLE_LIMIT).await;
--- a/crates/rushwalk/src/failure_detection/heartbeats.rs
+++ b/crates/rushwalk/src/failure_detection/heartbeats.rs
@@ -20,19 +20,19 @@
 /// The path at which controllers take heartbeats.
 pub(crate) const HEARTBEAT_PATH: &str = "/mesh/hello";
 
-/// Puts together what this controller tells its peers.
+/// Builds the heartbeats that this controller sends to its peers.
 pub struct HeartbeatSource {
     /// This process's context.
     pub context: Arc<Context>,
-    /// Tells the revision and its age.
+    /// Provides the revision and its age.
     pub replica: Arc<Replica>,
-    /// Tells whether this process leads and makes its rounds.
+    /// Shows whether this process leads and makes its rounds.
     pub leadership: Arc<Leadership>,
-    /// Tells what was seen of the other peers.
+    /// Provides the observations of the other peers.
     pub peers: Arc<PeerMonitor>,
-    /// Tells which shards' workers are not heard.
+    /// Shows which shards' workers are unreachable.
     pub workers: Arc<WorkerRegistry>,
-    /// Tells how late timers are.
+    /// Measures how late timers fire.
     pub runtime_lag: Arc<RuntimeLag>,
 }
 
@@ -65,7 +65,7 @@
         self.leadership.last_round().map(|at| at.elapsed())
     }
 
-    /// The shards that this process owns but of whose machines it hears none.
+    /// The shards that this process owns and from whose machines no heartbeat comes.
     pub fn unreachable_shards(&self) -> Vec<String> {
         let state = self.replica.state();
         let owned = self.replica.owned_shards(&state);
@@ -77,8 +77,8 @@
     duration.as_millis() as u64
 }
 
-/// Sends heartbeats to each peer in a loop of its own: a peer that hangs must not keep the
-/// others from being heard.
+/// Sends heartbeats to each peer in a loop of its own: a peer that hangs must not delay the
+/// others' heartbeats.
 pub(crate) async fn heartbeat_loop(source: Arc<HeartbeatSource>, client: PeerClient) {
     let context = source.context.clone();
     let each = |peer: &PeerSettings| {
@@ -97,12 +97,11 @@
 
 async fn send_heartbeat(source: &HeartbeatSource, client: &PeerClient, peer: &PeerSettings) {
     let heartbeat = source.heartbeat();
-    let patience = source.context.timing.round;
-    let call =
-        client.call::<_, PeerHeartbeat>(&peer.endpoint, HEARTBEAT_PATH, &heartbeat, patience);
+    let timeout = source.context.timing.round;
+    let call = client.call::<_, PeerHeartbeat>(&peer.endpoint, HEARTBEAT_PATH, &heartbeat, timeout);
     let sent = Instant::now();
     let response = call.await;
-    let timed_out = sent.elapsed() >= patience.mul_f64(0.9);
+    let timed_out = sent.elapsed() >= timeout.mul_f64(0.9);
     let mut detector = source.peers.detector();
     let now_s = source.context.uptime_s();
     let failure = match response {
--- a/crates/rushwalk/src/failure_detection/local_health.rs
+++ b/crates/rushwalk/src/failure_detection/local_health.rs
@@ -7,16 +7,16 @@
 use rushwalk_failure_detector::LocalHealth;
 use std::sync::Arc;
 
-/// Puts together what the failure detector must know of the observer itself.
+/// Collects what the failure detector must know of the observer itself.
 #[derive(Clone)]
 pub struct LocalHealthSource {
-    /// Tells how stale the replica is.
+    /// Shows how stale the replica is.
     pub replica: Arc<Replica>,
-    /// Tells when leadership last passed.
+    /// Shows when leadership last moved.
     pub leadership: Arc<Leadership>,
-    /// Tells how late timers are.
+    /// Measures how late timers fire.
     pub runtime_lag: Arc<RuntimeLag>,
-    /// Tells how busy the thread is.
+    /// Shows how busy the thread is.
     pub peers: Arc<PeerMonitor>,
 }
 
--- a/crates/rushwalk/src/failure_detection/observation.rs
+++ b/crates/rushwalk/src/failure_detection/observation.rs
@@ -14,8 +14,8 @@
 use std::sync::Arc;
 use tokio::time::{Instant, sleep};
 
-/// Heartbeats of a peer that are missed before it counts as not heard.
-const HEARD_WITHIN_HEARTBEATS: f64 = 4.0;
+/// Heartbeat intervals after which a peer without a heartbeat counts as out of contact.
+const MAX_MISSED_HEARTBEATS: f64 = 4.0;
 
 /// The loop that watches the other controllers.
 pub(crate) struct FailureDetection {
@@ -63,7 +63,7 @@
 }
 
 impl FailureDetection {
-    /// A loop that has seen nothing yet.
+    /// A loop that has made no observation.
     pub(crate) fn new(
         context: Arc<Context>,
         membership: Arc<Membership>,
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Observes and evaluates a few times between two heartbeats, for good.
+    /// Observes and evaluates a few times between two heartbeats, until the process ends.
     pub(crate) async fn run(mut self) {
         loop {
             sleep(self.context.timing.peer_heartbeat / 2).await;
@@ -97,7 +97,7 @@
             for transition in transitions {
                 self.handle(&transition);
             }
-            self.show_sign_of_life().await;
+            self.prove_liveness().await;
         }
     }
 
@@ -198,10 +198,10 @@
         self.replica.notify_changed();
     }
 
-    /// A controller that no other answers shows in the log that it lives, if nothing else
-    /// that it writes does.
-    async fn show_sign_of_life(&self) {
-        if self.is_heard_of() || !self.replica.shard_leases_valid() {
+    /// A controller that no peer answers proves in the log that it is alive, if none of its
+    /// other writes does.
+    async fn prove_liveness(&self) {
+        if self.is_known_alive() || !self.replica.shard_leases_valid() {
             return;
         }
         if let Some(lease) = self.membership.lease() {
@@ -209,17 +209,17 @@
         }
     }
 
-    /// Whether the others know that this controller lives, as far as is known here.
-    fn is_heard_of(&self) -> bool {
+    /// Whether the peers know that this controller is alive, as far as can be told here.
+    fn is_known_alive(&self) -> bool {
         let timing = &self.context.timing;
-        let max_age_s = HEARD_WITHIN_HEARTBEATS * timing.peer_heartbeat.as_secs_f64();
-        let hears_a_peer = self
+        let max_age_s = MAX_MISSED_HEARTBEATS * timing.peer_heartbeat.as_secs_f64();
+        let has_peer_contact = self
             .peers
             .detector()
             .last_heartbeats(self.context.uptime_s())
             .any(|last| last.age_s < max_age_s);
         let own_write = self.observed.own_write;
         let wrote = own_write.is_some_and(|at| at.elapsed() < timing.round * 2);
-        hears_a_peer || wrote || self.context.settings.peers.is_empty()
+        has_peer_contact || wrote || self.context.settings.peers.is_empty()
     }
 }
--- a/crates/rushwalk/src/http/forwarding.rs
+++ b/crates/rushwalk/src/http/forwarding.rs
@@ -19,7 +19,7 @@
 /// Peers that are asked at most.
 const MAX_PEERS: usize = 2;
 
-/// Rounds after which a peer's heartbeat, or the read of which it tells, is too old.
+/// Rounds after which a peer's heartbeat, or the read that it reports, is too old.
 const MAX_AGE_ROUNDS: f64 = 4.0;
 
 /// Statuses from here on say that the peer could not carry the request out.
@@ -30,7 +30,7 @@
 pub(super) struct PeerForwarder {
     /// This process's context.
     pub context: Arc<Context>,
-    /// Tells which peers are healthy.
+    /// Shows which peers are healthy.
     pub peers: Arc<PeerMonitor>,
     /// How peers are called.
     pub client: PeerClient,
@@ -58,10 +58,10 @@
     /// may have been: as with any lost response, users ask again.
     pub(super) async fn forward(&self, request: &ForwardedRequest) -> Option<ForwardedResponse> {
         for endpoint in self.able_peers().iter().take(MAX_PEERS) {
-            let patience = self.context.timing.round;
+            let timeout = self.context.timing.round;
             let call =
                 self.client
-                    .call::<_, ForwardedResponse>(endpoint, FORWARD_PATH, request, patience);
+                    .call::<_, ForwardedResponse>(endpoint, FORWARD_PATH, request, timeout);
             if let Ok(response) = call.await
                 && response.status < SERVER_ERROR
             {
@@ -75,10 +75,8 @@
     pub(super) async fn job_status(&self, job: &str) -> Option<JobStatusReply> {
         let query = JobStatusQuery { job: job.into() };
         for endpoint in self.able_peers().iter().take(MAX_PEERS) {
-            let patience = self.context.timing.round / 2;
-            let call = self
-                .client
-                .call(endpoint, JOB_STATUS_PATH, &query, patience);
+            let timeout = self.context.timing.round / 2;
+            let call = self.client.call(endpoint, JOB_STATUS_PATH, &query, timeout);
             if let Ok(reply) = call.await {
                 return Some(reply);
             }
--- a/crates/rushwalk/src/http/health.rs
+++ b/crates/rushwalk/src/http/health.rs
@@ -18,18 +18,18 @@
         return false;
     }
     // In an outage all ages grow alike, and a peer's is known as of its last heartbeat: only
-    // one that is well below the limit by now is better off. A controller that hears no
-    // other has nothing to compare with and is rather the one that is cut off: users who
+    // one that is well below the limit by now is better off. A controller without
+    // contact to any peer has nothing to compare with and is rather the one that is cut off: users who
     // kept to it got no answer for as long as that lasted.
     let limit_s = limit.as_secs_f64();
     let detector = peers.detector();
     let now_s = context.uptime_s();
-    let hears_a_peer = context.settings.peers.is_empty()
+    let has_peer_contact = context.settings.peers.is_empty()
         || detector
             .last_heartbeats(now_s)
             .any(|last| last.age_s < limit_s);
     let is_a_peer_better_off = detector
         .last_heartbeats(now_s)
         .any(|last| last.staleness_s() < limit_s / 2.0);
-    hears_a_peer && !is_a_peer_better_off
+    has_peer_contact && !is_a_peer_better_off
 }
--- a/crates/rushwalk/src/http/peers.rs
+++ b/crates/rushwalk/src/http/peers.rs
@@ -20,7 +20,7 @@
 
 /// What the peers' interface uses.
 pub(super) struct PeerApi {
-    /// Tells this controller's heartbeat.
+    /// Builds this controller's heartbeat.
     pub heartbeats: Arc<HeartbeatSource>,
     /// Carries out forwarded requests.
     pub user_requests: UserRequests,
@@ -68,15 +68,15 @@
     Response::builder().body(encode(&JobStatusReply { status }))
 }
 
-/// Carries a request out here or not at all: it is forwarded once.
+/// Carries a request out locally or not at all: it is forwarded once.
 #[handler]
 async fn forwarded(body: Body, api: Data<&Arc<PeerApi>>) -> Response {
     let Ok(body) = body.into_bytes_limit(CBOR_FACTOR * MAX_BODY).await else {
         return empty(StatusCode::BAD_REQUEST);
     };
     let response = match decode::<ForwardedRequest>(&body) {
-        Some(ForwardedRequest::Submit(body)) => api.user_requests.submit_here(&body).await,
-        Some(ForwardedRequest::Cancel(job)) => api.user_requests.cancel_here(&job).await,
+        Some(ForwardedRequest::Submit(body)) => api.user_requests.submit_locally(&body).await,
+        Some(ForwardedRequest::Cancel(job)) => api.user_requests.cancel_locally(&job).await,
         None => return empty(StatusCode::BAD_REQUEST),
     };
     let status = response.status().as_u16();
--- a/crates/rushwalk/src/http/responses.rs
+++ b/crates/rushwalk/src/http/responses.rs
@@ -11,7 +11,7 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// The longest time after which a rejected caller is told to come back, in seconds.
+/// The longest `Retry-After` of a rejection, in seconds.
 const MAX_RETRY_AFTER_S: f64 = 30.0;
 
 /// A response with a JSON body.
--- a/crates/rushwalk/src/http/user_requests.rs
+++ b/crates/rushwalk/src/http/user_requests.rs
@@ -26,9 +26,9 @@
 /// How long a linearizable read may take: users give up on a question after 2 s.
 const MAX_READ_WAIT: Duration = Duration::from_millis(1500);
 
-/// Rounds after which a controller that has not read the store counts as cut off from it:
-/// longer than it takes when nothing is asked of it.
-const CUT_OFF_ROUNDS: u32 = 4;
+/// Rounds after which the store counts as unreachable for a controller that has not read it:
+/// longer than the pause between two reads of an idle controller.
+const STORE_UNREACHABLE_ROUNDS: u32 = 4;
 
 /// HTTP 429: too many requests.
 const TOO_MANY_REQUESTS: u16 = 429;
@@ -44,7 +44,7 @@
     pub log: Arc<LogWriter>,
     /// How writes are committed.
     pub writes: UserWrites,
-    /// Tells when the next write may be tried.
+    /// Shows when the next write may be tried.
     pub committer: Arc<Committer>,
     /// Forwards what can't be carried out here.
     pub forwarder: PeerForwarder,
@@ -54,7 +54,7 @@
     pub work_profile: Arc<WorkProfile>,
 }
 
-/// Why a submission is rejected for good.
+/// Why a submission is rejected permanently.
 struct Rejection {
     status: StatusCode,
     reason: String,
@@ -64,14 +64,14 @@
     /// A submission.
     pub(super) async fn submit(&self, body: Vec<u8>) -> Response {
         let request = ForwardedRequest::Submit(body.clone());
-        self.here_or_forwarded(self.submit_here(&body), &request)
+        self.local_or_forwarded(self.submit_locally(&body), &request)
             .await
     }
 
     /// A cancellation.
     pub(super) async fn cancel(&self, job: String) -> Response {
         let request = ForwardedRequest::Cancel(job.clone());
-        self.here_or_forwarded(self.cancel_here(&job), &request)
+        self.local_or_forwarded(self.cancel_locally(&job), &request)
             .await
     }
 
@@ -85,16 +85,16 @@
         if let Some(status) = final_status {
             return json(StatusCode::OK, &status);
         }
-        // Known to be cut off: a peer's read is as good, and comes sooner. Only slow: it may
-        // come sooner, and it is waited for as long as the user waits.
+        // If the store is unreachable a peer's read is as good, and comes sooner. If it is only
+        // slow, a peer's may come sooner, and ours is waited for as long as the user waits.
         let round = self.context.timing.round;
-        let (patience, max_wait) = if self.is_cut_off() {
+        let (hedge_delay, max_wait) = if self.is_store_unreachable() {
             (round / 10, round / 10)
         } else {
             (round * 2 / 3, MAX_READ_WAIT)
         };
         let mut read = std::pin::pin!(self.replica.linearizable_read(max_wait));
-        let was_read = match timeout(patience, &mut read).await {
+        let was_read = match timeout(hedge_delay, &mut read).await {
             Ok(was_read) => was_read,
             Err(_) => tokio::select! {
                 biased;
@@ -109,7 +109,7 @@
             let status = self.replica.state().job_status(job);
             return self.status_response(status);
         }
-        if self.is_cut_off()
+        if self.is_store_unreachable()
             && let Some(reply) = self.forwarder.job_status(job).await
         {
             return self.status_response(reply.status);
@@ -126,15 +126,15 @@
         }
     }
 
-    /// Carries a request out here; by a peer if that is rejected, and beside it if it takes
-    /// long.
-    async fn here_or_forwarded(
+    /// Carries a request out locally; by a peer if that is rejected, and as a hedged request
+    /// if it takes long.
+    async fn local_or_forwarded(
         &self,
         here: impl Future<Output = Response>,
         request: &ForwardedRequest,
     ) -> Response {
         let mut here = std::pin::pin!(here);
-        if self.is_cut_off() {
+        if self.is_store_unreachable() {
             return self.forwarded(request).await;
         }
         match timeout(self.context.timing.round / 6, &mut here).await {
@@ -154,10 +154,10 @@
         }
     }
 
-    /// Whether this controller has not read the store for longer than it does when nothing
-    /// is asked of it.
-    fn is_cut_off(&self) -> bool {
-        self.replica.staleness() > self.context.timing.round * CUT_OFF_ROUNDS
+    /// Whether this controller has not read the store for longer than an idle one pauses
+    /// between two reads.
+    fn is_store_unreachable(&self) -> bool {
+        self.replica.staleness() > self.context.timing.round * STORE_UNREACHABLE_ROUNDS
     }
 
     /// A peer's response in place of ours, which would be 503.
@@ -175,8 +175,8 @@
             .body(response.body)
     }
 
-    /// A submission, carried out here or not at all.
-    pub(super) async fn submit_here(&self, body: &[u8]) -> Response {
+    /// A submission, carried out locally or not at all.
+    pub(super) async fn submit_locally(&self, body: &[u8]) -> Response {
         let mut timer = self.work_profile.start(WorkKind::UserRequest);
         timer.add_items(1);
         // A known job is answered by its status, however the submission looks now.
@@ -254,7 +254,7 @@
         if let Err(response) = self.write(submit).await {
             return response;
         }
-        // Who was first decides: a known job's status is told as it is.
+        // The first submission decides: a known job's status is returned as it is.
         tracing::info!(job, class, tasks, "job accepted");
         let status = self.replica.state().job_status(&job);
         match status {
@@ -266,8 +266,8 @@
         }
     }
 
-    /// A cancellation, carried out here or not at all.
-    pub(super) async fn cancel_here(&self, job: &str) -> Response {
+    /// A cancellation, carried out locally or not at all.
+    pub(super) async fn cancel_locally(&self, job: &str) -> Response {
         if !self.knows_job(job) {
             if !self.replica.linearizable_read(MAX_READ_WAIT).await {
                 return self.unavailable("the state service does not answer");
@@ -300,7 +300,7 @@
         }
     }
 
-    /// Rejected for want of writes: come back when the budget will have some.
+    /// Rejected because the write budget is used up; `Retry-After` says when it has a write.
     fn too_many_requests(&self) -> Response {
         self.rejections.record();
         let wait = self.committer.time_until_write();
@@ -313,7 +313,7 @@
         unavailable(&self.context, reason)
     }
 
-    /// The same as the last word to a user.
+    /// The same as the final response to a user, which counts as a rejection.
     fn rejected_for_now(&self, reason: &str) -> Response {
         self.rejections.record();
         self.unavailable(reason)
--- a/crates/rushwalk/src/leadership/election.rs
+++ b/crates/rushwalk/src/leadership/election.rs
@@ -1,4 +1,4 @@
-//! The election: acquiring leadership when nobody has it or its holder has failed, in the
+//! The election: acquiring leadership when there is no leader or it has failed, in the
 //! order of the candidates, and relinquishing it to a controller that would do better.
 
 use super::leader::{LeaderVersion, Leadership, leadership_term};
@@ -32,8 +32,8 @@
     peers: Arc<PeerMonitor>,
     runtime_lag: Arc<RuntimeLag>,
     slowness: SlownessTracker,
-    /// Since when leadership is open.
-    open_since: Option<Instant>,
+    /// Since when leadership is vacant.
+    vacant_since: Option<Instant>,
 }
 
 /// The parts that an election uses.
@@ -73,11 +73,11 @@
             peers: parts.peers,
             runtime_lag: parts.runtime_lag,
             slowness: SlownessTracker::default(),
-            open_since: None,
+            vacant_since: None,
         }
     }
 
-    /// Takes part in elections, for good.
+    /// Takes part in elections until the process ends.
     pub async fn run(mut self) {
         let mut seen = self.replica.change_count();
         let interval = self.context.timing.peer_heartbeat / 2;
@@ -87,16 +87,16 @@
             seen = self.replica.change_count();
             let lease = self.membership.lease();
             let Some(lease) = lease.filter(|_| self.replica.is_registered()) else {
-                self.open_since = None;
+                self.vacant_since = None;
                 continue;
             };
             if let Some(version) = self.leadership.current_version() {
-                self.open_since = None;
+                self.vacant_since = None;
                 self.keep_or_step_down(version, lease, interval).await;
-            } else if self.is_open() {
-                self.stand(lease, interval).await;
+            } else if self.is_vacant() {
+                self.campaign_when_due(lease, interval).await;
             } else {
-                self.open_since = None;
+                self.vacant_since = None;
             }
         }
     }
@@ -112,13 +112,13 @@
         }
     }
 
-    /// What another controller does while leadership is open: it waits for its turn, then
+    /// What a follower does while leadership is vacant: it waits for its election delay, then
     /// campaigns.
-    async fn stand(&mut self, lease: u64, pause: Duration) {
+    async fn campaign_when_due(&mut self, lease: u64, pause: Duration) {
         if self.membership.is_crash_looping() {
             self.defer_election().await;
         }
-        let since = *self.open_since.get_or_insert_with(Instant::now);
+        let since = *self.vacant_since.get_or_insert_with(Instant::now);
         if since.elapsed() < self.election_delay() {
             // Nothing may change meanwhile but the time.
             sleep(pause / 4).await;
@@ -131,7 +131,7 @@
 
     /// Whether leadership can be acquired: nobody has it, a previous process of ours, or a
     /// controller that has failed. The commit is conditioned on the key as it was seen.
-    fn is_open(&self) -> bool {
+    fn is_vacant(&self) -> bool {
         let state = self.replica.state();
         match &state.leader {
             None => true,
@@ -228,8 +228,8 @@
 
     /// Leadership still belongs to our previous process, which ended as soon as it had it:
     /// its key is deleted, so that a controller acquires it that may live longer. One that
-    /// ended again and again while it started led each time, for 20 s, and its machines
-    /// were heard by nobody.
+    /// ended again and again while it started led each time, for 20 s, and nobody received its
+    /// machines' heartbeats.
     async fn defer_election(&self) {
         let transaction = {
             let state = self.replica.state();
@@ -294,8 +294,8 @@
                 // Ours: nothing to do if it is only not caught up with, or if no commit may
                 // arrive late.
                 let is_current = !leads && is_renewal;
-                let is_settled = leads && !self.leadership.has_unresolved_commit();
-                if is_current || is_settled {
+                let has_no_late_commit = leads && !self.leadership.has_unresolved_commit();
+                if is_current || has_no_late_commit {
                     return None;
                 }
             } else if !self.peers.is_failed(state, &leader.value.member) {
@@ -316,7 +316,7 @@
     }
 
     async fn wait_for(&self, revision: Revision) {
-        let patience = self.context.timing.round * 2;
-        self.replica.wait_for_revision(revision, patience).await;
+        let max_wait = self.context.timing.round * 2;
+        self.replica.wait_for_revision(revision, max_wait).await;
     }
 }
--- a/crates/rushwalk/src/leadership/leader.rs
+++ b/crates/rushwalk/src/leadership/leader.rs
@@ -195,9 +195,9 @@
         self.acquired.notify_one();
     }
 
-    /// Waits until leadership is acquired, for `patience` at most.
-    pub async fn wait_acquired(&self, patience: Duration) {
-        let _ = timeout(patience, self.acquired.notified()).await;
+    /// Waits until leadership is acquired, for `max_wait` at most.
+    pub async fn wait_acquired(&self, max_wait: Duration) {
+        let _ = timeout(max_wait, self.acquired.notified()).await;
     }
 
     /// Commits under this leadership (see [`LeaderVersion::transaction`]); false if the
--- a/crates/rushwalk/src/leadership/snapshot_writer.rs
+++ b/crates/rushwalk/src/leadership/snapshot_writer.rs
@@ -18,7 +18,7 @@
 /// A snapshot is written after as many log entries as the store takes in so many seconds.
 const ENTRIES_S: f64 = 12.0;
 
-/// Mutations packed in one turn of the thread.
+/// Mutations packed in one time slice.
 const PACKED_AT_ONCE: usize = 256;
 
 /// Bytes of chunks in one transaction.
@@ -55,7 +55,7 @@
 }
 
 impl SnapshotWriter {
-    /// Writes a snapshot whenever the log has grown enough, for good.
+    /// Writes a snapshot whenever the log has grown enough, until the process ends.
     pub(crate) async fn run(self) {
         let write_rps = self.context.settings.site.store.write_rps;
         let max_entries = (ENTRIES_S * write_rps) as usize;
@@ -129,7 +129,7 @@
                     ..Write::default()
                 });
             }
-            if let ChunkOutcome::Abandoned = self.write_until_taken(draft, transaction).await {
+            if let ChunkOutcome::Abandoned = self.write_with_retries(draft, transaction).await {
                 return ChunkOutcome::Abandoned;
             }
             sleep(self.context.timing.round / 4).await;
@@ -137,7 +137,7 @@
         ChunkOutcome::Written
     }
 
-    async fn write_until_taken(&self, draft: &Draft, transaction: Transaction) -> ChunkOutcome {
+    async fn write_with_retries(&self, draft: &Draft, transaction: Transaction) -> ChunkOutcome {
         loop {
             let commit = self
                 .committer
--- a/crates/rushwalk/src/observability/runtime_lag.rs
+++ b/crates/rushwalk/src/observability/runtime_lag.rs
@@ -1,7 +1,7 @@
 //! Whether the event loop, which is this controller's only thread, keeps up.
 //!
 //! It is measured by how late timers fire, which shows overload from any cause: too many
-//! clients, an exhausted share of a processor, a long turn. While the loop lags, work that
+//! clients, an exhausted share of a processor, a long time slice. While the loop lags, work that
 //! can be omitted is: after a restart of all controllers each used to ask thousands of
 //! workers for heartbeats that were coming by themselves, and answered those so late that
 //! the workers went to the next controller, and so on.
@@ -20,7 +20,7 @@
 /// One sample counts in the mean for at most this many intervals.
 const MAX_SAMPLE_INTERVALS: u32 = 4;
 
-/// While the event loop lags, a task sleeps this many times as long as its turn took.
+/// While the event loop lags, a task sleeps this many times as long as its slice took.
 const YIELD_FACTOR: u32 = 3;
 
 /// The lag of the event loop, by how late its timers fire.
@@ -49,7 +49,7 @@
     }
 
     /// The mean lag of about the last scheduling round. A thread with less processor than
-    /// work lags again and again with good turns in between: the mean shows that where
+    /// work lags again and again with good samples in between: the mean shows that where
     /// [`RuntimeLag::recent_lag`] does not.
     pub fn mean_lag(&self) -> Duration {
         self.lag.lock().mean
@@ -65,11 +65,11 @@
         self.recent_lag() > self.interval
     }
 
-    /// Lets other tasks run after a turn that took `turn`; while the event loop lags, for
-    /// three times as long as that.
-    pub async fn yield_after(&self, turn: Duration) {
+    /// Lets other tasks run after a time slice of length `slice`; while the event loop lags,
+    /// for three times as long as that.
+    pub async fn yield_after(&self, slice: Duration) {
         if self.is_lagging() {
-            sleep(YIELD_FACTOR * turn).await;
+            sleep(YIELD_FACTOR * slice).await;
         } else {
             tokio::task::yield_now().await;
         }
@@ -92,7 +92,7 @@
     }
 
     /// Records that a timer was `sample` late. The recent lag rises at once and decays by a
-    /// quarter with each sample below it: one good turn does not end an overload.
+    /// quarter with each sample below it: one good sample does not end an overload.
     fn record(&self, sample: Duration) {
         let mut lag = self.lag.lock();
         lag.recent = sample.max(lag.recent * 3 / 4);
--- a/crates/rushwalk/src/observability/work_profile.rs
+++ b/crates/rushwalk/src/observability/work_profile.rs
@@ -49,7 +49,7 @@
 
 #[derive(Debug, Clone, Copy, Default)]
 struct WorkTotals {
-    turns: u64,
+    slices: u64,
     items: u64,
     time: Duration,
     longest: Duration,
@@ -61,8 +61,8 @@
     totals: Mutex<[WorkTotals; KINDS.len()]>,
 }
 
-/// Measures one turn of work, from its creation to its drop. It must not be held over an
-/// await: others' turns would count, too.
+/// Measures one slice of work, from its creation to its drop. It must not be held over an
+/// await: the slices of other tasks would count, too.
 pub struct WorkTimer<'a> {
     profile: &'a WorkProfile,
     kind: WorkKind,
@@ -75,12 +75,13 @@
 pub struct WorkKindSummary {
     /// What was processed: machines by a shard owner, tasks by the leader, log entries.
     pub items: u64,
-    /// The longest turn, in milliseconds.
+    /// The longest slice, in milliseconds.
     pub longest_ms: f64,
-    /// All turns together, in milliseconds.
+    /// All slices together, in milliseconds.
     pub ms: f64,
     /// How often the work was done.
-    pub turns: u64,
+    #[serde(rename = "turns")]
+    pub slices: u64,
 }
 
 /// The totals of all kinds of work by their names; displayed as JSON.
@@ -102,7 +103,7 @@
         let time = self.started.elapsed();
         let mut totals = self.profile.totals.lock();
         let total = &mut totals[self.kind as usize];
-        total.turns += 1;
+        total.slices += 1;
         total.items += self.items;
         total.time += time;
         total.longest = total.longest.max(time);
@@ -110,7 +111,7 @@
 }
 
 impl WorkProfile {
-    /// Begins a turn of work.
+    /// Begins a slice of work.
     pub fn start(&self, kind: WorkKind) -> WorkTimer<'_> {
         WorkTimer {
             profile: self,
@@ -143,7 +144,7 @@
             items: self.items,
             longest_ms: rounded_ms(self.longest),
             ms: rounded_ms(self.time),
-            turns: self.turns,
+            slices: self.slices,
         }
     }
 }
--- a/crates/rushwalk/src/observability/work_profile/tests.rs
+++ b/crates/rushwalk/src/observability/work_profile/tests.rs
@@ -4,7 +4,7 @@
 fn the_summary_keeps_its_bytes() {
     let mut totals = [WorkTotals::default(); KINDS.len()];
     totals[WorkKind::Heartbeat as usize] = WorkTotals {
-        turns: 3,
+        slices: 3,
         items: 40,
         time: Duration::from_micros(12_345),
         longest: Duration::from_millis(9),
--- a/crates/rushwalk/src/peers.rs
+++ b/crates/rushwalk/src/peers.rs
@@ -1,4 +1,4 @@
-//! What this controller thinks of the others.
+//! What this controller knows of the other controllers.
 
 use crate::clock::now_ms;
 use crate::context::Context;
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU16, Ordering};
 
-/// φ above which a silent peer is suspected.
+/// φ above which a peer without heartbeats is suspected.
 const PHI_THRESHOLD: f64 = 8.0;
 
 /// Refused heartbeats in a row after which a peer is suspected.
@@ -28,7 +28,7 @@
 }
 
 impl PeerMonitor {
-    /// A monitor that has heard of no peer.
+    /// A monitor without any observation.
     pub fn new(context: Arc<Context>) -> PeerMonitor {
         let timing = &context.timing;
         let config = DetectorConfig {
@@ -104,8 +104,8 @@
     }
 
     /// Where to redirect a worker whose shard another controller owns. Not to one that has
-    /// failed, or says that it hears nothing of that shard: the worker would come back after
-    /// a time-out.
+    /// failed, or that reports the shard unreachable: the worker would come back after a
+    /// time-out.
     pub fn redirect_target(&self, shard: &str, lease: &ShardLease) -> Option<String> {
         let detector = self.detector();
         if detector.has_lost_shards(&lease.owner, lease.incarnation) {
@@ -120,12 +120,13 @@
         (!is_unreachable).then(|| lease.owner.clone())
     }
 
-    /// Whether a shard may be given more work: its owner is registered and not suspected by
-    /// most. One that is only slow still takes its turn; it loses shards one by one.
+    /// Whether a shard may be assigned more work: its owner is registered and not suspected by
+    /// a majority. One that is only slow still gets work; it loses shards one by one.
     pub fn accepts_more_work(&self, state: &ClusterState, shard: &str) -> bool {
         let Some(lease) = state.shard_leases.get(shard) else {
             return false;
         };
-        state.is_owner_registered(&lease.value) && !self.detector().is_doubtful(&lease.value.owner)
+        state.is_owner_registered(&lease.value)
+            && !self.detector().is_suspected_by_majority(&lease.value.owner)
     }
 }
--- a/crates/rushwalk/src/reporting.rs
+++ b/crates/rushwalk/src/reporting.rs
@@ -1,5 +1,5 @@
-//! What a controller tells whoever follows its log: where its time goes, who is served, and
-//! how long it did not serve as usual.
+//! Regular entries in the log: where a controller's time goes, who is served, and how long it
+//! did not serve as usual.
 
 pub(crate) mod incidents;
 pub(crate) mod usage;
--- a/crates/rushwalk/src/reporting/incidents.rs
+++ b/crates/rushwalk/src/reporting/incidents.rs
@@ -6,21 +6,22 @@
 use crate::observability::runtime_lag::RuntimeLag;
 use crate::store::Replica;
 use crate::workers::WorkerRegistry;
+use crate::workers::registry::expects_heartbeats;
 use parking_lot::Mutex;
-use rushwalk_state::{ClusterState, MachineState};
+use rushwalk_state::ClusterState;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
 /// Rounds without a cause after which an incident is over, and that one must last to be
-/// logged: a single late timer is no incident that anybody wants to read of.
-const CALM_ROUNDS: u32 = 3;
+/// logged: a single late timer is not worth an entry.
+const RESOLVE_ROUNDS: u32 = 3;
 
 /// Rounds after which a replica that was not read is a cause.
 const STALE_ROUNDS: u32 = 4;
 
-/// One in so many of the workers may be unheard.
-const UNHEARD_WORKERS: usize = 20;
+/// Heartbeats of one in so many workers may be missing.
+const WORKERS_PER_MISSING_HEARTBEAT: usize = 20;
 
 /// Looks for causes once a round.
 pub(crate) struct IncidentObserver {
@@ -28,7 +29,7 @@
     pub context: Arc<Context>,
     /// Shows the leader and the shard leases.
     pub replica: Arc<Replica>,
-    /// Shows the workers that are heard.
+    /// Shows which workers send heartbeats.
     pub workers: Arc<WorkerRegistry>,
     /// Shows whether this controller keeps up.
     pub runtime_lag: Arc<RuntimeLag>,
@@ -39,22 +40,23 @@
 }
 
 impl IncidentObserver {
-    /// Observes for good. From its start a controller has an incident until all is well.
+    /// Observes until the process ends. A controller that starts has an incident until it
+    /// serves as usual.
     pub(crate) async fn run(self) {
         let round = self.context.timing.round;
-        let calm = round * CALM_ROUNDS;
+        let resolve_after = round * RESOLVE_ROUNDS;
         let mut last = Instant::now();
         loop {
             sleep(round).await;
             let passed_s = last.elapsed().as_secs_f64();
             last = Instant::now();
             let causes = self.causes();
-            let ended = self
-                .recorder
-                .lock()
-                .observe(passed_s, &causes, calm.as_secs_f64());
+            let ended =
+                self.recorder
+                    .lock()
+                    .observe(passed_s, &causes, resolve_after.as_secs_f64());
             if let Some(incident) = ended
-                && Duration::from_secs_f64(incident.duration_s) > calm
+                && Duration::from_secs_f64(incident.duration_s) > resolve_after
             {
                 let causes = serde_json::to_string(&incident.causes).unwrap_or_default();
                 tracing::info!(
@@ -74,7 +76,7 @@
             (state.leader.is_none(), IncidentCause::NoLeader),
             (has_unowned_shards(&state), IncidentCause::UnownedShards),
             (
-                self.has_unheard_workers(&state),
+                self.has_missing_heartbeats(&state),
                 IncidentCause::WorkersUnreachable,
             ),
             (self.runtime_lag.is_lagging(), IncidentCause::RuntimeLagging),
@@ -85,24 +87,25 @@
         .collect()
     }
 
-    /// Whether too many workers of our shards are not heard. Those known to be unreachable
-    /// are no incident of this controller.
-    fn has_unheard_workers(&self, state: &ClusterState) -> bool {
+    /// Whether heartbeats of too many workers of the owned shards are missing. Machines that
+    /// are known to be unreachable are no incident of this controller.
+    fn has_missing_heartbeats(&self, state: &ClusterState) -> bool {
         let sessions = self.workers.sessions();
         let limit = self.context.timing.unreachable_after;
-        let (mut workers, mut unheard) = (0, 0);
+        let mut workers = 0;
+        let mut missing = 0;
         for shard in self.replica.owned_shards(state).keys() {
             for id in state.shards.get(shard).into_iter().flatten() {
-                if !state.machines.get(id).is_some_and(should_be_heard) {
+                if !state.machines.get(id).is_some_and(expects_heartbeats) {
                     continue;
                 }
                 let session = sessions.by_machine.get(id);
-                let last_heard = session.and_then(|session| session.last_heard);
+                let last_contact = session.and_then(|session| session.last_contact);
                 workers += 1;
-                unheard += usize::from(last_heard.is_none_or(|at| at.elapsed() > limit));
+                missing += usize::from(last_contact.is_none_or(|at| at.elapsed() > limit));
             }
         }
-        unheard * UNHEARD_WORKERS > workers
+        missing * WORKERS_PER_MISSING_HEARTBEAT > workers
     }
 }
 
@@ -113,7 +116,3 @@
         !machines.is_empty() && !is_owned
     })
 }
-
-fn should_be_heard(machine: &MachineState) -> bool {
-    machine.record.ready_ms.is_some() && machine.record.unreachable_since_ms.is_none()
-}
--- a/crates/rushwalk/src/reporting/usage.rs
+++ b/crates/rushwalk/src/reporting/usage.rs
@@ -23,7 +23,7 @@
 }
 
 impl UsageReport {
-    /// Logs for good.
+    /// Logs until the process ends.
     pub(crate) async fn run(self) {
         loop {
             sleep(self.context.timing.worker_lease).await;
--- a/crates/rushwalk/src/scheduling.rs
+++ b/crates/rushwalk/src/scheduling.rs
@@ -7,7 +7,7 @@
 mod queue;
 mod scheduler;
 mod stragglers;
-mod turns;
+mod time_slices;
 mod usage;
 
 pub(crate) use scheduler::{PendingReasons, Scheduler, SchedulerParts};
--- a/crates/rushwalk/src/scheduling/assignment.rs
+++ b/crates/rushwalk/src/scheduling/assignment.rs
@@ -16,7 +16,7 @@
 
 /// So many tasks with their machines fit the smallest value of the store. A larger gang,
 /// which is assigned whole, goes without them, and the owners of its shards search.
-const MAX_HINTED_GANG: usize = 8 * MAX_BATCH;
+const MAX_GANG_WITH_HINTS: usize = 8 * MAX_BATCH;
 
 /// Counts assigned tasks into the usage, and plans places for those that the owner of their
 /// shard has not placed yet.
@@ -49,12 +49,12 @@
                 &last.insert((&id.job, pending)).1
             }
         };
-        reserve_hinted(round, pending, hint);
+        reserve_hinted_machine(round, pending, hint);
     }
 }
 
 /// Plans a task on the machine for which it was assigned.
-fn reserve_hinted(round: &mut SchedulingRound, pending: &PendingJob, hint: &MachineId) {
+fn reserve_hinted_machine(round: &mut SchedulingRound, pending: &PendingJob, hint: &MachineId) {
     // Machines come in the order of their names.
     let index = round
         .machines
@@ -157,7 +157,7 @@
 fn gang_shards(by_shard: TasksByShard) -> Vec<ShardTasks> {
     let tasks: usize = by_shard.values().map(Vec::len).sum();
     let shards = by_shard.into_iter().map(|(shard, mut tasks_of_shard)| {
-        if tasks > MAX_HINTED_GANG {
+        if tasks > MAX_GANG_WITH_HINTS {
             for task in &mut tasks_of_shard {
                 task.machine = "".into();
             }
--- a/crates/rushwalk/src/scheduling/expected_demand.rs
+++ b/crates/rushwalk/src/scheduling/expected_demand.rs
@@ -1,4 +1,4 @@
-//! What is expected to arrive, or to come back.
+//! Expected demand: jobs that may arrive, and services that may have to start anew.
 
 use super::queue::MIN_TASKS_PER_JOB;
 use crate::context::Context;
@@ -14,10 +14,10 @@
 use rushwalk_state::{ClusterState, UnixMillis};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The time over which arrivals are counted together.
+/// The length of a bucket in which arrivals are counted, in milliseconds.
 const BUCKET_MS: UnixMillis = 30_000;
 
-/// So many of these times, the latest, tell the rate of arrivals.
+/// The latest buckets from which the rate of arrivals is estimated.
 const MAX_BUCKETS: u64 = 5;
 
 /// Boot times before the end of a worker lease at which a place is made ready for a service.
--- a/crates/rushwalk/src/scheduling/maintenance.rs
+++ b/crates/rushwalk/src/scheduling/maintenance.rs
@@ -1,5 +1,5 @@
-//! Broken gangs, assignments that no owner took up, evictions, and machines that are
-//! quarantined or given up.
+//! Broken gangs, assignments that no owner placed, evictions, and machines that are
+//! quarantined or deleted.
 
 use crate::context::Context;
 use crate::scheduler_inputs::{predicted_end, seconds};
@@ -23,14 +23,14 @@
 /// Rounds after its notice for which a reclaimed machine may still be there.
 const RECLAIM_ROUNDS: u64 = 3;
 
-/// Why a machine is deleted at once, whatever is on it.
+/// Why a machine is deleted at once, with the tasks on it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum GiveUpReason {
+enum DeletionReason {
     /// It does not boot.
     NotBooting,
     /// The cloud has reclaimed it.
     Reclaimed,
-    /// It is unreachable for good.
+    /// It has been unreachable for too long.
     Unreachable,
 }
 
@@ -43,10 +43,10 @@
     unassigned: BTreeMap<JobAttempt, Vec<u32>>,
     stopped: BTreeMap<(JobAttempt, StopReason), Vec<u32>>,
     quarantined: Vec<MachineId>,
-    given_up: Vec<MachineId>,
+    deleted: Vec<MachineId>,
 }
 
-/// What keeps jobs and machines going. `abandoned` are machines that do not boot.
+/// The mutations that maintain jobs and machines. `abandoned` are machines that do not boot.
 pub(super) fn maintenance(
     context: &Context,
     state: &ClusterState,
@@ -62,13 +62,13 @@
             continue;
         }
         let reason = if abandoned.contains(id) {
-            Some(GiveUpReason::NotBooting)
+            Some(DeletionReason::NotBooting)
         } else {
-            give_up_reason(context, state, &machine.record, now_ms)
+            deletion_reason(context, state, &machine.record, now_ms)
         };
         if let Some(reason) = reason {
             tracing::info!(machine = &**id, ?reason, "machine given up");
-            changes.given_up.push(id.clone());
+            changes.deleted.push(id.clone());
             continue;
         }
         if lifecycle == MachineLifecycle::Active && machine.failed_jobs.len() >= FAULTY_JOBS {
@@ -82,7 +82,8 @@
     changes.into_mutations()
 }
 
-/// The owner of their shard found no room, or is gone.
+/// Unassigns tasks that the owner of their shard has not placed in time: it found no room,
+/// or has failed.
 fn unassign_stuck_tasks(
     context: &Context,
     state: &ClusterState,
@@ -159,32 +160,32 @@
     })
 }
 
-fn give_up_reason(
+fn deletion_reason(
     context: &Context,
     state: &ClusterState,
     machine: &MachineRecord,
     now_ms: UnixMillis,
-) -> Option<GiveUpReason> {
+) -> Option<DeletionReason> {
     let timing = &context.timing;
     if let Some(reclaim_ms) = machine.reclaim_ms
         && now_ms > reclaim_ms + timing.round.as_millis() as u64 * RECLAIM_ROUNDS
     {
         // Its notice has run out: it is gone, or will be in a moment.
-        return Some(GiveUpReason::Reclaimed);
+        return Some(DeletionReason::Reclaimed);
     }
     let unreachable_since_ms = machine.unreachable_since_ms?;
-    // Spot instances that fall silent were mostly reclaimed without notice. Other machines
-    // rarely die, and so do whole shards: that is rather a network partition, behind which
-    // the tasks go on. Until their leases expire they are not given up, and then the machine
-    // may yet come back, empty but with its images.
+    // Spot instances whose heartbeats stop were mostly reclaimed without notice. Other machines
+    // rarely fail, and whole shards rarely do: that is rather a network partition, behind
+    // which the tasks continue. Until their leases expire they are kept, and after that the
+    // machine may still return, empty but with its images.
     let is_partitioned = state.shard_counts(&machine.shard).mostly_unreachable();
-    let patience = if machine.spot && !is_partitioned {
+    let grace = if machine.spot && !is_partitioned {
         Duration::ZERO
     } else {
         2 * timing.worker_lease + timing.lease_validity
     };
-    let is_over = now_ms >= unreachable_since_ms + patience.as_millis() as u64;
-    is_over.then_some(GiveUpReason::Unreachable)
+    let is_over = now_ms >= unreachable_since_ms + grace.as_millis() as u64;
+    is_over.then_some(DeletionReason::Unreachable)
 }
 
 impl Changes {
@@ -215,7 +216,7 @@
             }));
         }
         mutations.extend(set_lifecycle(&self.quarantined, MachineLifecycle::Draining));
-        mutations.extend(set_lifecycle(&self.given_up, MachineLifecycle::Deleting));
+        mutations.extend(set_lifecycle(&self.deleted, MachineLifecycle::Deleting));
         mutations
     }
 }
--- a/crates/rushwalk/src/scheduling/scheduler.rs
+++ b/crates/rushwalk/src/scheduling/scheduler.rs
@@ -5,13 +5,13 @@
 use super::maintenance::maintenance;
 use super::queue::pending_jobs;
 use super::stragglers::Stragglers;
-use super::turns::TurnPlanner;
+use super::time_slices::TimeSlicedPlanner;
 use super::usage::log_usage;
 use crate::capacity::RentalTracker;
 use crate::capacity::boot_supervision::BootSupervisor;
 use crate::capacity::machines::RoundBuilder;
 use crate::capacity::scale_in::ScaleIn;
-use crate::capacity::scale_out::{DemandSeen, RentalBasis, ScaleOut};
+use crate::capacity::scale_out::{PlannedDemand, RentalBasis, ScaleOut};
 use crate::capacity::scarcity::PriceBias;
 use crate::clock::now_ms;
 use crate::context::Context;
@@ -59,13 +59,13 @@
     pub leadership: Arc<Leadership>,
     /// Shows which owners may get more work.
     pub peers: Arc<PeerMonitor>,
-    /// Tells how many calls the cloud takes.
+    /// Limits how often the cloud is called.
     pub cloud: Arc<CloudClient>,
     /// Shows what the cloud has to rent.
     pub tracker: Arc<RentalTracker>,
     /// Where the reasons to wait are shown.
     pub pending_reasons: Arc<PendingReasons>,
-    /// Lets others have their turn.
+    /// Yields to the other tasks of this thread.
     pub runtime_lag: Arc<RuntimeLag>,
     /// Where the time goes.
     pub work_profile: Arc<WorkProfile>,
@@ -74,11 +74,11 @@
 /// Makes scheduling rounds while this process leads.
 pub(crate) struct Scheduler {
     parts: SchedulerParts,
-    boots: BootSupervisor,
+    boot_supervisor: BootSupervisor,
     scale_out: ScaleOut,
     scale_in: ScaleIn,
     stragglers: Stragglers,
-    turns: TurnPlanner,
+    planner: TimeSlicedPlanner,
     /// When the number of machines was last planned by what is expected.
     expected_planned: Option<Instant>,
     /// Expected tasks that would have to wait on the whole fleet.
@@ -95,15 +95,15 @@
 impl Scheduler {
     /// A scheduler that has made no round.
     pub(crate) fn new(parts: SchedulerParts) -> Scheduler {
-        let turns = TurnPlanner {
+        let planner = TimeSlicedPlanner {
             round: parts.context.timing.round,
             runtime_lag: parts.runtime_lag.clone(),
             work_profile: parts.work_profile.clone(),
         };
         Scheduler {
             parts,
-            turns,
-            boots: BootSupervisor::default(),
+            planner,
+            boot_supervisor: BootSupervisor::default(),
             scale_out: ScaleOut::default(),
             scale_in: ScaleIn::default(),
             stragglers: Stragglers::default(),
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Makes rounds, for good.
+    /// Makes rounds until the process ends.
     pub(crate) async fn run(mut self) {
         let context = self.parts.context.clone();
         let leadership = self.parts.leadership.clone();
@@ -152,13 +152,13 @@
         let state = replica.state();
         let now_ms = now_ms();
         let abandoned = match state.machine_types.clone() {
-            Some(types) => self.supervise_boots(context, &state, &types, now_ms),
+            Some(types) => self.abandon_late_machines(context, &state, &types, now_ms),
             None => BTreeSet::new(),
         };
         maintenance(context, &state, &abandoned, now_ms)
     }
 
-    fn supervise_boots(
+    fn abandon_late_machines(
         &mut self,
         context: &Context,
         state: &ClusterState,
@@ -168,7 +168,8 @@
         let timing = &context.timing;
         let zones = scheduler_inputs::zones(types, &context.settings.site);
         let heartbeat_s = timing.heartbeat.as_secs_f64();
-        self.boots.update(state, types, &zones, now_ms, heartbeat_s);
+        self.boot_supervisor
+            .update(state, types, &zones, now_ms, heartbeat_s);
         // A controller that has just come to lead does not know what the shards' owners are
         // about to commit.
         let leading_for = self.parts.leadership.leading_for();
@@ -176,7 +177,8 @@
             return BTreeSet::new();
         }
         let jobs_wait = !self.parts.pending_reasons.by_job().is_empty();
-        self.boots.abandon_late(state, types, &zones, jobs_wait)
+        self.boot_supervisor
+            .abandon_late(state, types, &zones, jobs_wait)
     }
 
     /// Plans what waits, then how many machines there should be.
@@ -190,16 +192,16 @@
             pending,
             types,
         } = start;
-        let decisions = self.turns.plan_pending(&mut round, &pending).await;
+        let decisions = self.planner.plan_pending(&mut round, &pending).await;
         let mut mutations = self.assign_and_restart(&mut round, decisions, &types, now_ms);
         log_usage(&round, &types);
         let basis = RentalBasis {
             leader: version,
             began_ms: now_ms,
-            for_waiting: round.machines.len(),
+            for_pending: round.machines.len(),
         };
         if !self.is_expected_demand_due(context) {
-            mutations.extend(self.rent(context, &round, &types, basis, DemandSeen::Waiting));
+            mutations.extend(self.rent(context, &round, &types, basis, PlannedDemand::Pending));
             return mutations;
         }
         // Would fewer machines do, for what waits and what is expected? Tried before what
@@ -234,7 +236,7 @@
             state: &state,
             types: &types,
             zones: scheduler_inputs::zones(&types, &context.settings.site),
-            boots: &self.boots,
+            boot_supervisor: &self.boot_supervisor,
             now_s: seconds(now_ms),
         };
         let mut round = builder.build(&mut rentals);
@@ -284,17 +286,17 @@
         round: &SchedulingRound,
         types: &MachineTypes,
         basis: RentalBasis,
-        seen: DemandSeen,
+        demand: PlannedDemand,
     ) -> Vec<Mutation> {
         let took = Duration::from_millis(now_ms().saturating_sub(basis.began_ms));
         self.scale_out
-            .update_shortfall(round, types, basis.for_waiting, seen);
+            .update_shortfall(round, types, basis.for_pending, demand);
         let calls_per_s = self.parts.cloud.rate();
         self.scale_out
             .rent(context, &self.parts.tracker, calls_per_s, took, basis)
     }
 
-    /// Closes machines in the round that might be done without; none if some are lacking.
+    /// Cordons machines in the round that may not be needed; none if the round had to rent.
     fn try_to_empty_machines(
         &mut self,
         round: &mut SchedulingRound,
@@ -309,8 +311,8 @@
         self.scale_in.empty_machines(&state, round, types, now_ms)
     }
 
-    /// Plans what is expected, without the emptied machines if that does; returns those to be
-    /// done without.
+    /// Plans the expected jobs, without the emptied machines if possible; returns the machines
+    /// to remove.
     async fn plan_expected(
         &mut self,
         context: &Context,
@@ -321,7 +323,7 @@
     ) -> Vec<MachineId> {
         let expected = self.expected_jobs(context, types, now_ms);
         let before = (!emptied.is_empty()).then(|| round.machines.clone());
-        let late = self.turns.plan_expected(round, &expected).await;
+        let late = self.planner.plan_expected(round, &expected).await;
         let Some(before) = before else {
             self.expected_late = late;
             return emptied;
@@ -339,7 +341,7 @@
         for index in 0..round.machines.len() {
             round.machines.set_cordoned(index, false);
         }
-        self.expected_late = self.turns.plan_expected(round, &expected).await;
+        self.expected_late = self.planner.plan_expected(round, &expected).await;
         Vec::new()
     }
 
@@ -370,7 +372,13 @@
     ) -> Vec<Mutation> {
         let work_profile = self.parts.work_profile.clone();
         let _timer = work_profile.start(WorkKind::ScaleOut);
-        let rentals = self.rent(context, round, types, basis, DemandSeen::WaitingAndExpected);
+        let rentals = self.rent(
+            context,
+            round,
+            types,
+            basis,
+            PlannedDemand::PendingAndExpected,
+        );
         let mut mutations = {
             let state = self.parts.replica.state();
             self.scale_in.remove_idle(&state, round)
--- a/crates/rushwalk/src/scheduling/stragglers.rs
+++ b/crates/rushwalk/src/scheduling/stragglers.rs
@@ -12,8 +12,8 @@
 /// A task that runs this many times its predicted time is a straggler (§4.4 of the paper).
 const STRAGGLER_RATIO: f64 = 2.0;
 
-/// The shortest tasks there are last a while: most need no look at their predicted time, in
-/// seconds.
+/// Tasks that have run for less than this, in seconds, are never stragglers, which saves most
+/// predictions of run times.
 const MIN_ELAPSED_S: f64 = 10.0;
 
 /// Stops stragglers, each at most once.
--- a/crates/rushwalk/src/scheduling/turns.rs
+++ b/crates/rushwalk/src/scheduling/time_slices.rs
@@ -1,5 +1,5 @@
-//! Planning in turns: a plan of many jobs takes longer than the others on this thread should
-//! wait.
+//! Planning in time slices: a plan of many jobs takes longer than the other tasks of this
+//! thread should wait.
 
 use super::expected_demand::ExpectedJob;
 use crate::observability::runtime_lag::RuntimeLag;
@@ -9,25 +9,25 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Jobs planned before the others on this thread have their turn. On a busy thread a turn
-/// comes late, so a round must not take many.
-const MAX_JOBS_PER_TURN: usize = 16;
+/// The most jobs planned in one slice. On a busy thread the next slice comes late, so a round
+/// must not take many.
+const MAX_JOBS_PER_SLICE: usize = 16;
 
-/// Parts of a round that a turn of planning may take.
-const TURNS_PER_ROUND: u32 = 48;
+/// A slice may take a round divided by this.
+const SLICES_PER_ROUND: u32 = 48;
 
-/// Plans jobs in turns, between which the others on this thread go on.
-pub(super) struct TurnPlanner {
+/// Plans jobs in time slices, between which the other tasks of this thread run.
+pub(super) struct TimeSlicedPlanner {
     /// The interval of rounds.
     pub(super) round: Duration,
-    /// Lets others have their turn.
+    /// Yields to the other tasks of this thread.
     pub(super) runtime_lag: Arc<RuntimeLag>,
     /// Where the time goes.
     pub(super) work_profile: Arc<WorkProfile>,
 }
 
-impl TurnPlanner {
-    /// Plans the waiting jobs in their order, in turns. The plan ends when its time is over,
+impl TimeSlicedPlanner {
+    /// Plans the pending jobs in their order, in slices. The plan ends when its time is over,
     /// not after so many tasks: 3,000 were all that waited on one fleet, and a third of it
     /// on one four times as large, so that nothing was rented for the others.
     pub(super) async fn plan_pending(
@@ -40,9 +40,9 @@
         let began = Instant::now();
         while !rest.is_empty() && (began.elapsed() < self.round || decisions.is_empty()) {
             let mut timer = self.work_profile.start(WorkKind::Schedule);
-            let turn_began = Instant::now();
+            let slice_began = Instant::now();
             let mut done = 0;
-            while done < rest.len() && self.goes_on(done, turn_began) {
+            while done < rest.len() && self.slice_continues(done, slice_began) {
                 let some = round.schedule(&rest[done..=done]);
                 decisions.placements.extend(some.placements);
                 decisions.pending_reasons.extend(some.pending_reasons);
@@ -51,12 +51,12 @@
             timer.add_items(round.take_evaluations());
             drop(timer);
             rest = &rest[done..];
-            self.runtime_lag.yield_after(turn_began.elapsed()).await;
+            self.runtime_lag.yield_after(slice_began.elapsed()).await;
         }
         decisions
     }
 
-    /// Plans what is expected, each job for its time; how many tasks would wait.
+    /// Plans the expected jobs, each for its time; returns how many tasks would wait.
     pub(super) async fn plan_expected(
         &self,
         round: &mut SchedulingRound<'_>,
@@ -66,9 +66,9 @@
         let mut rest = expected;
         while !rest.is_empty() {
             let mut timer = self.work_profile.start(WorkKind::ScaleOut);
-            let turn_began = Instant::now();
+            let slice_began = Instant::now();
             let mut done = 0;
-            while done < rest.len() && self.goes_on(done, turn_began) {
+            while done < rest.len() && self.slice_continues(done, slice_began) {
                 let ExpectedJob { in_s, job } = &rest[done];
                 round.planned_time_s = round.current_time_s + in_s;
                 let decisions = round.schedule(std::slice::from_ref(job));
@@ -78,16 +78,16 @@
             timer.add_items(round.take_evaluations());
             drop(timer);
             rest = &rest[done..];
-            self.runtime_lag.yield_after(turn_began.elapsed()).await;
+            self.runtime_lag.yield_after(slice_began.elapsed()).await;
         }
         round.planned_time_s = round.current_time_s;
         late
     }
 
-    /// Whether a turn of planning goes on. On a slow controller even a few jobs take long, and
+    /// Whether a slice of planning continues. On a slow controller even a few jobs take long, and
     /// answers to workers and users must not wait for them.
-    fn goes_on(&self, done: usize, began: Instant) -> bool {
-        let max_turn = self.round / TURNS_PER_ROUND;
-        done == 0 || (done < MAX_JOBS_PER_TURN && began.elapsed() < max_turn)
+    fn slice_continues(&self, done: usize, began: Instant) -> bool {
+        let max_slice = self.round / SLICES_PER_ROUND;
+        done == 0 || (done < MAX_JOBS_PER_SLICE && began.elapsed() < max_slice)
     }
 }
--- a/crates/rushwalk/src/shards/dispatch.rs
+++ b/crates/rushwalk/src/shards/dispatch.rs
@@ -1,5 +1,5 @@
 //! Sends to workers' own addresses what can't wait for their next heartbeat: commands, and
-//! probes of workers that are not heard.
+//! probes of workers without contact.
 
 #[cfg(test)]
 mod tests;
@@ -44,32 +44,36 @@
     pub runtime_lag: Arc<RuntimeLag>,
 }
 
-/// How many workers one tick probes: at most `total`, and of those never heard since their
-/// shard is ours at most `never_heard`.
+/// How many workers one tick probes.
 struct ProbeBudget {
+    /// All that may be probed.
     total: usize,
-    never_heard: usize,
+    /// Of these, workers without any contact since their shard is ours.
+    never_contacted: usize,
 }
 
 impl ProbeBudget {
-    /// Workers that were never heard come by themselves, unless this thread is too late for
-    /// them: while it lags few are probed. Not so those that were heard and fell silent:
-    /// probed later, a third of the fleet was found dead later.
+    /// Workers without any contact yet come by themselves, unless this thread is too late for
+    /// them: while it lags few are probed. Not so those whose heartbeats stopped: probed
+    /// later, the failure of a third of the fleet was detected later.
     fn new(total: usize, is_lagging: bool) -> ProbeBudget {
-        let never_heard = if is_lagging {
+        let never_contacted = if is_lagging {
             MIN_PROBES as usize
         } else {
             total
         };
-        ProbeBudget { total, never_heard }
+        ProbeBudget {
+            total,
+            never_contacted,
+        }
     }
 
-    fn try_take(&mut self, never_heard: bool) -> bool {
-        if self.total == 0 || (never_heard && self.never_heard == 0) {
+    fn try_take(&mut self, never_contacted: bool) -> bool {
+        if self.total == 0 || (never_contacted && self.never_contacted == 0) {
             return false;
         }
         self.total -= 1;
-        self.never_heard -= usize::from(never_heard);
+        self.never_contacted -= usize::from(never_contacted);
         true
     }
 }
@@ -84,16 +88,16 @@
 /// What a tick does about a machine.
 enum Step {
     Nothing,
-    /// It is too early: look again in the next tick.
-    LookAgain,
+    /// It is too early: the next tick tries again.
+    Retry,
     Probe(Call),
     Command(Call, CommandBatch),
 }
 
 impl Dispatcher {
-    /// Sends what is urgent to some machines; returns those to look at again.
+    /// Sends what is urgent to some machines; returns those to try again.
     pub(super) fn dispatch(&self, machines: &BTreeSet<MachineId>) -> BTreeSet<MachineId> {
-        let mut look_again = BTreeSet::new();
+        let mut retry = BTreeSet::new();
         let state = self.replica.state();
         let mut sessions = self.workers.sessions();
         let owned = self.replica.owned_shards(&state);
@@ -101,8 +105,8 @@
         for id in machines {
             match self.next_step(&state, &mut sessions, &owned, &mut budget, id) {
                 Step::Nothing => {}
-                Step::LookAgain => {
-                    look_again.insert(id.clone());
+                Step::Retry => {
+                    retry.insert(id.clone());
                 }
                 Step::Probe(call) => {
                     tokio::spawn(self.clone().probe(call));
@@ -112,7 +116,7 @@
                 }
             }
         }
-        look_again
+        retry
     }
 
     /// An owner that takes over a thousand machines does not probe them all at once: most
@@ -157,8 +161,8 @@
             return Step::Nothing;
         }
         let timing = &self.context.timing;
-        // Not heard: it may report to a previous owner, or be cut off. Or it is heard, and
-        // does not hear us.
+        // Without contact it may report to a previous owner, or be partitioned. Or its
+        // heartbeats come, and our responses do not arrive.
         if session.heartbeat_overdue(timing) || session.has_undelivered_response() {
             return probe_step(timing, session, budget, id, machine);
         }
@@ -166,15 +170,15 @@
     }
 
     async fn command(self, call: Call, batch: CommandBatch) {
-        let patience = self.context.timing.round * 3;
-        let result = self.client.command(&call.address, &batch, patience).await;
+        let timeout = self.context.timing.round * 3;
+        let result = self.client.command(&call.address, &batch, timeout).await;
         let mut sessions = self.workers.sessions();
         let session = finish_call(&mut sessions, &call);
         let machine = &*call.machine;
         match result {
             Ok(response) => {
                 session.apply_heartbeat(&response.heartbeat, HeartbeatSource::Call);
-                sessions.record_heard(&call.shard);
+                sessions.record_contact(&call.shard);
             }
             Err(Error::Unanswered(error)) => {
                 tracing::debug!(machine, error, "commands unanswered");
@@ -190,11 +194,11 @@
         }
     }
 
-    /// Asks a worker that is not heard for a heartbeat, and shows it our token: a worker
-    /// that still reports to a previous owner is thereby led away from it.
+    /// Asks a worker without contact for a heartbeat, and shows it our token: a worker that
+    /// still reports to a previous owner is thereby fenced from it.
     async fn probe(self, call: Call) {
-        let patience = self.context.timing.round * 2;
-        let mut result = self.client.heartbeat(&call.address, patience).await;
+        let timeout = self.context.timing.round * 2;
+        let mut result = self.client.heartbeat(&call.address, timeout).await;
         let token = {
             let state = self.replica.state();
             self.replica.fencing_token(&state, &call.shard)
@@ -203,13 +207,13 @@
             && heartbeat.token < token
         {
             let session = heartbeat.session;
-            result = self.show_token(&call, token, session, patience).await;
+            result = self.show_token(&call, token, session, timeout).await;
         }
         let mut sessions = self.workers.sessions();
         let session = finish_call(&mut sessions, &call);
         if let Ok(heartbeat) = result {
             session.apply_heartbeat(&heartbeat, HeartbeatSource::Call);
-            sessions.record_heard(&call.shard);
+            sessions.record_contact(&call.shard);
         }
     }
 
@@ -219,14 +223,14 @@
         call: &Call,
         token: Revision,
         session: u64,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<Heartbeat, Error> {
         let empty = CommandBatch {
             token,
             session,
             commands: Vec::new(),
         };
-        let answer = self.client.command(&call.address, &empty, patience).await;
+        let answer = self.client.command(&call.address, &empty, timeout).await;
         answer.map(|response| response.heartbeat)
     }
 }
@@ -259,15 +263,15 @@
     id: &MachineId,
     machine: &MachineState,
 ) -> Step {
-    let pause = match session.last_heard {
+    let pause = match session.last_contact {
         None => timing.heartbeat / 2,
         Some(_) => timing.heartbeat,
     };
     if session.last_probe.is_some_and(|at| at.elapsed() < pause) {
         return Step::Nothing;
     }
-    if !budget.try_take(session.last_heard.is_none()) {
-        return Step::LookAgain;
+    if !budget.try_take(session.last_contact.is_none()) {
+        return Step::Retry;
     }
     session.last_probe = Some(Instant::now());
     session.call_in_flight = Some(CallInFlight::Probe);
@@ -289,7 +293,7 @@
     }
     let last_command = session.last_command;
     if last_command.is_some_and(|at| at.elapsed() <= timing.round) {
-        return Step::LookAgain;
+        return Step::Retry;
     }
     if session.session == 0 {
         return Step::Nothing;
--- a/crates/rushwalk/src/shards/dispatch/tests.rs
+++ b/crates/rushwalk/src/shards/dispatch/tests.rs
@@ -2,11 +2,13 @@
 
 #[test]
 fn a_lagging_thread_probes_few_never_heard_workers_but_all_silent_ones() {
-    let probe = |is_lagging: bool, never_heard: usize, silent: usize| {
+    let probe = |is_lagging: bool, never_contacted: usize, silent: usize| {
         let mut budget = ProbeBudget::new(100, is_lagging);
-        let never_heard = (0..never_heard).filter(|_| budget.try_take(true)).count();
+        let never_contacted = (0..never_contacted)
+            .filter(|_| budget.try_take(true))
+            .count();
         let silent = (0..silent).filter(|_| budget.try_take(false)).count();
-        (never_heard, silent)
+        (never_contacted, silent)
     };
     assert_eq!(probe(false, 300, 50), (100, 0));
     assert_eq!(probe(true, 300, 50), (8, 50));
--- a/crates/rushwalk/src/shards/fencing.rs
+++ b/crates/rushwalk/src/shards/fencing.rs
@@ -26,7 +26,7 @@
 }
 
 impl Fencing {
-    /// Fences what is unresolved, for good.
+    /// Fences what is unresolved, until the process ends.
     pub(crate) async fn run(self) {
         loop {
             sleep(self.context.timing.unreachable_after).await;
@@ -45,7 +45,7 @@
             let machine = state.machines.get(id)?;
             let shard = &machine.record.shard;
             let token = *owned.get(shard)?;
-            (matters(machine) && start.token >= token).then(|| (shard.clone(), token))
+            (needs_fencing(machine) && start.token >= token).then(|| (shard.clone(), token))
         });
         unresolved.collect()
     }
@@ -77,9 +77,9 @@
     }
 }
 
-/// Whether it matters what is on a machine. Not if there is nothing to be proved gone, or
+/// Whether it needs_fencing what is on a machine. Not if there is nothing to be proved gone, or
 /// the machine goes with all on it; an unreachable machine's starts end with its lease.
-fn matters(machine: &MachineState) -> bool {
+fn needs_fencing(machine: &MachineState) -> bool {
     let record = &machine.record;
     !machine.tasks.is_empty()
         && record.unreachable_since_ms.is_none()
--- a/crates/rushwalk/src/shards/findings.rs
+++ b/crates/rushwalk/src/shards/findings.rs
@@ -1,4 +1,4 @@
-//! What heartbeats tell of several machines and tasks, put together into few mutations.
+//! What heartbeats show of several machines and tasks, combined into few mutations.
 
 use rushwalk_protocol::ids::{AttemptId, JobId, MachineId};
 use rushwalk_state::mutation::{
@@ -25,7 +25,7 @@
     }
 }
 
-/// What heartbeats tell that the state does not hold yet.
+/// What heartbeats show and the state does not hold yet.
 #[derive(Default)]
 pub(super) struct HeartbeatFindings {
     ready: Vec<MachineAddress>,
--- a/crates/rushwalk/src/shards/outcomes.rs
+++ b/crates/rushwalk/src/shards/outcomes.rs
@@ -11,7 +11,7 @@
 use rushwalk_state::{ClusterState, JobState, MachineState, Mutation, Revision, TaskState};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Compares the sessions of some machines with the state, and tells what must be committed.
+/// Compares the sessions of some machines with the state; returns what must be committed.
 pub(super) fn outcomes(
     state: &ClusterState,
     sessions: &mut Sessions,
@@ -53,18 +53,18 @@
     token: Revision,
 }
 
-/// What to make of a placed task.
-enum TaskVerdict {
+/// What a heartbeat, or the lack of one, changes about a placed task.
+enum TaskTransition {
     Unchanged,
     Started,
     Ended(AttemptOutcome),
 }
 
 impl Observer<'_> {
-    /// Whether it is ready, reclaimed, unreachable.
+    /// Records whether the machine is ready, to be reclaimed, or unreachable.
     fn observe_machine(&self, session: &mut WorkerSession, findings: &mut HeartbeatFindings) {
         let record = &self.machine.record;
-        if session.last_heard.is_some() {
+        if session.last_contact.is_some() {
             if record.ready_ms.is_none() || *record.address != *session.address {
                 findings.machine_ready(self.id, &session.address);
             }
@@ -80,18 +80,18 @@
         }
     }
 
-    /// A new owner gives every worker time to find it, and asks those that it does not hear:
-    /// a lost heartbeat does not make a machine unreachable.
+    /// A new owner gives every worker time to find it, and probes those without contact: a
+    /// lost heartbeat does not make a machine unreachable.
     fn observe_reachability(&self, session: &mut WorkerSession, findings: &mut HeartbeatFindings) {
         let owned_since = session.owned.map(|owned| owned.since);
-        let Some(last) = session.last_heard.max(owned_since) else {
+        let Some(last) = session.last_contact.max(owned_since) else {
             return;
         };
         let has_loss = session.has_inbound_loss(self.timing)
             || session.has_outbound_loss(self.token, self.timing);
         let is_silent = last.elapsed() > self.timing.unreachable_after;
         if is_silent || has_loss {
-            // One that can be told nothing, or can report nothing, is of no more use.
+            // One that receives no commands, or can report nothing, is of no more use.
             let was_asked = has_loss || session.last_probe.is_some_and(|at| at > last);
             let is_known = self.machine.record.unreachable_since_ms.is_some();
             if !is_known && was_asked && session.call_in_flight.is_none() {
@@ -101,16 +101,16 @@
                 findings.machine_unreachable(self.id);
             }
         } else if self.machine.record.unreachable_since_ms.is_some()
-            && self.is_heard_and_hears(session)
+            && self.is_reachable_both_ways(session)
         {
             findings.machine_reachable(self.id);
         }
     }
 
-    /// It must have heard us, too: each new owner took a machine that hears nobody to be
-    /// well, and gave it work.
-    fn is_heard_and_hears(&self, session: &WorkerSession) -> bool {
-        let heard = session.last_heard;
+    /// Whether heartbeats and responses both arrive: new owners took a machine that receives
+    /// no responses to be healthy, and gave it work.
+    fn is_reachable_both_ways(&self, session: &WorkerSession) -> bool {
+        let heard = session.last_contact;
         session.token >= self.token
             && heard.is_some_and(|at| at.elapsed() <= self.timing.unreachable_after)
     }
@@ -127,10 +127,10 @@
                 task: id.clone(),
                 attempt: task.record.attempt,
             };
-            match self.judge_task(session, &attempt, job, task, is_lost) {
-                TaskVerdict::Unchanged => {}
-                TaskVerdict::Started => findings.task_started(&attempt),
-                TaskVerdict::Ended(outcome) => {
+            match self.task_transition(session, &attempt, job, task, is_lost) {
+                TaskTransition::Unchanged => {}
+                TaskTransition::Started => findings.task_started(&attempt),
+                TaskTransition::Ended(outcome) => {
                     findings.task_ended(&attempt, outcome);
                     session.ended_attempts.insert(attempt);
                 }
@@ -146,37 +146,37 @@
         });
     }
 
-    /// `is_lost` if its worker's lease has surely expired.
-    fn judge_task(
+    /// What becomes of a placed task; `is_lost` if its worker's lease has surely expired.
+    fn task_transition(
         &self,
         session: &WorkerSession,
         attempt: &AttemptId,
         job: &JobState,
         task: &TaskState,
         is_lost: bool,
-    ) -> TaskVerdict {
+    ) -> TaskTransition {
         let id = &attempt.task;
         match session.reported(attempt) {
             Some(status) if status.phase == TaskPhase::Exited => {
-                TaskVerdict::Ended(self.outcome_of_exit(status))
+                TaskTransition::Ended(self.outcome_of_exit(status))
             }
             _ if is_lost => {
                 tracing::info!(task = %id, machine = &**self.id, "task lease expired");
-                TaskVerdict::Ended(AttemptOutcome::Lost)
+                TaskTransition::Ended(AttemptOutcome::Lost)
             }
             Some(status) => {
                 if status.phase != TaskPhase::Running || task.record.started_ms.is_some() {
-                    return TaskVerdict::Unchanged;
+                    return TaskTransition::Unchanged;
                 }
                 self.log_start(status, job, task);
-                TaskVerdict::Started
+                TaskTransition::Started
             }
             None => {
                 if !self.is_surely_absent(session, attempt, job, task) {
-                    return TaskVerdict::Unchanged;
+                    return TaskTransition::Unchanged;
                 }
                 tracing::info!(task = %id, machine = &**self.id, "task gone");
-                TaskVerdict::Ended(AttemptOutcome::Lost)
+                TaskTransition::Ended(AttemptOutcome::Lost)
             }
         }
     }
@@ -214,7 +214,7 @@
             || task.record.stop_reason.is_some()
             || task.record.started_ms.is_some();
         let has_ended = session.ended_attempts.contains(attempt);
-        // What a machine that can't be told of it has not started goes elsewhere.
+        // What a machine that receives no commands has not started goes elsewhere.
         let is_unreachable = self.machine.record.unreachable_since_ms.is_some();
         let is_unwanted = is_over || has_ended || is_unreachable;
         is_unwanted && session.proves_absence(self.token) || session.lease_expired(self.token)
--- a/crates/rushwalk/src/shards/reachability.rs
+++ b/crates/rushwalk/src/shards/reachability.rs
@@ -37,9 +37,9 @@
         ShardReachability { heartbeats }
     }
 
-    /// If the owner of a shard says that it hears none of its machines, and enough of these
-    /// turned up at other controllers: the names of those. `machines` are those of the shard
-    /// that should be heard.
+    /// The controllers that receive heartbeats of a shard's machines, if its owner reports the
+    /// shard unreachable and enough machines are misrouted to others. `machines` is the number
+    /// of the shard's machines that should send heartbeats.
     pub(super) fn reachable_from(
         &self,
         shard: &ShardId,
@@ -47,7 +47,7 @@
         machines: usize,
     ) -> Vec<&str> {
         let owner_heartbeat = self.heartbeats.get(owner);
-        if !owner_heartbeat.is_some_and(|heartbeat| says_unreachable(heartbeat, shard)) {
+        if !owner_heartbeat.is_some_and(|heartbeat| reports_unreachable(heartbeat, shard)) {
             return Vec::new();
         }
         let others = self.heartbeats.values().filter(|h| h.member != owner);
@@ -67,7 +67,7 @@
     }
 }
 
-fn says_unreachable(heartbeat: &PeerHeartbeat, shard: &ShardId) -> bool {
+fn reports_unreachable(heartbeat: &PeerHeartbeat, shard: &ShardId) -> bool {
     let mut shards = heartbeat.unreachable_shards.iter();
     shards.any(|unreachable| **unreachable == **shard)
 }
--- a/crates/rushwalk/src/shards/reconciler.rs
+++ b/crates/rushwalk/src/shards/reconciler.rs
@@ -40,28 +40,28 @@
 /// What is kept from tick to tick.
 #[derive(Default)]
 struct TickState {
-    /// When all machines were last looked at.
-    last_full_look: Option<Instant>,
+    /// When all machines were last examined.
+    last_full_scan: Option<Instant>,
     /// The shards that were owned then, with their tokens.
     known: BTreeMap<ShardId, Revision>,
-    /// Machines that are to be looked at.
+    /// Machines to examine.
     changed: BTreeSet<MachineId>,
 }
 
 impl Reconciler {
-    /// Ticks a few times in each round, for good.
+    /// Ticks a few times in each round, until the process ends.
     pub(crate) async fn run(self) {
         let interval = self.context.timing.round / 3;
         let mut tick = TickState::default();
         loop {
             sleep(interval).await;
             if !self.replica.shard_leases_valid() {
-                tick.last_full_look = None;
+                tick.last_full_scan = None;
                 continue;
             }
             let owned = self.gather(&mut tick);
             if !self.commit(owned, &tick.changed).await {
-                tick.last_full_look = None;
+                tick.last_full_scan = None;
                 continue;
             }
             let _timer = self.work_profile.start(WorkKind::Reconcile);
@@ -74,13 +74,13 @@
 
     /// Gathers the machines to look at, and the shards that are owned. What has changed is
     /// looked at in each tick; once a round also what time alone changes: machines that were
-    /// not heard lately, or that have come under another token.
+    /// without contact lately, or that have come under another token.
     fn gather(&self, tick: &mut TickState) -> Vec<OwnedShard> {
         let is_full = tick
-            .last_full_look
+            .last_full_scan
             .is_none_or(|at| at.elapsed() >= self.context.timing.round);
         if is_full {
-            tick.last_full_look = Some(Instant::now());
+            tick.last_full_scan = Some(Instant::now());
         }
         let mut timer = self.work_profile.start(WorkKind::Reconcile);
         let mut state = self.replica.state();
@@ -149,8 +149,8 @@
             outcome => {
                 tracing::debug!(?outcome, "reconciliation not committed");
                 if let CommitOutcome::Conflict = outcome {
-                    let patience = self.context.timing.round;
-                    self.replica.linearizable_read(patience).await;
+                    let max_wait = self.context.timing.round;
+                    self.replica.linearizable_read(max_wait).await;
                 }
                 false
             }
--- a/crates/rushwalk/src/store/committer.rs
+++ b/crates/rushwalk/src/store/committer.rs
@@ -47,7 +47,7 @@
     }
 
     /// How long a commit may wait for the budget before it is rejected.
-    fn patience(self) -> Duration {
+    fn max_wait(self) -> Duration {
         match self {
             WritePriority::UserRequest => Duration::from_millis(400),
             _ => Duration::from_secs(3),
@@ -98,7 +98,7 @@
                 }
                 budget.time_until_available(writes, reserve, now)
             };
-            if started.elapsed() + wait > priority.patience() {
+            if started.elapsed() + wait > priority.max_wait() {
                 return false;
             }
             sleep(wait.max(MIN_BUDGET_WAIT)).await;
--- a/crates/rushwalk/src/store/log_writer.rs
+++ b/crates/rushwalk/src/store/log_writer.rs
@@ -104,8 +104,8 @@
             last = self.committer.commit(batch.transaction, priority).await;
             match &last {
                 CommitOutcome::Committed(revision) => {
-                    let patience = self.context.timing.round * 4;
-                    if !self.replica.wait_for_revision(*revision, patience).await {
+                    let max_wait = self.context.timing.round * 4;
+                    if !self.replica.wait_for_revision(*revision, max_wait).await {
                         return CommitOutcome::Unanswered(Error::Unanswered("not seen yet".into()));
                     }
                 }
--- a/crates/rushwalk/src/store/membership.rs
+++ b/crates/rushwalk/src/store/membership.rs
@@ -64,7 +64,7 @@
             && self.context.uptime() < self.context.timing.member_lease
     }
 
-    /// Keeps the lease and the record, for good.
+    /// Keeps the lease and the record until the process ends.
     pub async fn run(self: Arc<Self>) {
         let interval = self.context.timing.member_lease / 5;
         loop {
@@ -122,8 +122,8 @@
             return NextStep::AfterInterval;
         }
         // The record of the previous process was in the way, and expired just then.
-        let patience = self.context.timing.round / 2;
-        self.replica.linearizable_read(patience).await;
+        let max_wait = self.context.timing.round / 2;
+        self.replica.linearizable_read(max_wait).await;
         NextStep::Soon
     }
 
@@ -138,8 +138,8 @@
         match outcome.await {
             CommitOutcome::LeaseExpired => self.forget_lease(),
             CommitOutcome::Committed(revision) => {
-                let patience = self.context.timing.round * 2;
-                self.replica.wait_for_revision(revision, patience).await;
+                let max_wait = self.context.timing.round * 2;
+                self.replica.wait_for_revision(revision, max_wait).await;
             }
             _ => {}
         }
--- a/crates/rushwalk/src/store/replica.rs
+++ b/crates/rushwalk/src/store/replica.rs
@@ -107,25 +107,25 @@
 
     /// Waits for a read that was sent after this call, so that the state holds all that was
     /// committed before it; false if none succeeded in time.
-    pub async fn linearizable_read(&self, patience: Duration) -> bool {
+    pub async fn linearizable_read(&self, max_wait: Duration) -> bool {
         let called = Instant::now();
         self.read_requested.notify_one();
         let read = self
             .last_read_sent
             .wait_for(|sent| sent.is_some_and(|sent| sent >= called));
-        timeout(patience, read).await.is_ok()
+        timeout(max_wait, read).await.is_ok()
     }
 
     /// Waits until a revision is applied; false if it was not in time.
-    pub async fn wait_for_revision(&self, revision: Revision, patience: Duration) -> bool {
-        let until = Instant::now() + patience;
+    pub async fn wait_for_revision(&self, revision: Revision, max_wait: Duration) -> bool {
+        let until = Instant::now() + max_wait;
         loop {
             let seen = self.last_read_sent.get();
             if self.state().revision >= revision {
                 return true;
             }
             // The watch brings it at once, unless its response is late.
-            let step = (patience / 40).min(until.saturating_duration_since(Instant::now()));
+            let step = (max_wait / 40).min(until.saturating_duration_since(Instant::now()));
             let read = self.last_read_sent.wait_for(|sent| sent != seen);
             if timeout(step, read).await.is_err() {
                 self.read_requested.notify_one();
@@ -137,12 +137,12 @@
     }
 
     /// Whether the owner of a shard may act on its lease, as far as the age of the replica
-    /// tells.
+    /// shows.
     pub fn shard_leases_valid(&self) -> bool {
         self.staleness() < self.context.timing.lease_validity
     }
 
-    /// Whether the state lacks nothing that this process ever saw or did.
+    /// Whether the state holds everything that this process has ever read or committed.
     pub fn is_complete(&self, state: &ClusterState) -> bool {
         has_no_gap(state) && state.revision >= self.last_commit.load(Ordering::Relaxed)
     }
--- a/crates/rushwalk/src/store/replica/follow.rs
+++ b/crates/rushwalk/src/store/replica/follow.rs
@@ -20,7 +20,7 @@
 /// HTTP 410: the store no longer has the changes from where a watch would begin.
 const GONE: u16 = 410;
 
-/// Follows the store by long polls, for good.
+/// Follows the store by long polls until the process ends.
 pub(crate) async fn watch_loop(replica: Arc<Replica>, work_profile: Arc<WorkProfile>) {
     let round = replica.context.timing.round;
     let mut listed = false;
@@ -124,10 +124,10 @@
 ) -> Result<(), Error> {
     while state.revision < target {
         let since = state.revision;
-        let patience = replica.context.timing.round * 4;
+        let timeout = replica.context.timing.round * 4;
         let call = replica
             .client
-            .watch(keys::ROOT, since, CATCH_UP_WAIT, patience);
+            .watch(keys::ROOT, since, CATCH_UP_WAIT, timeout);
         let response = call.await?;
         state
             .apply_watch(since, response, now_ms())
@@ -154,7 +154,7 @@
         state.apply_watch(since, response, now_ms()).is_ok() && !state.has_gap
     };
     drop(timer);
-    // Nobody is answered from a state that lacks a change: it is listed anew.
+    // Nobody is answered from a state that misses a change: it is listed anew.
     if is_complete {
         replica.record_read(sent);
     } else {
@@ -194,10 +194,10 @@
 async fn read_once(replica: &Replica, work_profile: &WorkProfile, gap: Duration) {
     let since = replica.state().revision;
     let sent = Instant::now();
-    let patience = replica.context.timing.round * 2;
+    let timeout = replica.context.timing.round * 2;
     let call = replica
         .client
-        .watch(keys::ROOT, since, Duration::ZERO, patience);
+        .watch(keys::ROOT, since, Duration::ZERO, timeout);
     match call.await {
         Ok(response) => apply(replica, work_profile, since, sent, response),
         Err(error) => {
--- a/crates/rushwalk/src/timing.rs
+++ b/crates/rushwalk/src/timing.rs
@@ -21,7 +21,7 @@
     pub heartbeat: Duration,
     /// The lease of a worker, which ends its tasks when it expires.
     pub worker_lease: Duration,
-    /// A machine that was not heard from for this long is unreachable.
+    /// A machine without contact for this long is unreachable.
     pub unreachable_after: Duration,
     /// Predicted finishes closer than this count as equal.
     pub tie: Duration,
@@ -33,7 +33,7 @@
         let workers = &settings.site.workers;
         let seconds = Duration::from_secs_f64;
         let round_s = (workers.heartbeat_s / 3.0).min(workers.lease_s / 40.0);
-        // With many peers each is sent fewer heartbeats: others tell of it too.
+        // With many peers each is sent fewer heartbeats: the others report on it, too.
         let peer_factor = (settings.peers.len() as f64 / 4.0).max(1.0);
         let member_lease_s = (2.0 * workers.heartbeat_s)
             .min(workers.lease_s / 7.0)
--- a/crates/rushwalk/src/workers.rs
+++ b/crates/rushwalk/src/workers.rs
@@ -1,4 +1,4 @@
-//! What is known of workers from their heartbeats, and what they are told.
+//! Worker sessions: what is known of workers from their heartbeats, and their commands.
 
 pub(crate) mod commands;
 pub(crate) mod heartbeats;
--- a/crates/rushwalk/src/workers/heartbeats.rs
+++ b/crates/rushwalk/src/workers/heartbeats.rs
@@ -16,7 +16,7 @@
 pub(crate) enum HeartbeatReply {
     /// Its owner's response.
     Accepted(HeartbeatResponse),
-    /// Another controller owns its shard; its name, if it is known and lives.
+    /// Another controller owns its shard; its name, if it is known and not failed.
     Redirected(Option<String>),
     /// Its owner is not known here.
     Unavailable,
@@ -27,11 +27,11 @@
 pub(crate) struct HeartbeatHandler {
     /// This process's context.
     pub context: Arc<Context>,
-    /// Tells who owns the worker's shard, and what its machine should do.
+    /// Shows who owns the worker's shard, and what should be on its machine.
     pub replica: Arc<Replica>,
     /// Where heartbeats are kept.
     pub workers: Arc<WorkerRegistry>,
-    /// Tells where to redirect workers.
+    /// Shows where to redirect workers.
     pub peers: Arc<PeerMonitor>,
 }
 
@@ -49,13 +49,13 @@
             return self.redirect(&state, machine_state, heartbeat);
         };
         if heartbeat.token > token {
-            // Another controller owns the shard by a newer lease that we have not seen.
+            // Another controller owns the shard by a newer lease that is not applied here yet.
             self.replica.request_read();
             return HeartbeatReply::Redirected(None);
         }
         let mut sessions = self.workers.sessions();
         sessions.changed.insert(machine.clone());
-        sessions.record_heard(shard);
+        sessions.record_contact(shard);
         let session = sessions.session_mut(machine);
         let is_newer = session.receive(heartbeat, token, &self.context.timing);
         // A late heartbeat is no base for commands, but it may be answered.
@@ -82,7 +82,7 @@
         let shard = &machine.record.shard;
         let lease = state.shard_leases.get(shard);
         let Some(lease) = lease.filter(|l| l.value.owner != self.context.member()) else {
-            // Not entitled to answer, but it shows that the worker lives.
+            // Not entitled to answer, but it shows that the worker is alive.
             if let Some((machine, _)) = state.machines.get_key_value(heartbeat.machine.as_str()) {
                 let mut sessions = self.workers.sessions();
                 let session = sessions.session_mut(machine);
@@ -90,10 +90,10 @@
             }
             return HeartbeatReply::Unavailable;
         };
-        // A machine that has just booted looks for its owner.
-        let settled_ms = 2 * self.context.timing.heartbeat.as_millis() as u64;
+        // A machine that has just booted has yet to discover its owner.
+        let discovery_ms = 2 * self.context.timing.heartbeat.as_millis() as u64;
         let ready_ms = machine.record.ready_ms;
-        if ready_ms.is_some_and(|at| now_ms() > at + settled_ms) {
+        if ready_ms.is_some_and(|at| now_ms() > at + discovery_ms) {
             self.peers
                 .record_misrouted(shard, lease.version, &heartbeat.machine);
         }
--- a/crates/rushwalk/src/workers/registry.rs
+++ b/crates/rushwalk/src/workers/registry.rs
@@ -5,7 +5,7 @@
 use parking_lot::{Mutex, MutexGuard};
 use rushwalk_failure_detector::reachability::{ShardReception, next_heartbeat_due_s};
 use rushwalk_protocol::ids::{MachineId, ShardId};
-use rushwalk_state::{ClusterState, Revision};
+use rushwalk_state::{ClusterState, MachineState, Revision};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use tokio::time::Instant;
 
@@ -33,10 +33,10 @@
 pub struct Sessions {
     /// The sessions by machine.
     pub by_machine: HashMap<MachineId, WorkerSession>,
-    /// Machines from which something was heard since this was last emptied.
+    /// Machines that were in contact since this was last emptied.
     pub changed: BTreeSet<MachineId>,
-    /// When any machine of an owned shard was last heard from.
-    shard_last_heard: HashMap<ShardId, Instant>,
+    /// When any machine of a shard was last in contact.
+    shard_last_contact: HashMap<ShardId, Instant>,
     /// The shards that this process owns.
     owned_shards: HashMap<ShardId, Ownership>,
 }
@@ -47,9 +47,10 @@
         self.by_machine.entry(machine.clone()).or_default()
     }
 
-    /// Notes that a machine of a shard was heard from.
-    pub fn record_heard(&mut self, shard: &ShardId) {
-        self.shard_last_heard.insert(shard.clone(), Instant::now());
+    /// Records contact with a machine of a shard.
+    pub fn record_contact(&mut self, shard: &ShardId) {
+        self.shard_last_contact
+            .insert(shard.clone(), Instant::now());
     }
 
     /// Forgets the machines that no longer exist.
@@ -61,7 +62,7 @@
     }
 }
 
-/// The worker sessions, shared by all that hear or command workers.
+/// The worker sessions, shared by all that receive heartbeats or command workers.
 pub struct WorkerRegistry {
     timing: Timing,
     sessions: Mutex<Sessions>,
@@ -81,7 +82,7 @@
         self.sessions.lock()
     }
 
-    /// Owned shards of whose machines none is heard though some are overdue.
+    /// Owned shards without contact to any machine, though heartbeats of some are overdue.
     pub fn unreachable_shards(
         &self,
         state: &ClusterState,
@@ -108,7 +109,8 @@
         unreachable
     }
 
-    /// Whether no machine of a shard, owned since `since`, is heard though some are overdue.
+    /// Whether there is no contact with any machine of a shard that is owned since `since`,
+    /// though heartbeats of some are overdue.
     fn is_unreachable(
         &self,
         state: &ClusterState,
@@ -116,13 +118,13 @@
         shard: &ShardId,
         since: Instant,
     ) -> bool {
-        let last_heard = sessions.shard_last_heard.get(shard).copied();
-        let last_heard = last_heard.map_or(since, |at| at.max(since));
-        let silent_s = last_heard.elapsed().as_secs_f64();
+        let last_contact = sessions.shard_last_contact.get(shard).copied();
+        let last_contact = last_contact.map_or(since, |at| at.max(since));
+        let silent_s = last_contact.elapsed().as_secs_f64();
         let heartbeat_s = self.timing.heartbeat.as_secs_f64();
         let counts = state.shard_counts(shard);
         let machines = counts.ready.saturating_sub(counts.unreachable);
-        // Few shards are silent at all: the machines of the others aren't looked at.
+        // Few shards are out of contact at all: the machines of the others aren't examined.
         let mut reception = ShardReception {
             machines,
             overdue: machines,
@@ -133,7 +135,8 @@
         }
         let in_shard = state.shards.get(shard).into_iter().flatten();
         let overdue = in_shard.filter(|machine| {
-            is_expected(state, machine) && self.is_overdue(sessions, machine, since)
+            state.machines.get(*machine).is_some_and(expects_heartbeats)
+                && self.is_overdue(sessions, machine, since)
         });
         reception.overdue = overdue.count();
         reception.has_inbound_loss(heartbeat_s)
@@ -142,7 +145,7 @@
     /// Whether a machine's heartbeat is overdue, in a shard that is owned since `since`.
     fn is_overdue(&self, sessions: &Sessions, machine: &MachineId, since: Instant) -> bool {
         let session = sessions.by_machine.get(machine);
-        let heard = session.and_then(|session| session.last_heard);
+        let heard = session.and_then(|session| session.last_contact);
         // Times in seconds from now, which is 0.
         let heard_s = heard.map(|at| -at.elapsed().as_secs_f64());
         let since_s = -since.elapsed().as_secs_f64();
@@ -151,10 +154,7 @@
     }
 }
 
-/// Whether a machine should send heartbeats, as far as its record tells.
-fn is_expected(state: &ClusterState, machine: &MachineId) -> bool {
-    let machine = state.machines.get(machine);
-    machine.is_some_and(|machine| {
-        machine.record.ready_ms.is_some() && machine.record.unreachable_since_ms.is_none()
-    })
+/// Whether a machine should send heartbeats, as far as its record shows.
+pub(crate) fn expects_heartbeats(machine: &MachineState) -> bool {
+    machine.record.ready_ms.is_some() && machine.record.unreachable_since_ms.is_none()
 }
--- a/crates/rushwalk/src/workers/session.rs
+++ b/crates/rushwalk/src/workers/session.rs
@@ -28,7 +28,7 @@
 pub struct ReportedTask {
     /// The task.
     pub task: TaskId,
-    /// What the worker says of it.
+    /// What the worker reports of it.
     pub status: TaskStatus,
 }
 
@@ -89,8 +89,8 @@
     sequence: u64,
     /// The highest fencing token that it has seen.
     pub token: Revision,
-    /// When it was last heard from.
-    pub last_heard: Option<Instant>,
+    /// When its latest heartbeat or response came.
+    pub last_contact: Option<Instant>,
     /// When a heartbeat last came that it sent by itself.
     last_heartbeat: Option<Instant>,
     /// The address at which it takes commands.
@@ -119,7 +119,7 @@
     lease_renewed: Option<Instant>,
     /// The latest response, if it is not known whether it was received.
     unconfirmed: Option<UnconfirmedResponse>,
-    /// Since when no response is received, though the worker is heard.
+    /// Since when the worker receives no response, though its heartbeats come.
     undelivered_since: Option<Instant>,
     /// The last response held starts back, to see what is on the machine without them.
     starts_withheld: bool,
@@ -160,7 +160,7 @@
         {
             self.unresolved_start = None;
         }
-        self.last_heard = Some(Instant::now());
+        self.last_contact = Some(Instant::now());
         self.unreachable_logged = false;
         if !heartbeat.address.is_empty() && self.address != heartbeat.address {
             self.address = heartbeat.address.clone();
@@ -178,7 +178,7 @@
         heartbeat.session > self.session || self.starts_sent_in.is_some_and(is_later)
     }
 
-    /// What a heartbeat tells of the response to the one before it: a worker has one
+    /// What a heartbeat shows of the response to the one before it: a worker has one
     /// heartbeat under way at a time, and shows the token of a response that it received in
     /// the next.
     fn check_unconfirmed(&mut self, heartbeat: &Heartbeat) {
@@ -201,8 +201,8 @@
         }
     }
 
-    /// Whether no response has been received for as long as makes a machine that is not
-    /// heard unreachable.
+    /// Whether the worker has received no response for as long as makes a machine without
+    /// contact unreachable.
     pub fn has_inbound_loss(&self, timing: &Timing) -> bool {
         self.undelivered_since
             .is_some_and(|since| since.elapsed() > timing.unreachable_after)
@@ -219,7 +219,7 @@
             return false;
         };
         let last = self.last_heartbeat.map_or(since, |at| at.max(since));
-        self.last_heard.is_some() && last.elapsed() > timing.worker_lease
+        self.last_contact.is_some() && last.elapsed() > timing.worker_lease
     }
 
     /// Whether a response was lost lately, so that its own address is tried.
@@ -239,7 +239,7 @@
     }
 
     /// Takes in a heartbeat that will be answered under a token; whether it is newer than
-    /// the newest. A copy of one that was answered before tells nothing of that response,
+    /// the newest. A copy of one that was answered before shows nothing of that response,
     /// which may have renewed the lease.
     pub fn receive(&mut self, heartbeat: &Heartbeat, token: Revision, timing: &Timing) -> bool {
         let is_newer = self.apply_heartbeat(heartbeat, HeartbeatSource::Worker);
@@ -291,7 +291,7 @@
     /// response of ours its heartbeats would show the token. So nobody has renewed its lease
     /// since the previous owner could: by now it has expired, and with it the session to
     /// which that owner can have sent anything. What is running there now was started by no
-    /// previous owner, and by us only if a call to its own address is in doubt.
+    /// previous owner, and by us only if a call to its own address is unresolved.
     fn check_lease_expiry(&mut self, token: Revision, timing: &Timing) {
         let Some(since) = self.owned_under(token) else {
             return;
@@ -304,7 +304,7 @@
         }
     }
 
-    /// Whether all that was there before this token is gone, though it is still heard.
+    /// Whether all that was there before this token is gone, though its heartbeats still come.
     pub fn lease_expired(&self, token: Revision) -> bool {
         self.expired_under == Some(token)
     }
@@ -325,7 +325,7 @@
         let last = (since + timing.lease_validity)
             .max(self.lease_renewed.unwrap_or(since))
             .max(unconfirmed.map_or(since, |response| response.sent))
-            .max(self.last_heard.unwrap_or(since));
+            .max(self.last_contact.unwrap_or(since));
         last.elapsed() > surely_expired_after(timing)
     }
 
@@ -333,10 +333,10 @@
     /// a while.
     pub fn heartbeat_overdue(&self, timing: &Timing) -> bool {
         let limit = timing.heartbeat * 13 / 10;
-        self.last_heard.is_none_or(|at| at.elapsed() > limit)
+        self.last_contact.is_none_or(|at| at.elapsed() > limit)
     }
 
-    /// What the newest heartbeat says of an attempt.
+    /// What the newest heartbeat reports of an attempt.
     pub fn reported(&self, attempt: &AttemptId) -> Option<&TaskStatus> {
         let mut tasks = self.tasks.iter();
         let reported =
@@ -346,7 +346,7 @@
 
     /// Whether a task missing from the newest heartbeat is surely not there.
     pub fn proves_absence(&self, token: Revision) -> bool {
-        self.last_heard.is_some()
+        self.last_contact.is_some()
             && self.token == token
             && !self.command_in_flight()
             && self.starts_sent_in.is_none()
--- a/crates/simulator/src/inspect.rs
+++ b/crates/simulator/src/inspect.rs
@@ -134,8 +134,8 @@
         controller
             .replica
             .fencing_token(&state, &row.record.shard)?;
-        let last_heard = sessions.by_machine.get(name)?.last_heard?;
-        (last_heard > since).then(|| name.to_string())
+        let last_contact = sessions.by_machine.get(name)?.last_contact?;
+        (last_contact > since).then(|| name.to_string())
     };
     let names = names.into_iter();
     names
