--- a/crates/failure-detector/src/detector/assessment.rs
+++ b/crates/failure-detector/src/detector/assessment.rs
@@ -32,19 +32,19 @@
     /// Those that have the same suspicion.
     agreeing: usize,
     /// Whether any has heard from it since the suspicion began.
-    heard_since: bool,
+    contact_since: bool,
 }
 
 impl WitnessReports {
     fn majority_agrees(&self) -> bool {
-        self.agreeing > 0 && 2 * self.agreeing > self.witnesses && !self.heard_since
+        self.agreeing > 0 && 2 * self.agreeing > self.witnesses && !self.contact_since
     }
 }
 
 /// What one controller reports of a suspected peer.
 struct WitnessReport {
     agrees: bool,
-    heard_since: bool,
+    contact_since: bool,
 }
 
 impl FailureDetector {
@@ -108,7 +108,7 @@
     fn is_silent_for_long(&self, peer: &PeerState, now_s: f64) -> bool {
         let long_s = SILENCE_LEASE_SHARE * self.config.member_lease_s;
         let suspected_s = now_s - peer.health_since_s;
-        peer.silent_s(now_s).unwrap_or(suspected_s) >= long_s
+        peer.contact_age_s(now_s).unwrap_or(suspected_s) >= long_s
             && peer.since_last_write_s(now_s) >= long_s
     }
 
@@ -130,7 +130,7 @@
             if let Some(report) = self.witness_report(witness, member, peer, now_s) {
                 reports.witnesses += 1;
                 reports.agreeing += usize::from(report.agrees);
-                reports.heard_since |= report.heard_since;
+                reports.contact_since |= report.contact_since;
             }
         }
         reports
@@ -159,14 +159,14 @@
             .observations
             .iter()
             .find(|o| o.member == member && o.incarnation == peer.incarnation)?;
-        let heard_ago_s = observation
+        let contact_age_s = observation
             .contact_age_ms
             .map(|ms| ms as f64 / 1000.0 + age_s);
         let suspected_s = now_s - peer.health_since_s;
-        let silent = heard_ago_s.is_none_or(|ago| ago > SILENT_HEARTBEATS * config.heartbeat_s);
+        let silent = contact_age_s.is_none_or(|ago| ago > SILENT_HEARTBEATS * config.heartbeat_s);
         Some(WitnessReport {
             agrees: observation.refused || silent,
-            heard_since: heard_ago_s.is_some_and(|ago| ago < suspected_s),
+            contact_since: contact_age_s.is_some_and(|ago| ago < suspected_s),
         })
     }
 }
--- a/crates/failure-detector/src/detector/peer.rs
+++ b/crates/failure-detector/src/detector/peer.rs
@@ -87,8 +87,8 @@
         self.lagging_since_s = None;
     }
 
-    /// How long ago it was last heard from, in seconds.
-    pub fn silent_s(&self, now_s: f64) -> Option<f64> {
+    /// Seconds since the last contact with it.
+    pub fn contact_age_s(&self, now_s: f64) -> Option<f64> {
         self.arrivals.last_s().map(|at| now_s - at)
     }
 
--- a/crates/failure-detector/src/detector/queries.rs
+++ b/crates/failure-detector/src/detector/queries.rs
@@ -92,7 +92,9 @@
             peer.incarnation == incarnation
                 && peer.reason == Some(SuspicionReason::LeaseExpired)
                 && now_s - peer.health_since_s < grace_s
-                && peer.silent_s(now_s).is_some_and(|silent| silent < recent_s)
+                && peer
+                    .contact_age_s(now_s)
+                    .is_some_and(|silent| silent < recent_s)
                 && peer.consecutive_refusals == 0
         })
     }
@@ -125,7 +127,7 @@
             member: member.clone(),
             incarnation: peer.incarnation,
             contact_age_ms: peer
-                .silent_s(now_s)
+                .contact_age_s(now_s)
                 .map(|silent| (silent * 1000.0).max(0.0) as u64),
             refused: peer.refuses(self.config.refusal_threshold),
         };
--- a/crates/failure-detector/src/detector/status.rs
+++ b/crates/failure-detector/src/detector/status.rs
@@ -20,7 +20,7 @@
     pub since_s: f64,
     /// The φ of its silence.
     pub phi: f64,
-    /// When it was last heard from.
+    /// Seconds since the last contact with it.
     #[serde(rename = "heard_s")]
     pub contact_age_s: Option<f64>,
     /// Heartbeats that its port refused in a row.
@@ -62,7 +62,7 @@
             reason: peer.reason,
             since_s: round_to_tenths(now_s - peer.health_since_s),
             phi: round_to_tenths(peer.arrivals.phi(now_s, local.recent_lag_s)),
-            contact_age_s: peer.silent_s(now_s).map(round_to_tenths),
+            contact_age_s: peer.contact_age_s(now_s).map(round_to_tenths),
             consecutive_refusals: peer.consecutive_refusals,
             last_write_s: peer.last_write_s.map(|at| round_to_tenths(now_s - at)),
             lag_ms: last.map_or(0, |last| last.heartbeat.lag_ms),
--- a/crates/failure-detector/src/reachability.rs
+++ b/crates/failure-detector/src/reachability.rs
@@ -43,8 +43,8 @@
     pub machines: usize,
     /// Those of them whose next heartbeat is overdue.
     pub overdue: usize,
-    /// How long none of them was heard, in seconds.
-    pub silent_s: f64,
+    /// Seconds since the last contact with any of them.
+    pub contact_age_s: f64,
 }
 
 impl ShardReception {
@@ -53,7 +53,7 @@
     pub fn has_inbound_loss(&self, heartbeat_s: f64) -> bool {
         self.machines > 0
             && self.overdue >= evidence_threshold(self.machines)
-            && self.silent_s > heartbeat_s * MIN_SILENCE_INTERVALS
+            && self.contact_age_s > heartbeat_s * MIN_SILENCE_INTERVALS
     }
 }
 
--- a/crates/failure-detector/src/reachability/tests.rs
+++ b/crates/failure-detector/src/reachability/tests.rs
@@ -2,11 +2,11 @@
 
 use super::*;
 
-fn lost(machines: usize, overdue: usize, silent_s: f64, heartbeat_s: f64) -> bool {
+fn lost(machines: usize, overdue: usize, contact_age_s: f64, heartbeat_s: f64) -> bool {
     let reception = ShardReception {
         machines,
         overdue,
-        silent_s,
+        contact_age_s,
     };
     reception.has_inbound_loss(heartbeat_s)
 }
--- a/crates/protocol/src/peers.rs
+++ b/crates/protocol/src/peers.rs
@@ -59,7 +59,7 @@
     /// The other's process.
     #[serde(rename = "nonce")]
     pub incarnation: u64,
-    /// Milliseconds since that process was heard from; none if never.
+    /// Milliseconds since the last contact with that process; none if never.
     #[serde(rename = "heard_ms")]
     pub contact_age_ms: Option<u64>,
     /// Whether its port refused the latest heartbeats.
--- a/crates/rushwalk/src/shards/outcomes.rs
+++ b/crates/rushwalk/src/shards/outcomes.rs
@@ -110,9 +110,9 @@
     /// Whether heartbeats and responses both arrive: new owners took a machine that receives
     /// no responses to be healthy, and gave it work.
     fn is_reachable_both_ways(&self, session: &WorkerSession) -> bool {
-        let heard = session.last_contact;
+        let last_contact = session.last_contact;
         session.token >= self.token
-            && heard.is_some_and(|at| at.elapsed() <= self.timing.unreachable_after)
+            && last_contact.is_some_and(|at| at.elapsed() <= self.timing.unreachable_after)
     }
 
     fn observe_tasks(&self, session: &mut WorkerSession, findings: &mut HeartbeatFindings) {
--- a/crates/rushwalk/src/workers/registry.rs
+++ b/crates/rushwalk/src/workers/registry.rs
@@ -120,7 +120,7 @@
     ) -> bool {
         let last_contact = sessions.shard_last_contact.get(shard).copied();
         let last_contact = last_contact.map_or(since, |at| at.max(since));
-        let silent_s = last_contact.elapsed().as_secs_f64();
+        let contact_age_s = last_contact.elapsed().as_secs_f64();
         let heartbeat_s = self.timing.heartbeat.as_secs_f64();
         let counts = state.shard_counts(shard);
         let machines = counts.ready.saturating_sub(counts.unreachable);
@@ -128,7 +128,7 @@
         let mut reception = ShardReception {
             machines,
             overdue: machines,
-            silent_s,
+            contact_age_s,
         };
         if !reception.has_inbound_loss(heartbeat_s) {
             return false;
@@ -145,12 +145,12 @@
     /// Whether a machine's heartbeat is overdue, in a shard that is owned since `since`.
     fn is_overdue(&self, sessions: &Sessions, machine: &MachineId, since: Instant) -> bool {
         let session = sessions.by_machine.get(machine);
-        let heard = session.and_then(|session| session.last_contact);
+        let last_contact = session.and_then(|session| session.last_contact);
         // Times in seconds from now, which is 0.
-        let heard_s = heard.map(|at| -at.elapsed().as_secs_f64());
+        let last_contact_s = last_contact.map(|at| -at.elapsed().as_secs_f64());
         let since_s = -since.elapsed().as_secs_f64();
         let heartbeat_s = self.timing.heartbeat.as_secs_f64();
-        next_heartbeat_due_s(heard_s, since_s, heartbeat_s) < 0.0
+        next_heartbeat_due_s(last_contact_s, since_s, heartbeat_s) < 0.0
     }
 }
 
