--- a/crates/rushwalk/src/scheduling/queue.rs
+++ b/crates/rushwalk/src/scheduling/queue.rs
@@ -1,25 +1,29 @@
-//! Jobs with tasks that have no place, in the order in which places are given.
+//! The queue: jobs with tasks that are neither assigned nor completed, in the order in which
+//! they are planned.
 
 use crate::context::Context;
 use crate::scheduler_inputs::{self, seconds};
 use rushwalk_protocol::ids::JobId;
 use rushwalk_protocol::jobs::{Priority, Shape};
+use rushwalk_protocol::settings::Team;
 use rushwalk_scheduler::Resources;
 use rushwalk_scheduler::deadlines::{TaskDurations, latest_useful_start};
-use rushwalk_scheduler::quota::QuotaUsage;
+use rushwalk_scheduler::quota::{QuotaUsage, TasksPerZone};
 use rushwalk_scheduler::retry::{FailureSummary, RetryDecision, retry_decision};
 use rushwalk_scheduler::round::PendingJob;
+use rushwalk_state::cluster_state::QueueKey;
 use rushwalk_state::records::MachineTypes;
 use rushwalk_state::{ClusterState, JobState, UnixMillis};
+use std::sync::Arc;
 
 /// Tasks of one job planned in a round, at least; as many as there are machines on a larger
-/// fleet. The rest comes next.
+/// fleet. The rest is planned in the next rounds.
 pub(super) const MIN_TASKS_PER_JOB: usize = 160;
 
 /// A job that failed on more machines than this may as well be tried on any.
 const MAX_AVOIDED_MACHINES: usize = 3;
 
-/// A job with its place in the order.
+/// A job with the keys of its place in the order.
 struct QueuedJob {
     priority: Priority,
     /// The time by which it should start, in seconds.
@@ -48,6 +52,7 @@
     pending
 }
 
+/// The jobs with tasks that are neither assigned nor completed, in order of arrival.
 fn queued_jobs(
     context: &Context,
     state: &ClusterState,
@@ -55,45 +60,47 @@
     now_ms: UnixMillis,
 ) -> Vec<QueuedJob> {
     let site = &context.settings.site;
-    // Of all unfinished jobs in order of arrival, per team: a job is within its team's
-    // guarantee if it fits into it together with the earlier ones.
+    // Of all unfinished jobs in order of arrival, per team.
     let mut unfinished = QuotaUsage::default();
-    let queue = state.queue.iter();
-    let mut by_arrival: Vec<(UnixMillis, &JobId)> =
-        queue.map(|key| (key.accepted_ms, &key.job)).collect();
-    by_arrival.sort_unstable();
+    let mut by_arrival: Vec<&QueueKey> = state.queue.iter().collect();
+    by_arrival.sort_unstable_by_key(|key| (key.accepted_ms, &key.job));
     let mut queued = Vec::new();
-    for (_, id) in by_arrival {
-        let Some(job) = state.jobs.get(id) else {
+    for key in by_arrival {
+        let Some(job) = state.jobs.get(&key.job) else {
             continue;
         };
-        let spec = &job.spec;
-        let resources = resources_of_job(job);
-        let team = site.teams.iter().find(|team| team.name == spec.team);
-        let guaranteed = team.is_some_and(|team| unfinished.is_within_guarantee(team, resources));
-        unfinished.add(&spec.team, resources);
-        if job.tasks.len() as u32 + job.completed.count() >= spec.tasks {
+        let guaranteed = is_within_guarantee(&site.teams, &mut unfinished, job);
+        if job.tasks.len() as u32 + job.completed.count() >= job.spec.tasks {
             continue;
         }
         let durations = task_durations(state, job, types, guaranteed);
-        let accepted_s = seconds(job.accepted_ms);
-        let start_by_s = latest_useful_start(
-            spec,
-            accepted_s,
-            seconds(now_ms),
-            durations,
-            &site.objectives,
-        );
         queued.push(QueuedJob {
-            priority: spec.priority,
-            start_by_s,
+            priority: job.spec.priority,
+            start_by_s: latest_useful_start(
+                &job.spec,
+                seconds(job.accepted_ms),
+                seconds(now_ms),
+                durations,
+                &site.objectives,
+            ),
             accepted_ms: job.accepted_ms,
-            id: id.clone(),
+            id: key.job.clone(),
         });
     }
     queued
 }
 
+/// Whether a job fits into its team's guarantee together with the unfinished jobs before it;
+/// it is added to these.
+fn is_within_guarantee(teams: &[Team], unfinished: &mut QuotaUsage, job: &JobState) -> bool {
+    let spec = &job.spec;
+    let resources = resources_of_job(job);
+    let team = teams.iter().find(|team| team.name == spec.team);
+    let is_within = team.is_some_and(|team| unfinished.is_within_guarantee(team, resources));
+    unfinished.add(&spec.team, resources);
+    is_within
+}
+
 /// What all tasks of a job use together, as far as quotas count it.
 fn resources_of_job(job: &JobState) -> Resources {
     let task = Resources::of_task(&job.spec);
@@ -105,7 +112,8 @@
     }
 }
 
-/// As if on a machine without the job's image: the type is not known yet.
+/// How long a task takes, as if on a machine of the first type without the job's image: its
+/// machine is not known yet.
 fn task_durations(
     state: &ClusterState,
     job: &JobState,
@@ -133,35 +141,20 @@
     id: &JobId,
 ) -> Option<PendingJob> {
     let job = state.jobs.get(id)?;
-    let spec = job.spec.clone();
-    if spec.shape == Shape::Gang && !job.tasks.is_empty() {
+    if job.spec.shape == Shape::Gang && !job.tasks.is_empty() {
         return None;
     }
     let retry = decide_retry(context, job, now_ms);
     if retry == RetryDecision::BackOff {
         return None;
     }
-    let max_tasks = match (spec.shape, retry) {
-        (Shape::Gang, _) => spec.tasks as usize,
-        (_, RetryDecision::SingleProbe) => 1,
-        _ => MIN_TASKS_PER_JOB.max(state.machines.len()),
-    };
-    let mut pending = scheduler_inputs::pending_job(state, &spec, types);
-    for task in job.tasks.values() {
-        let machine = task.record.machine.as_ref();
-        let machine = machine.and_then(|machine| state.machines.get(machine));
-        let zone = machine.map(|machine| &*machine.record.zone);
-        let zone = zone.unwrap_or_else(|| task.record.shard.zone());
-        pending.tasks_per_zone.add(zone);
-    }
-    let failed_machines = &job.failures.machines;
-    if failed_machines.len() <= MAX_AVOIDED_MACHINES {
-        let avoided = failed_machines.iter().map(|id| id.clone().into());
-        pending.avoided_machines = avoided.collect();
-    }
+    let max_tasks = max_planned_tasks(state, job, retry);
+    let mut pending = scheduler_inputs::pending_job(state, &job.spec, types);
+    pending.tasks_per_zone = tasks_per_zone(state, job);
+    pending.avoided_machines = avoided_machines(job);
     pending.single_probe = retry == RetryDecision::SingleProbe;
     let is_retried = pending.single_probe && job.tasks.is_empty();
-    let machines = failed_machines.len();
+    let machines = job.failures.machines.len();
     pending.tasks = state.unassigned_tasks(id, max_tasks);
     if pending.tasks.is_empty() {
         return None;
@@ -172,6 +165,36 @@
     Some(pending)
 }
 
+/// How many tasks of a job are planned in a round at most.
+fn max_planned_tasks(state: &ClusterState, job: &JobState, retry: RetryDecision) -> usize {
+    match (job.spec.shape, retry) {
+        (Shape::Gang, _) => job.spec.tasks as usize,
+        (_, RetryDecision::SingleProbe) => 1,
+        _ => MIN_TASKS_PER_JOB.max(state.machines.len()),
+    }
+}
+
+/// How many active tasks a job has in each zone.
+fn tasks_per_zone(state: &ClusterState, job: &JobState) -> TasksPerZone {
+    let mut per_zone = TasksPerZone::default();
+    for task in job.tasks.values() {
+        let machine = task.record.machine.as_ref();
+        let machine = machine.and_then(|machine| state.machines.get(machine));
+        let zone = machine.map(|machine| &*machine.record.zone);
+        per_zone.add(zone.unwrap_or_else(|| task.record.shard.zone()));
+    }
+    per_zone
+}
+
+/// The machines on which a job has failed, unless they are too many to be the cause.
+fn avoided_machines(job: &JobState) -> Vec<Arc<str>> {
+    let failed = &job.failures.machines;
+    if failed.len() > MAX_AVOIDED_MACHINES {
+        return Vec::new();
+    }
+    failed.iter().map(|id| id.clone().into()).collect()
+}
+
 fn decide_retry(context: &Context, job: &JobState, now_ms: UnixMillis) -> RetryDecision {
     let mut tasks = job.tasks.values();
     let is_running = tasks.any(|task| task.record.started_ms.is_some());
