--- a/crates/rushwalk/src/capacity/boot_supervision.rs
+++ b/crates/rushwalk/src/capacity/boot_supervision.rs
@@ -47,16 +47,26 @@
     trials: Vec<Trial>,
 }
 
-/// The group with which a machine boots, and its type.
-pub(crate) fn boot_group<'a>(
+/// What the boot time of a machine depends on.
+struct BootClass<'a> {
+    /// The machines with which it is compared.
+    group: BootGroup,
+    machine_type: &'a MachineType,
+}
+
+/// The class of a machine; `None` if its type or zone is not known.
+fn boot_class<'a>(
     machine: &MachineRecord,
     types: &'a MachineTypes,
     zones: &[Arc<str>],
-) -> Option<(BootGroup, &'a MachineType)> {
+) -> Option<BootClass<'a>> {
     let zone = zones.iter().position(|zone| *zone == machine.zone)?;
     let mut all_types = types.types.iter();
     let group = all_types.position(|t| *t.name == *machine.machine_type)?;
-    Some((BootGroup::new(group, zone), &types.types[group]))
+    Some(BootClass {
+        group: BootGroup::new(group, zone),
+        machine_type: &types.types[group],
+    })
 }
 
 impl BootSupervisor {
@@ -73,10 +83,10 @@
         zones: &[Arc<str>],
         now_s: f64,
     ) -> f64 {
-        let remaining_s = boot_group(machine, types, zones).map_or(0.0, |(group, machine_type)| {
+        let remaining_s = boot_class(machine, types, zones).map_or(0.0, |class| {
             let rented_s = seconds(machine.rented_ms);
             self.boot_times
-                .remaining_s(group, machine_type.boot_s, rented_s)
+                .remaining_s(class.group, class.machine_type.boot_s, rented_s)
         });
         now_s + remaining_s.max(1.0)
     }
@@ -95,7 +105,7 @@
         let mut boot_times = BootTimeEstimator::new(now_s, heartbeat_s);
         for machine in state.machines.values() {
             let record = &machine.record;
-            if let Some((group, machine_type)) = boot_group(record, types, zones) {
+            if let Some(class) = boot_class(record, types, zones) {
                 let rented_s = seconds(record.rented_ms);
                 let until_s = record.ready_ms.map_or(now_s, seconds);
                 let sample = BootSample {
@@ -103,7 +113,7 @@
                     elapsed_s: (until_s - rented_s).max(0.0),
                     booted: record.ready_ms.is_some(),
                 };
-                boot_times.add_sample(group, machine_type.boot_s, sample);
+                boot_times.add_sample(class.group, class.machine_type.boot_s, sample);
             }
         }
         self.abandoned
@@ -132,7 +142,11 @@
             if !is_booting_under_an_owner(state, record) {
                 continue;
             }
-            let Some((group, machine_type)) = boot_group(record, types, zones) else {
+            let Some(BootClass {
+                group,
+                machine_type,
+            }) = boot_class(record, types, zones)
+            else {
                 continue;
             };
             let nominal_s = machine_type.boot_s;
@@ -188,15 +202,15 @@
         let now_ms = now_ms();
         for machine in abandoned.iter().filter_map(|id| state.machines.get(id)) {
             let record = &machine.record;
-            if let Some((group, machine_type)) = boot_group(record, types, zones) {
+            if let Some(class) = boot_class(record, types, zones) {
                 let sample = BootSample {
                     rented_s: seconds(record.rented_ms),
                     elapsed_s: seconds(now_ms.saturating_sub(record.rented_ms)),
                     booted: false,
                 };
                 self.abandoned.push(AbandonedBoot {
-                    group,
-                    nominal_s: machine_type.boot_s,
+                    group: class.group,
+                    nominal_s: class.machine_type.boot_s,
                     sample,
                 });
             }
--- a/crates/rushwalk/src/capacity/deletion.rs
+++ b/crates/rushwalk/src/capacity/deletion.rs
@@ -28,15 +28,22 @@
     pub tracker: Arc<RentalTracker>,
 }
 
+/// A machine that is to be deleted.
+struct Candidate<'a> {
+    id: &'a MachineId,
+    /// How many tasks are on it.
+    tasks: usize,
+}
+
 /// Machines for the next call.
-struct Candidates {
+struct DeletionBatch {
     machines: Vec<MachineId>,
-    /// Tasks on them wait to be gone.
+    /// Tasks are on them, which are lost only when their deletion is confirmed.
     is_urgent: bool,
 }
 
 impl Deletion {
-    /// Deletes what is to be deleted: at once if tasks wait to be gone or a call is full,
+    /// Deletes machines until the process ends: at once if tasks are on them or a call is full,
     /// else once in a round, for a call costs the same for one machine as for a hundred.
     pub(crate) async fn run(self) {
         let mut last_call: Option<Instant> = None;
@@ -45,33 +52,38 @@
             if !self.leadership.is_leader() {
                 continue;
             }
-            let candidates = self.candidates();
+            let batch = self.next_batch();
             let waits = last_call.is_some_and(|at| at.elapsed() < self.context.timing.round)
-                && !candidates.is_urgent
-                && candidates.machines.len() < MAX_DELETE;
-            if candidates.machines.is_empty() || waits {
+                && !batch.is_urgent
+                && batch.machines.len() < MAX_DELETE;
+            if batch.machines.is_empty() || waits {
                 continue;
             }
-            self.delete(candidates.machines).await;
+            self.delete(batch.machines).await;
             last_call = Some(Instant::now());
         }
     }
 
-    fn candidates(&self) -> Candidates {
+    fn next_batch(&self) -> DeletionBatch {
         let state = self.replica.state();
         let deleting = state
             .machines
             .iter()
             .filter(|(_, machine)| machine.record.lifecycle == MachineLifecycle::Deleting);
-        // Those on which tasks wait to be gone come first.
-        let mut by_tasks: Vec<(Reverse<usize>, MachineId)> = deleting
-            .map(|(id, machine)| (Reverse(machine.tasks.len()), id.clone()))
+        // Those with the most tasks come first: the tasks can start anew only then.
+        let mut candidates: Vec<Candidate> = deleting
+            .map(|(id, machine)| Candidate {
+                id,
+                tasks: machine.tasks.len(),
+            })
             .collect();
-        by_tasks.sort();
-        let is_urgent = by_tasks.first().is_some_and(|(tasks, _)| tasks.0 > 0);
-        let machines = by_tasks.into_iter().map(|(_, id)| id).take(MAX_DELETE);
-        Candidates {
-            machines: machines.collect(),
+        candidates.sort_by_key(|candidate| (Reverse(candidate.tasks), candidate.id));
+        let is_urgent = candidates
+            .first()
+            .is_some_and(|candidate| candidate.tasks > 0);
+        let machines = candidates.iter().take(MAX_DELETE);
+        DeletionBatch {
+            machines: machines.map(|candidate| candidate.id.clone()).collect(),
             is_urgent,
         }
     }
--- a/crates/rushwalk/src/capacity/inventory.rs
+++ b/crates/rushwalk/src/capacity/inventory.rs
@@ -41,6 +41,13 @@
     pub tracker: Arc<RentalTracker>,
 }
 
+/// What a comparison of the cloud's list with the state leads to.
+struct Reconciliation {
+    /// The leadership under which it is committed.
+    leader: LeaderVersion,
+    mutations: Vec<Mutation>,
+}
+
 impl Inventory {
     /// Reads both from time to time, until the process ends.
     pub(crate) async fn run(self) {
@@ -109,9 +116,9 @@
                 return;
             }
         };
-        if let Some((version, mutations)) = self.compare(&listed) {
+        if let Some(Reconciliation { leader, mutations }) = self.compare(&listed) {
             self.leadership
-                .append(version, &mutations, WritePriority::Maintenance)
+                .append(leader, &mutations, WritePriority::Maintenance)
                 .await;
         }
     }
@@ -132,9 +139,9 @@
         }
     }
 
-    fn compare(&self, listed: &[ListedMachine]) -> Option<(LeaderVersion, Vec<Mutation>)> {
+    fn compare(&self, listed: &[ListedMachine]) -> Option<Reconciliation> {
         let state = self.replica.state();
-        let version = self.leadership.version(&state)?;
+        let leader = self.leadership.version(&state)?;
         let lag_s = self.context.settings.site.cloud.list_lag_s;
         let mut tracked = self.tracker.state();
         // The list lags: a machine just deleted may still be on it.
@@ -169,7 +176,7 @@
                 machines,
             })
         }));
-        Some((version, mutations))
+        Some(Reconciliation { leader, mutations })
     }
 
     /// Whether no rental that is open may have brought a machine.
--- a/crates/rushwalk/src/capacity/scale_in.rs
+++ b/crates/rushwalk/src/capacity/scale_in.rs
@@ -52,6 +52,13 @@
     machine: usize,
 }
 
+/// A machine's timeline before services were planned on it.
+struct SavedTimeline {
+    /// The machine's index in the round.
+    index: usize,
+    timeline: MachineTimeline,
+}
+
 impl ScaleIn {
     /// Drains machines that nothing needs, and deletes drained ones.
     pub(crate) fn remove_idle(
@@ -200,7 +207,7 @@
 /// Plans services on other machines that are in use and have their images; false, and
 /// nothing is planned, if not all find such a place.
 fn move_services(round: &mut SchedulingRound, services: &[PendingJob]) -> bool {
-    let mut before: Vec<(usize, MachineTimeline)> = Vec::new();
+    let mut before: Vec<SavedTimeline> = Vec::new();
     for job in services {
         let Some(choice) = round.best_machine(job, true) else {
             restore(round, before);
@@ -209,7 +216,10 @@
         let is_warm = choice.finish.running_s <= round.planned_time_s + job.overhead_s + 0.1;
         let machine = &round.machines[choice.machine];
         let is_in_use = machine.tasks > 0;
-        before.push((choice.machine, machine.clone()));
+        before.push(SavedTimeline {
+            index: choice.machine,
+            timeline: machine.clone(),
+        });
         round.machines.place(choice.machine, job, &choice.finish);
         if !(is_in_use && is_warm) {
             restore(round, before);
@@ -219,9 +229,9 @@
     true
 }
 
-fn restore(round: &mut SchedulingRound, before: Vec<(usize, MachineTimeline)>) {
-    for (index, machine) in before.into_iter().rev() {
-        round.machines.restore(index, machine);
+fn restore(round: &mut SchedulingRound, before: Vec<SavedTimeline>) {
+    for saved in before.into_iter().rev() {
+        round.machines.restore(saved.index, saved.timeline);
     }
 }
 
--- a/crates/rushwalk/src/connections.rs
+++ b/crates/rushwalk/src/connections.rs
@@ -20,6 +20,7 @@
 
 use parking_lot::Mutex;
 use poem::web::RemoteAddr;
+use serde::Serialize;
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -43,6 +44,15 @@
     connections: Mutex<HashMap<SocketAddr, Arc<ConnectionState>>>,
 }
 
+/// How many connections are open at the public address, as the administration API shows it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
+pub struct ConnectionCounts {
+    /// All open connections.
+    pub open: usize,
+    /// Of the open ones, those of workers.
+    pub workers: usize,
+}
+
 /// What the table knows of one connection.
 struct ConnectionState {
     /// When data was last read or written, in milliseconds since the table was made.
@@ -76,11 +86,14 @@
         self.connections.lock().len() >= self.capacity
     }
 
-    /// How many connections are open, and how many of these are workers'.
-    pub fn count(&self) -> (usize, usize) {
+    /// How many connections are open now.
+    pub fn count(&self) -> ConnectionCounts {
         let connections = self.connections.lock();
         let workers = connections.values().filter(|c| c.is_worker());
-        (connections.len(), workers.count())
+        ConnectionCounts {
+            open: connections.len(),
+            workers: workers.count(),
+        }
     }
 
     /// Notes that a worker has sent a heartbeat from this address.
--- a/crates/rushwalk/src/connections/tests.rs
+++ b/crates/rushwalk/src/connections/tests.rs
@@ -7,6 +7,10 @@
     RemoteAddr(Addr::SocketAddr(SocketAddr::from(([10, 0, 0, 1], port))))
 }
 
+fn counts(open: usize, workers: usize) -> ConnectionCounts {
+    ConnectionCounts { open, workers }
+}
+
 fn closed<T>(connections: &[TrackedConnection<T>]) -> Vec<bool> {
     connections.iter().map(|c| c.state.is_closed()).collect()
 }
@@ -27,7 +31,7 @@
     table.mark_worker(&remote(1));
     table.mark_worker(&remote(2));
     assert!(table.is_full());
-    assert_eq!(table.count(), (4, 2));
+    assert_eq!(table.count(), counts(4, 2));
     table.shed(user_idle, worker_idle);
     assert_eq!(closed(&connections), [false; 4], "all were used lately");
     advance(Duration::from_secs(5)).await;
@@ -47,7 +51,7 @@
     let read = connections[1].read(&mut [0; 8]).await.unwrap();
     assert_eq!(read, 0, "as if the peer had closed it");
     connections.truncate(1);
-    assert_eq!(table.count(), (1, 1));
+    assert_eq!(table.count(), counts(1, 1));
 }
 
 /// Nobody else closes a connection whose peer has failed.
--- a/crates/rushwalk/src/http/admin/status_response.rs
+++ b/crates/rushwalk/src/http/admin/status_response.rs
@@ -1,5 +1,6 @@
 //! The body of `/admin/status`: a controller's own state and what it knows of the cluster.
 
+use crate::connections::ConnectionCounts;
 use crate::controller::Controller;
 use crate::observability::incidents::Incident;
 use crate::observability::work_profile::WorkSummary;
@@ -20,24 +21,47 @@
     member: &'a str,
     #[serde(rename = "leads")]
     is_leader: bool,
+    #[serde(flatten)]
+    cluster: ClusterStatus<'a>,
+    #[serde(flatten)]
+    process: ProcessStatus,
+    #[serde(rename = "standings")]
+    peers: Vec<PeerStatus>,
+    #[serde(rename = "waiting")]
+    pending: Vec<PendingJobs<'a>>,
+}
+
+/// What a controller's replica holds of the cluster's state.
+#[derive(Serialize)]
+struct ClusterStatus<'a> {
     /// The member that leads.
     leader: Option<&'a str>,
     /// The store's revision up to which this controller has applied all changes.
     revision: u64,
-    /// Seconds since the latest successful read of the store was sent.
-    #[serde(rename = "state_age_s")]
-    staleness_s: Option<f64>,
     /// The key of a record that can't be read.
     unreadable: Option<&'a str>,
     snapshot: SnapshotStatus,
-    #[serde(rename = "standings")]
-    peers: Vec<PeerStatus>,
     members: Vec<&'a str>,
     #[serde(rename = "grants")]
     shard_leases: Vec<ShardLeaseStatus<'a>>,
     machines: Vec<MachineGroup<'a>>,
     #[serde(rename = "served")]
     service_counts: &'a ServiceCounts,
+    /// Rental requests under way.
+    rentals: usize,
+    #[serde(rename = "jobs_active")]
+    active_jobs: usize,
+    /// Jobs that have active tasks.
+    #[serde(rename = "jobs_live")]
+    jobs_with_tasks: usize,
+}
+
+/// The load of a controller's process, and the incidents that it observed.
+#[derive(Serialize)]
+struct ProcessStatus {
+    /// Seconds since the latest successful read of the store was sent.
+    #[serde(rename = "state_age_s")]
+    staleness_s: Option<f64>,
     /// Seconds since the start of the process.
     #[serde(rename = "up_s")]
     uptime_s: f64,
@@ -51,15 +75,6 @@
     last_incident: Option<Incident>,
     connections: ConnectionCounts,
     work: WorkSummary,
-    /// Rental requests under way.
-    rentals: usize,
-    #[serde(rename = "jobs_active")]
-    active_jobs: usize,
-    /// Jobs that have active tasks.
-    #[serde(rename = "jobs_live")]
-    jobs_with_tasks: usize,
-    #[serde(rename = "waiting")]
-    pending: Vec<PendingJobs<'a>>,
 }
 
 /// The snapshot that the store holds, and the log since.
@@ -118,14 +133,6 @@
     counts: MachineCounts,
 }
 
-/// Connections at the public address.
-#[derive(Serialize)]
-struct ConnectionCounts {
-    open: usize,
-    /// Of the open ones, those of workers.
-    workers: usize,
-}
-
 /// The jobs that are pending for one reason.
 #[derive(Serialize)]
 struct PendingJobs<'a> {
@@ -145,47 +152,56 @@
         health: LocalHealth,
     ) -> StatusResponse<'a> {
         let is_leader = controller.leadership.version(state).is_some();
-        let process = controller.context.process_times();
-        let (open, workers) = controller.connections.count();
-        let incidents = controller.incidents.lock().summary();
+        let now_s = controller.context.uptime_s();
         StatusResponse {
             member: controller.context.member(),
             is_leader,
-            leader: state
-                .leader
-                .as_ref()
-                .map(|leader| leader.value.member.as_str()),
+            cluster: ClusterStatus::new(state),
+            process: ProcessStatus::new(controller),
+            peers: controller.peers.detector().statuses(now_s, health),
+            pending: if is_leader {
+                pending_jobs(controller)
+            } else {
+                // Only the leader schedules, so only it knows why a job is pending.
+                Vec::new()
+            },
+        }
+    }
+}
+
+impl<'a> ClusterStatus<'a> {
+    fn new(state: &'a ClusterState) -> ClusterStatus<'a> {
+        let leader = state.leader.as_ref();
+        ClusterStatus {
+            leader: leader.map(|leader| leader.value.member.as_str()),
             revision: state.revision,
-            staleness_s: controller
-                .replica
-                .last_read_age()
-                .map(|age| age.as_secs_f64()),
             unreadable: state.unreadable.as_deref(),
             snapshot: SnapshotStatus::new(state),
-            peers: controller
-                .peers
-                .detector()
-                .statuses(controller.context.uptime_s(), health),
             members: state.members.keys().map(String::as_str).collect(),
             shard_leases: shard_lease_statuses(state),
             machines: machine_groups(state),
             service_counts: &state.service_counts,
+            rentals: state.rentals.len(),
+            active_jobs: state.queue.len(),
+            jobs_with_tasks: state.jobs_with_tasks.len(),
+        }
+    }
+}
+
+impl ProcessStatus {
+    fn new(controller: &Controller) -> ProcessStatus {
+        let process = controller.context.process_times();
+        let read_age = controller.replica.last_read_age();
+        let incidents = controller.incidents.lock().summary();
+        ProcessStatus {
+            staleness_s: read_age.map(|age| age.as_secs_f64()),
             uptime_s: process.up_s,
             busy_s: process.busy_s,
             lag_ms: controller.runtime_lag.recent_lag().as_millis() as u64,
             incident: incidents.current,
             last_incident: incidents.last,
-            connections: ConnectionCounts { open, workers },
+            connections: controller.connections.count(),
             work: controller.work_profile.summary(),
-            rentals: state.rentals.len(),
-            active_jobs: state.queue.len(),
-            jobs_with_tasks: state.jobs_with_tasks.len(),
-            pending: if is_leader {
-                pending_jobs(controller)
-            } else {
-                // Only the leader schedules, so only it knows why a job is pending.
-                Vec::new()
-            },
         }
     }
 }
--- a/crates/rushwalk/src/http/admission/tests.rs
+++ b/crates/rushwalk/src/http/admission/tests.rs
@@ -73,7 +73,7 @@
     for _ in 0..3 {
         accepted.push(listener.acceptor.accept().await.unwrap().0);
     }
-    assert_eq!(listener.connections.count().0, 3);
+    assert_eq!(listener.connections.count().open, 3);
     let mut next = std::pin::pin!(listener.acceptor.accept());
     let early = tokio::time::timeout(Duration::from_millis(30), &mut next).await;
     assert!(early.is_err(), "a fourth was accepted");
@@ -104,9 +104,9 @@
     let mut listener = TestListener::bind(100, 60_000).await;
     let mut expired = TcpStream::connect(listener.address).await.unwrap();
     listener.acceptor.fill_queue().await.unwrap();
-    assert_eq!(listener.connections.count().0, 1);
+    assert_eq!(listener.connections.count().open, 1);
     listener.acceptor.limits.queue_timeout = Duration::ZERO;
     listener.acceptor.fill_queue().await.unwrap();
-    assert_eq!(listener.connections.count().0, 0);
+    assert_eq!(listener.connections.count().open, 0);
     assert_eq!(expired.read(&mut [0; 8]).await.unwrap(), 0);
 }
--- a/crates/rushwalk/src/http/user_requests.rs
+++ b/crates/rushwalk/src/http/user_requests.rs
@@ -60,6 +60,14 @@
     reason: String,
 }
 
+/// Whether a job can ever run.
+enum Satisfiability {
+    /// It can.
+    Satisfiable,
+    /// Not known yet: the machine types were not read.
+    Unknown,
+}
+
 impl UserRequests {
     /// A submission.
     pub(super) async fn submit(&self, body: Vec<u8>) -> Response {
@@ -190,8 +198,10 @@
         drop(timer);
         let checked = match parsed {
             Ok(spec) => match self.check(&spec) {
-                Ok(Some(())) => Ok(spec),
-                Ok(None) => return self.unavailable("the machine types are not known yet"),
+                Ok(Satisfiability::Satisfiable) => Ok(spec),
+                Ok(Satisfiability::Unknown) => {
+                    return self.unavailable("the machine types are not known yet");
+                }
                 Err(rejection) => Err(rejection),
             },
             Err(malformed) => Err(Rejection {
@@ -209,10 +219,14 @@
         self.replica.state().knows_job(job)
     }
 
-    /// Checks that a job can ever run, and be stored; `None` if that is not known yet.
-    fn check(&self, spec: &JobSpec) -> Result<Option<()>, Rejection> {
+    /// Checks that a job can ever run, and be stored.
+    ///
+    /// # Errors
+    ///
+    /// A rejection with status 422 if it can't.
+    fn check(&self, spec: &JobSpec) -> Result<Satisfiability, Rejection> {
         let Some(types) = self.replica.state().machine_types.clone() else {
-            return Ok(None);
+            return Ok(Satisfiability::Unknown);
         };
         let site = &self.context.settings.site;
         let unsatisfiable = |reason: String| Rejection {
@@ -224,7 +238,7 @@
         self.log
             .check_size(spec)
             .map_err(|reason| unsatisfiable(reason.to_string()))?;
-        Ok(Some(()))
+        Ok(Satisfiability::Satisfiable)
     }
 
     /// Rejects a submission, unless it was accepted by another controller, with another
--- a/crates/rushwalk/src/leadership/snapshot_writer.rs
+++ b/crates/rushwalk/src/leadership/snapshot_writer.rs
@@ -48,6 +48,12 @@
     manifest_version: Revision,
 }
 
+/// A draft with the mutations that its chunks will hold.
+struct DraftContents {
+    draft: Draft,
+    mutations: Vec<Mutation>,
+}
+
 /// What became of a transaction with chunks.
 enum ChunkOutcome {
     Written,
@@ -75,7 +81,11 @@
     /// Chunks first, in the keys that are not in use, then the manifest that makes them
     /// count. All on condition of the leader key: of two leaders one fails.
     async fn write(&self) {
-        let Some((mut draft, mutations)) = self.begin() else {
+        let Some(DraftContents {
+            mut draft,
+            mutations,
+        }) = self.begin()
+        else {
             return;
         };
         let chunks = self.pack(mutations).await;
@@ -85,7 +95,7 @@
         }
     }
 
-    fn begin(&self) -> Option<(Draft, Vec<Mutation>)> {
+    fn begin(&self) -> Option<DraftContents> {
         let _timer = self.work_profile.start(WorkKind::Snapshot);
         let state = self.replica.state();
         let draft = Draft {
@@ -97,7 +107,10 @@
             },
             manifest_version: state.key_version(keys::SNAPSHOT_MANIFEST),
         };
-        Some((draft, state.to_mutations()))
+        Some(DraftContents {
+            draft,
+            mutations: state.to_mutations(),
+        })
     }
 
     /// Packs the mutations, which are of one moment; that takes longer than others on this
--- a/crates/rushwalk/src/lib.rs
+++ b/crates/rushwalk/src/lib.rs
@@ -12,6 +12,7 @@
 pub mod controller;
 mod failure_detection;
 pub mod http;
+mod job_attempt;
 mod leadership;
 pub mod observability;
 pub mod observable;
--- a/crates/rushwalk/src/reporting/usage.rs
+++ b/crates/rushwalk/src/reporting/usage.rs
@@ -35,7 +35,7 @@
     fn log_time(&self) {
         let times = self.context.process_times();
         let (up_s, busy_s) = (times.up_s, times.busy_s);
-        let (connections, workers) = self.connections.count();
+        let connections = self.connections.count();
         let recent_lag_ms = self.runtime_lag.recent_lag().as_millis() as u64;
         let mean_lag_ms = self.runtime_lag.mean_lag().as_millis() as u64;
         let work = self.work_profile.summary();
@@ -44,8 +44,8 @@
             busy_s,
             recent_lag_ms,
             mean_lag_ms,
-            connections,
-            workers,
+            connections = connections.open,
+            workers = connections.workers,
             %work,
             "time spent"
         );
--- a/crates/rushwalk/src/scheduling/assignment.rs
+++ b/crates/rushwalk/src/scheduling/assignment.rs
@@ -34,7 +34,18 @@
             round.usage.add(&job.spec.team, resources);
         }
     }
-    let mut last: Option<(&JobId, PendingJob)> = None;
+    reserve_unplaced(state, types, round);
+}
+
+/// A job whose tasks are being reserved.
+struct ReservedJob<'a> {
+    id: &'a JobId,
+    pending: PendingJob,
+}
+
+/// Plans places for assigned tasks that are not placed yet.
+fn reserve_unplaced(state: &ClusterState, types: &MachineTypes, round: &mut SchedulingRound) {
+    let mut last: Option<ReservedJob> = None;
     for id in &state.unplaced {
         let Some((job, task)) = state.task(id) else {
             continue;
@@ -43,10 +54,11 @@
             continue;
         };
         let pending = match &last {
-            Some((last_id, pending)) if **last_id == id.job => pending,
+            Some(reserved) if *reserved.id == id.job => &reserved.pending,
             _ => {
                 let pending = scheduler_inputs::pending_job(state, &job.spec, types);
-                &last.insert((&id.job, pending)).1
+                let id = &id.job;
+                &last.insert(ReservedJob { id, pending }).pending
             }
         };
         reserve_hinted_machine(round, pending, hint);
--- a/crates/rushwalk/src/scheduling/expected_demand.rs
+++ b/crates/rushwalk/src/scheduling/expected_demand.rs
@@ -31,6 +31,21 @@
     pub(super) job: PendingJob,
 }
 
+/// A class of jobs.
+struct JobClass<'a> {
+    /// Its latest arrivals, in order.
+    arrivals: &'a VecDeque<Arrival>,
+    /// The job that arrived last.
+    spec: &'a JobSpec,
+}
+
+/// Tasks of a service that may have to start anew.
+struct ReturningTasks {
+    /// In how many seconds.
+    in_s: f64,
+    tasks: Vec<u32>,
+}
+
 /// Arrivals to be expected while a machine would boot, and services that may come back:
 /// they are planned as what waits is, so that they find a warm machine.
 pub(super) fn expected_jobs(
@@ -39,14 +54,8 @@
     types: &MachineTypes,
     now_ms: UnixMillis,
 ) -> Vec<ExpectedJob> {
-    let mut classes: Vec<(&VecDeque<Arrival>, &JobSpec)> = state
-        .arrivals
-        .values()
-        .filter_map(|arrivals| Some((arrivals, &*arrivals.back()?.spec)))
-        .collect();
-    classes.sort_by_key(|(_, spec)| (spec.priority, spec.class.clone()));
     let mut expected = Vec::new();
-    for (arrivals, spec) in classes {
+    for JobClass { arrivals, spec } in job_classes(state) {
         let rate = recent_arrival_rate(arrivals, now_ms);
         let lead_s = slowest_boot_s(spec, types);
         let deviations = deviations(context, spec);
@@ -63,6 +72,17 @@
     expected
 }
 
+/// The classes of which jobs have arrived, the most urgent first.
+fn job_classes(state: &ClusterState) -> Vec<JobClass<'_>> {
+    let with_arrivals = state.arrivals.values().filter_map(|arrivals| {
+        let spec = &arrivals.back()?.spec;
+        Some(JobClass { arrivals, spec })
+    });
+    let mut classes: Vec<JobClass> = with_arrivals.collect();
+    classes.sort_by_key(|class| (class.spec.priority, class.spec.class.clone()));
+    classes
+}
+
 /// Arrivals a second.
 fn recent_arrival_rate(arrivals: &VecDeque<Arrival>, now_ms: UnixMillis) -> f64 {
     let first_ms = arrivals.front().map_or(now_ms, |first| first.accepted_ms);
@@ -114,7 +134,7 @@
         .as_secs_f64();
     let boot_times = types.types.iter().map(|t| t.boot_s);
     let lead_s = boot_times.fold(0.0, f64::max) * LEAD_BOOT_TIMES;
-    let mut by_job: BTreeMap<&JobId, (f64, Vec<u32>)> = BTreeMap::new();
+    let mut by_job: BTreeMap<&JobId, ReturningTasks> = BTreeMap::new();
     for machine in state.machines.values() {
         let Some(unreachable_since_ms) = machine.record.unreachable_since_ms else {
             continue;
@@ -129,15 +149,21 @@
                 job.phase == JobPhase::Active && job.spec.shape == Shape::Service
             });
             if is_service {
-                let entry = by_job.entry(&id.job).or_insert((in_s.max(0.0), Vec::new()));
-                entry.1.push(id.index);
+                let returning = by_job.entry(&id.job).or_insert_with(|| ReturningTasks {
+                    in_s: in_s.max(0.0),
+                    tasks: Vec::new(),
+                });
+                returning.tasks.push(id.index);
             }
         }
     }
-    let expected = by_job.into_iter().filter_map(|(id, (in_s, tasks))| {
+    let expected = by_job.into_iter().filter_map(|(id, returning)| {
         let mut job = scheduler_inputs::pending_job(state, &state.jobs.get(id)?.spec, types);
-        job.tasks = tasks;
-        Some(ExpectedJob { in_s, job })
+        job.tasks = returning.tasks;
+        Some(ExpectedJob {
+            in_s: returning.in_s,
+            job,
+        })
     });
     expected.collect()
 }
--- a/crates/rushwalk/src/scheduling/maintenance.rs
+++ b/crates/rushwalk/src/scheduling/maintenance.rs
@@ -2,14 +2,13 @@
 //! quarantined or deleted.
 
 use crate::context::Context;
+use crate::job_attempt::JobAttempt;
 use crate::scheduler_inputs::{predicted_end, seconds};
 use rushwalk_protocol::ids::{JobId, MachineId};
 use rushwalk_protocol::jobs::Shape;
 use rushwalk_state::mutation::{SetLifecycle, StopTasks, UnassignTasks, in_batches};
 use rushwalk_state::records::{JobPhase, MachineLifecycle, MachineRecord, StopReason};
-use rushwalk_state::{
-    ClusterState, JobState, MachineState, Mutation, Revision, TaskState, UnixMillis,
-};
+use rushwalk_state::{ClusterState, JobState, MachineState, Mutation, TaskState, UnixMillis};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -34,14 +33,18 @@
     Unreachable,
 }
 
-/// One attempt at some tasks of a job.
-type JobAttempt = (JobId, Revision);
+/// An attempt that is stopped, and why.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
+struct StoppedAttempt {
+    attempt: JobAttempt,
+    reason: StopReason,
+}
 
 /// Tasks and machines that maintenance changes.
 #[derive(Default)]
 struct Changes {
     unassigned: BTreeMap<JobAttempt, Vec<u32>>,
-    stopped: BTreeMap<(JobAttempt, StopReason), Vec<u32>>,
+    stopped: BTreeMap<StoppedAttempt, Vec<u32>>,
     quarantined: Vec<MachineId>,
     deleted: Vec<MachineId>,
 }
@@ -96,8 +99,15 @@
         if let Some((_, task)) = state.task(id)
             && now_ms > task.record.scheduled_ms + stuck_ms
         {
-            let key = (id.job.clone(), task.record.attempt);
-            changes.unassigned.entry(key).or_default().push(id.index);
+            let attempt = JobAttempt {
+                job: id.job.clone(),
+                attempt: task.record.attempt,
+            };
+            changes
+                .unassigned
+                .entry(attempt)
+                .or_default()
+                .push(id.index);
         }
     }
 }
@@ -190,13 +200,17 @@
 
 impl Changes {
     fn stop(&mut self, job: &JobId, task: &TaskState, index: u32, reason: StopReason) {
-        let key = ((job.clone(), task.record.attempt), reason);
-        self.stopped.entry(key).or_default().push(index);
+        let attempt = JobAttempt {
+            job: job.clone(),
+            attempt: task.record.attempt,
+        };
+        let stopped = StoppedAttempt { attempt, reason };
+        self.stopped.entry(stopped).or_default().push(index);
     }
 
     fn into_mutations(self) -> Vec<Mutation> {
         let mut mutations = Vec::new();
-        for ((job, attempt), tasks) in &self.unassigned {
+        for (JobAttempt { job, attempt }, tasks) in &self.unassigned {
             mutations.extend(in_batches(tasks, |tasks| {
                 Mutation::Unassign(UnassignTasks {
                     job: job.clone(),
@@ -205,11 +219,11 @@
                 })
             }));
         }
-        for (((job, attempt), reason), tasks) in &self.stopped {
+        for (StoppedAttempt { attempt, reason }, tasks) in &self.stopped {
             mutations.extend(in_batches(tasks, |tasks| {
                 Mutation::Stop(StopTasks {
-                    job: job.clone(),
-                    attempt: *attempt,
+                    job: attempt.job.clone(),
+                    attempt: attempt.attempt,
                     reason: *reason,
                     tasks,
                 })
--- a/crates/rushwalk/src/scheduling/usage.rs
+++ b/crates/rushwalk/src/scheduling/usage.rs
@@ -4,7 +4,15 @@
 use rushwalk_state::records::MachineTypes;
 use std::collections::BTreeMap;
 
-/// How machines of one type are used.
+/// A kind of machine; the order is that of the log lines.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct MachineKind {
+    /// The index of its type.
+    group: usize,
+    spot: bool,
+}
+
+/// How machines of one kind are used.
 #[derive(Default)]
 struct Usage {
     machines: usize,
@@ -19,16 +27,20 @@
     if !tracing::enabled!(tracing::Level::DEBUG) {
         return;
     }
-    let mut by_kind: BTreeMap<(usize, bool), Usage> = BTreeMap::new();
+    let mut by_kind: BTreeMap<MachineKind, Usage> = BTreeMap::new();
     for machine in round.machines.iter() {
-        let usage = by_kind.entry((machine.group, machine.spot)).or_default();
+        let kind = MachineKind {
+            group: machine.group,
+            spot: machine.spot,
+        };
+        let usage = by_kind.entry(kind).or_default();
         usage.machines += 1;
         usage.ready += usize::from(machine.up);
         usage.idle += usize::from(machine.tasks == 0);
         let free = machine.free_at(round.planned_time_s);
         usage.used += 1.0 - free.least_share_of(&machine.capacity);
     }
-    for ((group, spot), usage) in by_kind {
+    for (MachineKind { group, spot }, usage) in by_kind {
         let kind = &types.types[group].name;
         let Usage {
             machines,
--- a/crates/rushwalk/src/shards/findings.rs
+++ b/crates/rushwalk/src/shards/findings.rs
@@ -1,28 +1,20 @@
 //! What heartbeats show of several machines and tasks, combined into few mutations.
 
-use rushwalk_protocol::ids::{AttemptId, JobId, MachineId};
+use crate::job_attempt::JobAttempt;
+use rushwalk_protocol::ids::{AttemptId, MachineId};
 use rushwalk_state::mutation::{
     MachineAddress, MachinesReady, MachinesUnreachable, ReclaimNotice, TasksEnded, TasksStarted,
     in_batches,
 };
 use rushwalk_state::records::AttemptOutcome;
-use rushwalk_state::{Mutation, Revision, UnixMillis};
+use rushwalk_state::{Mutation, UnixMillis};
 use std::collections::BTreeMap;
 
-/// One attempt at some tasks of a job.
+/// An attempt that ended, and how.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-struct JobAttempt {
-    job: JobId,
-    attempt: Revision,
-}
-
-impl JobAttempt {
-    fn of(attempt: &AttemptId) -> JobAttempt {
-        JobAttempt {
-            job: attempt.task.job.clone(),
-            attempt: attempt.attempt,
-        }
-    }
+struct EndedAttempt {
+    attempt: JobAttempt,
+    outcome: AttemptOutcome,
 }
 
 /// What heartbeats show and the state does not hold yet.
@@ -33,7 +25,7 @@
     reachable: Vec<MachineId>,
     reclaimed: Vec<ReclaimNotice>,
     started: BTreeMap<JobAttempt, Vec<u32>>,
-    ended: BTreeMap<(JobAttempt, AttemptOutcome), Vec<u32>>,
+    ended: BTreeMap<EndedAttempt, Vec<u32>>,
 }
 
 impl HeartbeatFindings {
@@ -71,8 +63,11 @@
 
     /// A task is surely off its machine.
     pub(super) fn task_ended(&mut self, attempt: &AttemptId, outcome: AttemptOutcome) {
-        let key = (JobAttempt::of(attempt), outcome);
-        let tasks = self.ended.entry(key).or_default();
+        let ended = EndedAttempt {
+            attempt: JobAttempt::of(attempt),
+            outcome,
+        };
+        let tasks = self.ended.entry(ended).or_default();
         tasks.push(attempt.task.index);
     }
 
@@ -103,11 +98,11 @@
                 })
             }));
         }
-        for ((JobAttempt { job, attempt }, outcome), tasks) in &self.ended {
+        for (EndedAttempt { attempt, outcome }, tasks) in &self.ended {
             mutations.extend(in_batches(tasks, |tasks| {
                 Mutation::Ended(TasksEnded {
-                    job: job.clone(),
-                    attempt: *attempt,
+                    job: attempt.job.clone(),
+                    attempt: attempt.attempt,
                     ended_ms: now_ms,
                     outcome: *outcome,
                     tasks,
--- a/crates/rushwalk/src/shards/placement.rs
+++ b/crates/rushwalk/src/shards/placement.rs
@@ -2,8 +2,9 @@
 
 use crate::clock::now_ms;
 use crate::context::Context;
+use crate::job_attempt::JobAttempt;
 use crate::scheduler_inputs::{self, TimelineInputs};
-use rushwalk_protocol::ids::{JobId, MachineId, ShardId, TaskId};
+use rushwalk_protocol::ids::{MachineId, ShardId, TaskId};
 use rushwalk_protocol::jobs::{Priority, Shape};
 use rushwalk_scheduler::round::SchedulingRound;
 use rushwalk_state::mutation::{PlaceTasks, TaskOnMachine, in_batches};
@@ -21,7 +22,7 @@
 }
 
 /// Placed tasks, by job and attempt.
-type Placements = BTreeMap<(JobId, Revision), Vec<TaskOnMachine>>;
+type Placements = BTreeMap<JobAttempt, Vec<TaskOnMachine>>;
 
 /// Picks machines for the tasks assigned to our shards.
 pub(super) fn placements(
@@ -50,7 +51,7 @@
         }
     }
     let mut mutations = Vec::new();
-    for ((job, attempt), tasks) in &placements {
+    for (JobAttempt { job, attempt }, tasks) in &placements {
         mutations.extend(in_batches(tasks, |tasks| {
             Mutation::Place(PlaceTasks {
                 job: job.clone(),
@@ -139,7 +140,10 @@
         let Some(task) = job.tasks.get(&assignment.task) else {
             continue;
         };
-        let key = (id.clone(), task.record.attempt);
+        let key = JobAttempt {
+            job: id.clone(),
+            attempt: task.record.attempt,
+        };
         let machine = MachineId::from(round.machines[assignment.machine].name.clone());
         let placed = TaskOnMachine {
             task: assignment.task,
--- a/crates/rushwalk/src/shards/reconciler.rs
+++ b/crates/rushwalk/src/shards/reconciler.rs
@@ -18,8 +18,12 @@
 use std::sync::Arc;
 use tokio::time::{Instant, sleep};
 
-/// An owned shard with its fencing token.
-type OwnedShard = (ShardId, Revision);
+/// An owned shard.
+struct OwnedShard {
+    shard: ShardId,
+    /// Its fencing token.
+    token: Revision,
+}
 
 /// Does the work of the owner of shards.
 pub(crate) struct Reconciler {
@@ -94,7 +98,10 @@
             tick.known.clone_from(&owned);
         }
         timer.add_items(tick.changed.len());
-        owned.into_iter().collect()
+        let owned = owned.into_iter();
+        owned
+            .map(|(shard, token)| OwnedShard { shard, token })
+            .collect()
     }
 
     fn add_due_machines(
@@ -136,9 +143,9 @@
         }
         let preconditions: Vec<Precondition> = shards
             .iter()
-            .map(|(shard, token)| Precondition {
-                key: keys::shard_lease(shard),
-                version: *token,
+            .map(|owned| Precondition {
+                key: keys::shard_lease(&owned.shard),
+                version: owned.token,
             })
             .collect();
         let append = self
@@ -164,8 +171,8 @@
         // Those still ours, as far as is known by now.
         let owned: BTreeMap<ShardId, Revision> = shards
             .iter()
-            .filter(|(shard, token)| self.replica.fencing_token(&state, shard) == Some(*token))
-            .cloned()
+            .filter(|owned| self.replica.fencing_token(&state, &owned.shard) == Some(owned.token))
+            .map(|owned| (owned.shard.clone(), owned.token))
             .collect();
         let timing = &self.context.timing;
         let mut mutations = outcomes(&state, &mut sessions, &owned, changed, timing);
