--- a/crates/rushwalk/src/capacity/boot_supervision.rs
+++ b/crates/rushwalk/src/capacity/boot_supervision.rs
@@ -31,14 +31,20 @@
     at: Instant,
 }
 
-/// A machine that is late as those rented with it are.
-struct LateMachine<'a> {
+/// A machine that boots.
+struct BootingMachine<'a> {
     group: BootGroup,
     rented_ms: UnixMillis,
     id: &'a MachineId,
     nominal_s: f64,
 }
 
+impl BootingMachine<'_> {
+    fn lateness(&self, boot_times: &BootTimeEstimator) -> BootLateness {
+        boot_times.lateness(self.group, self.nominal_s, seconds(self.rented_ms))
+    }
+}
+
 /// Learns how machines boot, and abandons those that don't become ready.
 #[derive(Default)]
 pub(crate) struct BootSupervisor {
@@ -142,23 +148,18 @@
             if !is_booting_under_an_owner(state, record) {
                 continue;
             }
-            let Some(BootClass {
-                group,
-                machine_type,
-            }) = boot_class(record, types, zones)
-            else {
+            let Some(class) = boot_class(record, types, zones) else {
                 continue;
             };
-            let nominal_s = machine_type.boot_s;
-            let rented_s = seconds(record.rented_ms);
-            match self.boot_times.lateness(group, nominal_s, rented_s) {
+            let booting = BootingMachine {
+                group: class.group,
+                rented_ms: record.rented_ms,
+                id,
+                nominal_s: class.machine_type.boot_s,
+            };
+            match booting.lateness(&self.boot_times) {
                 BootLateness::OnTime => {}
-                BootLateness::LateLikeOthers => late_like_others.push(LateMachine {
-                    group,
-                    rented_ms: record.rented_ms,
-                    id,
-                    nominal_s,
-                }),
+                BootLateness::LateLikeOthers => late_like_others.push(booting),
                 BootLateness::ReplaceNow => {
                     abandoned.insert(id.clone());
                 }
@@ -173,7 +174,7 @@
 
     /// Abandons some of the machines that are all late: if work waits, another is worth a
     /// try now and then.
-    fn try_others(&mut self, mut late: Vec<LateMachine>, abandoned: &mut BTreeSet<MachineId>) {
+    fn try_others(&mut self, mut late: Vec<BootingMachine>, abandoned: &mut BTreeSet<MachineId>) {
         late.sort_by_key(|machine| (machine.group, machine.rented_ms));
         for machines in late.chunk_by(|a, b| a.group == b.group) {
             let (group, nominal_s) = (machines[0].group, machines[0].nominal_s);
--- a/crates/rushwalk/src/capacity/rentals.rs
+++ b/crates/rushwalk/src/capacity/rentals.rs
@@ -204,6 +204,12 @@
             ?kind,
             "rental answered"
         );
+        self.record_response(kind, requested, rented);
+        Some(outcome)
+    }
+
+    /// Records how many machines of a kind the cloud had, for the estimate of its capacity.
+    fn record_response(&self, kind: &InstanceKind, requested: u32, rented: u32) {
         let owned = self.replica.state().count_of_kind(kind);
         let pause_s = PROBE_PAUSE_ROUNDS * self.context.timing.round.as_secs_f64();
         let now_s = self.context.uptime_s();
@@ -211,7 +217,6 @@
             .state()
             .capacity
             .record_response(kind, requested, rented, owned, now_s, pause_s);
-        Some(outcome)
     }
 
     /// What became of rentals, with shards for what was rented.
--- a/crates/rushwalk/src/scheduling/expected_demand.rs
+++ b/crates/rushwalk/src/scheduling/expected_demand.rs
@@ -128,6 +128,26 @@
     types: &MachineTypes,
     now_ms: UnixMillis,
 ) -> Vec<ExpectedJob> {
+    let returning = returning_tasks(context, state, types, now_ms).into_iter();
+    let expected = returning.filter_map(|(id, returning)| {
+        let mut job = scheduler_inputs::pending_job(state, &state.jobs.get(id)?.spec, types);
+        job.tasks = returning.tasks;
+        Some(ExpectedJob {
+            in_s: returning.in_s,
+            job,
+        })
+    });
+    expected.collect()
+}
+
+/// The services' tasks on machines whose worker lease expires within the time that it takes
+/// to make a place ready, by job.
+fn returning_tasks<'a>(
+    context: &Context,
+    state: &'a ClusterState,
+    types: &MachineTypes,
+    now_ms: UnixMillis,
+) -> BTreeMap<&'a JobId, ReturningTasks> {
     let timing = &context.timing;
     let expiry = (timing.worker_lease + timing.lease_validity)
         .saturating_sub(timing.unreachable_after)
@@ -143,27 +163,24 @@
         if in_s > lead_s {
             continue;
         }
-        for id in &machine.tasks {
-            let job = state.jobs.get(&id.job);
-            let is_service = job.is_some_and(|job| {
-                job.phase == JobPhase::Active && job.spec.shape == Shape::Service
+        let services = machine
+            .tasks
+            .iter()
+            .filter(|id| is_active_service(state, &id.job));
+        for id in services {
+            let returning = by_job.entry(&id.job).or_insert_with(|| ReturningTasks {
+                in_s: in_s.max(0.0),
+                tasks: Vec::new(),
             });
-            if is_service {
-                let returning = by_job.entry(&id.job).or_insert_with(|| ReturningTasks {
-                    in_s: in_s.max(0.0),
-                    tasks: Vec::new(),
-                });
-                returning.tasks.push(id.index);
-            }
+            returning.tasks.push(id.index);
         }
     }
-    let expected = by_job.into_iter().filter_map(|(id, returning)| {
-        let mut job = scheduler_inputs::pending_job(state, &state.jobs.get(id)?.spec, types);
-        job.tasks = returning.tasks;
-        Some(ExpectedJob {
-            in_s: returning.in_s,
-            job,
-        })
-    });
-    expected.collect()
+    by_job
+}
+
+fn is_active_service(state: &ClusterState, id: &JobId) -> bool {
+    state
+        .jobs
+        .get(id)
+        .is_some_and(|job| job.phase == JobPhase::Active && job.spec.shape == Shape::Service)
 }
