--- a/crates/rushwalk/src/capacity/boot_supervision.rs
+++ b/crates/rushwalk/src/capacity/boot_supervision.rs
@@ -1,4 +1,4 @@
-//! How rented machines boot, and which of them are not waited for any longer.
+//! Boot supervision: how long rented machines boot, and which of them are abandoned.
 
 use crate::clock::now_ms;
 use crate::scheduler_inputs::seconds;
--- a/crates/rushwalk/src/capacity/deletion.rs
+++ b/crates/rushwalk/src/capacity/deletion.rs
@@ -22,7 +22,7 @@
     pub replica: Arc<Replica>,
     /// Only the leader deletes.
     pub leadership: Arc<Leadership>,
-    /// How the cloud is asked.
+    /// Calls the cloud.
     pub cloud: Arc<CloudClient>,
     /// Remembers what was deleted.
     pub tracker: Arc<RentalTracker>,
--- a/crates/rushwalk/src/capacity/inventory.rs
+++ b/crates/rushwalk/src/capacity/inventory.rs
@@ -35,7 +35,7 @@
     pub replica: Arc<Replica>,
     /// Only the leader reconciles.
     pub leadership: Arc<Leadership>,
-    /// How the cloud is asked.
+    /// Calls the cloud.
     pub cloud: Arc<CloudClient>,
     /// Shows what was deleted lately.
     pub tracker: Arc<RentalTracker>,
--- a/crates/rushwalk/src/capacity/machines.rs
+++ b/crates/rushwalk/src/capacity/machines.rs
@@ -1,4 +1,5 @@
-//! What there is to schedule on: machines, those being rented, and what may be rented.
+//! The machines of a scheduling round: those that exist, those being rented, and those that
+//! may be rented.
 
 use super::boot_supervision::BootSupervisor;
 use super::rentals::{RentalState, kind_of};
@@ -29,11 +30,11 @@
     pub zones: Vec<Arc<str>>,
     /// How machines boot.
     pub boot_supervisor: &'s BootSupervisor,
-    /// The present, in seconds.
+    /// The current time, in seconds since the Unix epoch.
     pub now_s: f64,
 }
 
-/// Machines of ours in a zone.
+/// How many machines there are in a zone.
 #[derive(Debug, Clone, Copy, Default)]
 struct ZoneCounts {
     machines: usize,
@@ -41,7 +42,7 @@
 }
 
 impl ZoneCounts {
-    /// Whether the zone is partitioned from us: what is rented there would be so too.
+    /// Whether the zone is partitioned from this controller: machines rented there would be, too.
     fn is_partitioned(self) -> bool {
         self.unreachable > 2 && self.unreachable * 2 > self.machines
     }
--- a/crates/rushwalk/src/capacity/rentals.rs
+++ b/crates/rushwalk/src/capacity/rentals.rs
@@ -1,4 +1,4 @@
-//! Requests the rentals that were committed, and commits what became of them.
+//! Requests the rentals that were committed, and commits their outcomes.
 
 use super::shard_allocation::ShardAllocator;
 use crate::context::Context;
@@ -29,7 +29,7 @@
     pub decided_s: f64,
 }
 
-/// What is known of rentals beyond the cluster's state. A new process starts with nothing.
+/// What is known of rentals beyond the cluster's state. It starts empty with each process.
 #[derive(Default)]
 pub(crate) struct RentalState {
     /// What the cloud has to rent, as far as its responses show.
@@ -80,7 +80,7 @@
     pub replica: Arc<Replica>,
     /// Only the leader requests.
     pub leadership: Arc<Leadership>,
-    /// How the cloud is asked.
+    /// Calls the cloud.
     pub cloud: Arc<CloudClient>,
     /// What is in flight.
     pub tracker: Arc<RentalTracker>,
@@ -105,8 +105,8 @@
                     .append(version, &mutations, WritePriority::Scheduling)
                     .await;
             }
-            // What is still open is requested again under the same name, which rents
-            // nothing more.
+            // Rentals that are still open are requested again under the same name: the
+            // request is idempotent.
             for response in &answered {
                 self.tracker.state().in_flight.remove(&response.rental);
             }
@@ -219,7 +219,7 @@
             .record_response(kind, requested, rented, owned, now_s, pause_s);
     }
 
-    /// What became of rentals, with shards for what was rented.
+    /// The outcomes of rentals, with shards for the rented machines.
     fn outcomes(&self, responses: &[RentalResponse]) -> Vec<Mutation> {
         let state = self.replica.state();
         let mut allocator = ShardAllocator::new(&state, self.context.controllers());
--- a/crates/rushwalk/src/capacity/scale_in.rs
+++ b/crates/rushwalk/src/capacity/scale_in.rs
@@ -92,7 +92,7 @@
         mutations
     }
 
-    /// What becomes of an idle machine, if anything does now.
+    /// The next lifecycle of an idle machine, if it changes now.
     fn next_lifecycle(
         &mut self,
         state: &ClusterState,
@@ -157,7 +157,7 @@
         emptied
     }
 
-    /// Notes whether the jobs found their places without the emptied machines.
+    /// Records whether the jobs found their places without the emptied machines.
     pub(crate) fn record_trial(&mut self, succeeded: bool) {
         if succeeded {
             self.batch = (self.batch * 2).min(MAX_EMPTIED);
@@ -235,7 +235,7 @@
     }
 }
 
-/// A machine's services as if they waited; `None` if the machine should stay as it is:
+/// A machine's services as pending jobs; `None` if the machine should stay as it is:
 /// gangs keep what they have, and what has just started is not disturbed.
 fn services_to_move(
     state: &ClusterState,
--- a/crates/rushwalk/src/capacity/shard_allocation.rs
+++ b/crates/rushwalk/src/capacity/shard_allocation.rs
@@ -1,4 +1,4 @@
-//! Which shards new machines join.
+//! Allocation of new machines to shards.
 
 use rushwalk_protocol::ids::ShardId;
 use rushwalk_state::ClusterState;
--- a/crates/rushwalk/src/connections.rs
+++ b/crates/rushwalk/src/connections.rs
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Notes that a worker has sent a heartbeat from this address.
+    /// Records that a worker has sent a heartbeat from this address.
     pub fn mark_worker(&self, remote: &RemoteAddr) {
         if let Some(connection) = self.connections.lock().get(&connection_key(remote)) {
             connection.is_worker.store(true, Ordering::Relaxed);
--- a/crates/rushwalk/src/http/admission.rs
+++ b/crates/rushwalk/src/http/admission.rs
@@ -93,7 +93,7 @@
     last_shed: Option<Instant>,
 }
 
-/// What an acceptor returns for a connection.
+/// The return type of an acceptor, as poem defines it.
 type AcceptedConnection<T> = (T, LocalAddr, RemoteAddr, Scheme);
 
 struct QueuedConnection<T> {
@@ -147,8 +147,8 @@
         poll_fn(|context| Poll::Ready(accept.as_mut().poll(context))).await
     }
 
-    /// Closes idle connections, at most once in a pass: it looks at all of them, and those
-    /// it closed leave the table only after a pass.
+    /// Closes idle connections, at most once in a pass: it examines all of them, and those
+    /// that it closes leave the table only after a pass.
     fn shed_idle(&mut self) {
         let recently = |at: Instant| at.elapsed() <= self.limits.pass_limit;
         if self.last_shed.is_some_and(recently) {
--- a/crates/rushwalk/src/http/forwarding.rs
+++ b/crates/rushwalk/src/http/forwarding.rs
@@ -32,7 +32,7 @@
     pub context: Arc<Context>,
     /// Shows which peers are healthy.
     pub peers: Arc<PeerMonitor>,
-    /// How peers are called.
+    /// Calls the peers.
     pub client: PeerClient,
 }
 
--- a/crates/rushwalk/src/http/health.rs
+++ b/crates/rushwalk/src/http/health.rs
@@ -7,8 +7,8 @@
 /// Rounds after which a replica is too old to serve users by itself.
 const MAX_STALENESS_ROUNDS: u32 = 5;
 
-/// Whether users should be sent here: the store is in reach or, if it is out of reach of
-/// all, this controller is as good as any other.
+/// Whether users should be sent here: this controller reaches the store or, if none does, is as
+/// good as any other.
 pub(super) fn is_healthy(context: &Context, replica: &Replica, peers: &PeerMonitor) -> bool {
     let limit = context.timing.round * MAX_STALENESS_ROUNDS;
     if replica.staleness() < limit {
@@ -17,10 +17,10 @@
     if !replica.has_been_read() {
         return false;
     }
-    // In an outage all ages grow alike, and a peer's is known as of its last heartbeat: only
-    // one that is well below the limit by now is better off. A controller without
-    // contact to any peer has nothing to compare with and is rather the one that is cut off: users who
-    // kept to it got no answer for as long as that lasted.
+    // In an outage the staleness of all grows alike, and a peer's is known as of its last
+    // heartbeat: only a peer that is well below the limit by now is better off. A controller
+    // without contact to any peer cannot compare, and is more likely the one that is
+    // partitioned: users that were sent to it got no answer for as long as that lasted.
     let limit_s = limit.as_secs_f64();
     let detector = peers.detector();
     let now_s = context.uptime_s();
--- a/crates/rushwalk/src/http/user_requests.rs
+++ b/crates/rushwalk/src/http/user_requests.rs
@@ -42,7 +42,7 @@
     pub replica: Arc<Replica>,
     /// Knows the size of a value.
     pub log: Arc<LogWriter>,
-    /// How writes are committed.
+    /// Commits the writes.
     pub writes: UserWrites,
     /// Shows when the next write may be tried.
     pub committer: Arc<Committer>,
@@ -50,7 +50,7 @@
     pub forwarder: PeerForwarder,
     /// Counts what is rejected.
     pub rejections: Arc<RejectionCounter>,
-    /// Where the time goes.
+    /// Measures the work that is done.
     pub work_profile: Arc<WorkProfile>,
 }
 
--- a/crates/rushwalk/src/leadership/leader.rs
+++ b/crates/rushwalk/src/leadership/leader.rs
@@ -159,12 +159,12 @@
         self.term.lock().last_transfer.map(|at| at.elapsed())
     }
 
-    /// Notes that leadership passed from one live controller to another.
+    /// Records that leadership passed from one live controller to another.
     pub fn record_transfer(&self) {
         self.term.lock().last_transfer = Some(Instant::now());
     }
 
-    /// Notes the end of a scheduling round.
+    /// Records the end of a scheduling round.
     pub fn record_round(&self) {
         let mut term = self.term.lock();
         let previous = term.last_round.replace(Instant::now());
@@ -174,12 +174,12 @@
         }
     }
 
-    /// Notes the election that this process is about to try.
+    /// Records the election that this process is about to try.
     pub(crate) fn begin_election(&self, election_id: u64) {
         self.term.lock().election_id = Some(election_id);
     }
 
-    /// Notes that an election was won; `is_new` unless this process led before.
+    /// Records that an election was won; `is_new` unless this process led before.
     pub(super) fn record_election(&self, is_new: bool) {
         let mut term = self.term.lock();
         term.has_unresolved_commit = false;
--- a/crates/rushwalk/src/leadership/snapshot_writer.rs
+++ b/crates/rushwalk/src/leadership/snapshot_writer.rs
@@ -1,4 +1,4 @@
-//! The leader writes snapshots, so that the log's keys can be used again and a controller
+//! The leader writes snapshots, so that the log's keys can be reused and a controller
 //! that starts has little to read.
 
 use super::leader::{LeaderVersion, Leadership};
@@ -30,13 +30,13 @@
     pub context: Arc<Context>,
     /// The state of which snapshots are made.
     pub replica: Arc<Replica>,
-    /// How chunks are committed.
+    /// Commits the chunks.
     pub committer: Arc<Committer>,
     /// Knows the size of a value.
     pub log: Arc<LogWriter>,
     /// Only the leader writes.
     pub leadership: Arc<Leadership>,
-    /// Where the time goes.
+    /// Measures the work that is done.
     pub work_profile: Arc<WorkProfile>,
 }
 
@@ -54,7 +54,7 @@
     mutations: Vec<Mutation>,
 }
 
-/// What became of a transaction with chunks.
+/// The outcome of a transaction with chunks.
 enum ChunkOutcome {
     Written,
     Abandoned,
@@ -160,7 +160,7 @@
                 return ChunkOutcome::Written;
             }
             match outcome {
-                // Too many writes at once: others go first.
+                // Too many writes at once: more urgent ones go first.
                 CommitOutcome::Rejected(_) => sleep(self.context.timing.round / 2).await,
                 // One of unknown outcome would, arriving late, replace a chunk of the next
                 // try once that counts, and nobody could read the snapshot any more.
--- a/crates/rushwalk/src/peers.rs
+++ b/crates/rushwalk/src/peers.rs
@@ -65,7 +65,7 @@
         f64::from(self.busy_permille()) / 1000.0
     }
 
-    /// Notes the share of time in which this controller's thread is busy, from 0 to 1.
+    /// Records the share of time in which this controller's thread is busy, from 0 to 1.
     pub fn set_busy_share(&self, share: f64) {
         let permille = (share * 1000.0) as u16;
         self.busy_permille.store(permille, Ordering::Relaxed);
--- a/crates/rushwalk/src/reporting/incidents.rs
+++ b/crates/rushwalk/src/reporting/incidents.rs
@@ -23,7 +23,7 @@
 /// Heartbeats of one in so many workers may be missing.
 const WORKERS_PER_MISSING_HEARTBEAT: usize = 20;
 
-/// Looks for causes once a round.
+/// Checks for causes of incidents once a round.
 pub(crate) struct IncidentObserver {
     /// This process's context.
     pub context: Arc<Context>,
--- a/crates/rushwalk/src/reporting/usage.rs
+++ b/crates/rushwalk/src/reporting/usage.rs
@@ -1,4 +1,4 @@
-//! Logs from time to time where the time went, and which jobs are served least.
+//! Logs regularly where the time went, and which jobs are served least.
 
 use crate::connections::ConnectionTable;
 use crate::context::Context;
@@ -18,7 +18,7 @@
     pub connections: Arc<ConnectionTable>,
     /// Shows whether this controller keeps up.
     pub runtime_lag: Arc<RuntimeLag>,
-    /// Where the time goes.
+    /// Measures the work that is done.
     pub work_profile: Arc<WorkProfile>,
 }
 
--- a/crates/rushwalk/src/scheduler_inputs.rs
+++ b/crates/rushwalk/src/scheduler_inputs.rs
@@ -1,6 +1,7 @@
 //! Machines and jobs as the scheduler sees them, made from the cluster's state.
 
 use crate::context::Context;
+use rushwalk_protocol::cloud::MachineType;
 use rushwalk_protocol::ids::MachineId;
 use rushwalk_protocol::jobs::JobSpec;
 use rushwalk_protocol::settings::SiteSettings;
@@ -21,7 +22,7 @@
 /// time more.
 const OVERRUN_SHARE: f64 = 0.25;
 
-/// A time of day in seconds, as the scheduler counts.
+/// A time in seconds since the Unix epoch, as the scheduler counts.
 pub(crate) fn seconds(time_ms: UnixMillis) -> f64 {
     time_ms as f64 / 1000.0
 }
@@ -54,6 +55,13 @@
     }
 }
 
+/// Whether tasks of a job may run on a type of machine, and fit it.
+pub(crate) fn is_usable_type(spec: &JobSpec, machine_type: &MachineType) -> bool {
+    let names = spec.types.as_ref();
+    names.is_none_or(|names| names.contains(&machine_type.name))
+        && Resources::of_task(spec).fits_in(&Resources::of_type(machine_type))
+}
+
 /// A job without tasks, with what a task takes on machines of each type.
 pub(crate) fn pending_job(
     state: &ClusterState,
@@ -62,12 +70,15 @@
 ) -> PendingJob {
     let durations = &state.durations;
     let resources = Resources::of_task(spec);
-    let estimates = types.types.iter().map(|t| TaskEstimate {
-        run_s: durations.run_time(spec, &t.name),
-        fetch_s: durations.fetch_time(spec.image_gb, &t.name, t.fetch_gb_per_s),
-        boot_s: t.boot_s,
-        allowed: spec.types.as_ref().is_none_or(|n| n.contains(&t.name))
-            && resources.fits_in(&Resources::of_type(t)),
+    let estimates = types.types.iter().map(|machine_type| TaskEstimate {
+        run_s: durations.run_time(spec, &machine_type.name),
+        fetch_s: durations.fetch_time(
+            spec.image_gb,
+            &machine_type.name,
+            machine_type.fetch_gb_per_s,
+        ),
+        boot_s: machine_type.boot_s,
+        allowed: is_usable_type(spec, machine_type),
     });
     PendingJob {
         spec: spec.clone(),
@@ -83,7 +94,7 @@
     }
 }
 
-/// What is needed to see a machine as the scheduler does.
+/// The inputs of a machine's timeline.
 pub(crate) struct TimelineInputs<'a> {
     /// The state.
     pub state: &'a ClusterState,
@@ -91,13 +102,13 @@
     pub types: &'a MachineTypes,
     /// All zones, in their order.
     pub zones: &'a [Arc<str>],
-    /// The present, in seconds.
+    /// The current time, in seconds since the Unix epoch.
     pub now_s: f64,
 }
 
 impl TimelineInputs<'_> {
-    /// A machine that is ready, or boots and takes tasks from `ready_s` on, with the tasks
-    /// it has. `None` if its type or zone is not known.
+    /// The timeline of a machine that is ready, or that boots until `ready_s`, with its tasks.
+    /// `None` if its type or zone is not known.
     pub(crate) fn timeline(
         &self,
         id: &MachineId,
--- a/crates/rushwalk/src/scheduling/assignment.rs
+++ b/crates/rushwalk/src/scheduling/assignment.rs
@@ -14,8 +14,9 @@
 use rushwalk_state::{ClusterState, Mutation, UnixMillis};
 use std::collections::BTreeMap;
 
-/// So many tasks with their machines fit the smallest value of the store. A larger gang,
-/// which is assigned whole, goes without them, and the owners of its shards search.
+/// The most tasks whose mutation, with their machines, fits the smallest value of the store. A
+/// larger gang, which is assigned at once, is assigned without machines, and the owners of its
+/// shards choose them.
 const MAX_GANG_WITH_HINTS: usize = 8 * MAX_BATCH;
 
 /// Counts assigned tasks into the usage, and plans places for those that the owner of their
@@ -83,7 +84,7 @@
 }
 
 /// Assigns tasks that can start now to the shards of their machines. Not to a shard that
-/// takes no more work, whose owner is gone or suspected: the place is kept for the time of
+/// takes no more work, whose owner has failed or is suspected: the place stays reserved for
 /// this round, since renting another would cost more.
 pub(super) fn assign(
     state: &ClusterState,
@@ -136,7 +137,7 @@
 }
 
 /// The mutations that assign a job's tasks to shards. An array's are split: with 900 places
-/// free at a time its one mutation fitted no value, so none of it started, round after
+/// free at a time its one mutation fitted no value, so none of it started, in any
 /// round, for as long as there was room for so many.
 fn assignments(
     id: &JobId,
--- a/crates/rushwalk/src/scheduling/expected_demand.rs
+++ b/crates/rushwalk/src/scheduling/expected_demand.rs
@@ -2,11 +2,10 @@
 
 use super::queue::MIN_TASKS_PER_JOB;
 use crate::context::Context;
-use crate::scheduler_inputs::{self, seconds};
+use crate::scheduler_inputs::{self, is_usable_type, seconds};
 use rushwalk_protocol::ids::JobId;
 use rushwalk_protocol::jobs::{JobSpec, Priority, Shape};
 use rushwalk_protocol::settings::ObjectiveKind;
-use rushwalk_scheduler::Resources;
 use rushwalk_scheduler::arrivals::{arrival_rate, expected_arrival_times};
 use rushwalk_scheduler::round::PendingJob;
 use rushwalk_state::cluster_state::Arrival;
@@ -47,7 +46,7 @@
 }
 
 /// Arrivals to be expected while a machine would boot, and services that may come back:
-/// they are planned as what waits is, so that they find a warm machine.
+/// they are planned as pending jobs are, so that they find a machine that is ready.
 pub(super) fn expected_jobs(
     context: &Context,
     state: &ClusterState,
@@ -99,20 +98,20 @@
 
 /// The longest boot time of a machine that a job may use, in seconds.
 fn slowest_boot_s(spec: &JobSpec, types: &MachineTypes) -> f64 {
-    let usable = types.types.iter().filter(|t| {
-        spec.types.as_ref().is_none_or(|n| n.contains(&t.name))
-            && Resources::of_task(spec).fits_in(&Resources::of_type(t))
-    });
-    usable.map(|t| t.boot_s).fold(0.0, f64::max)
+    let types = types.types.iter();
+    let usable = types.filter(|machine_type| is_usable_type(spec, machine_type));
+    usable
+        .map(|machine_type| machine_type.boot_s)
+        .fold(0.0, f64::max)
 }
 
-/// For how many deviations from the mean number of arrivals there should be room. A job that
-/// only has to finish by a time can wait a little for the end of a burst.
+/// How many standard deviations above the mean number of arrivals there should be room for. A
+/// job that only has a deadline can wait a little for the end of a burst.
 fn deviations(context: &Context, spec: &JobSpec) -> f64 {
     let objectives = &context.settings.site.objectives;
-    let has_start_objective = objectives
-        .iter()
-        .any(|o| o.kind == ObjectiveKind::QueueTime && o.class == spec.class);
+    let has_start_objective = objectives.iter().any(|objective| {
+        objective.kind == ObjectiveKind::QueueTime && objective.class == spec.class
+    });
     match spec.priority {
         Priority::Production | Priority::High => 1.5,
         _ if has_start_objective => 1.0,
--- a/crates/rushwalk/src/scheduling/maintenance.rs
+++ b/crates/rushwalk/src/scheduling/maintenance.rs
@@ -112,7 +112,7 @@
     }
 }
 
-/// A gang of which a task is gone, or stops, is stopped whole.
+/// Stops all tasks of a gang of which a task has ended or is stopping.
 fn stop_broken_gangs(state: &ClusterState, changes: &mut Changes) {
     for id in &state.jobs_with_tasks {
         let Some(job) = state.jobs.get(id) else {
--- a/crates/rushwalk/src/scheduling/queue.rs
+++ b/crates/rushwalk/src/scheduling/queue.rs
@@ -124,10 +124,13 @@
     let durations = &state.durations;
     let machine_type = types.types.first();
     TaskDurations {
-        fetch_s: machine_type.map_or(0.0, |t| {
-            durations.fetch_time(spec.image_gb, &t.name, t.fetch_gb_per_s)
+        fetch_s: machine_type.map_or(0.0, |machine_type| {
+            let rate = machine_type.fetch_gb_per_s;
+            durations.fetch_time(spec.image_gb, &machine_type.name, rate)
+        }),
+        run_s: machine_type.map_or(0.0, |machine_type| {
+            durations.run_time(spec, &machine_type.name)
         }),
-        run_s: machine_type.map_or(0.0, |t| durations.run_time(spec, &t.name)),
         guaranteed,
     }
 }
--- a/crates/rushwalk/src/scheduling/scheduler.rs
+++ b/crates/rushwalk/src/scheduling/scheduler.rs
@@ -1,4 +1,4 @@
-//! The loop of the leader's rounds.
+//! The scheduling loop of the leader, one round after the other.
 
 use super::assignment::{assign, reserve_assigned};
 use super::expected_demand::{ExpectedJob, expected_jobs};
@@ -33,10 +33,11 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// One in so many of the expected tasks may be late beyond those that were before.
+/// One in so many of the expected tasks may be late, beyond those that are late on all
+/// machines.
 const LATE_TOLERANCE: usize = 50;
 
-/// Why jobs wait, by job, as of the latest round. The administration API shows it.
+/// Why jobs are pending, by job, as of the latest round. The administration API shows it.
 #[derive(Default)]
 pub struct PendingReasons {
     by_job: Mutex<BTreeMap<String, PendingReason>>,
@@ -63,11 +64,11 @@
     pub cloud: Arc<CloudClient>,
     /// Shows what the cloud has to rent.
     pub tracker: Arc<RentalTracker>,
-    /// Where the reasons to wait are shown.
+    /// Where the reasons of pending jobs are shown.
     pub pending_reasons: Arc<PendingReasons>,
     /// Yields to the other tasks of this thread.
     pub runtime_lag: Arc<RuntimeLag>,
-    /// Where the time goes.
+    /// Measures the work that is done.
     pub work_profile: Arc<WorkProfile>,
 }
 
@@ -79,13 +80,13 @@
     scale_in: ScaleIn,
     stragglers: Stragglers,
     planner: TimeSlicedPlanner,
-    /// When the number of machines was last planned by what is expected.
+    /// When the number of machines was last planned by the expected demand.
     expected_planned: Option<Instant>,
     /// Expected tasks that would have to wait on the whole fleet.
     expected_late: usize,
 }
 
-/// What a round begins with.
+/// The inputs of a round.
 struct RoundStart<'a> {
     round: SchedulingRound<'a>,
     pending: Vec<PendingJob>,
@@ -181,7 +182,7 @@
             .abandon_late(state, types, &zones, jobs_wait)
     }
 
-    /// Plans what waits, then how many machines there should be.
+    /// Plans the pending jobs, then how many machines there should be.
     async fn schedule(&mut self, context: &Context, version: LeaderVersion) -> Vec<Mutation> {
         let now_ms = now_ms();
         let Some(start) = self.begin_round(context, now_ms) else {
@@ -269,8 +270,8 @@
         mutations
     }
 
-    /// Whether to plan what is expected: in every third round only, since it is a plan of
-    /// many jobs, most of which come out as they did a moment ago.
+    /// Whether to plan the expected jobs: in every third round only, since they are many, and
+    /// most plans are the same as in the round before.
     fn is_expected_demand_due(&mut self, context: &Context) -> bool {
         let pause = context.timing.round * 5 / 2;
         let is_due = self.expected_planned.is_none_or(|at| at.elapsed() > pause);
--- a/crates/rushwalk/src/scheduling/time_slices.rs
+++ b/crates/rushwalk/src/scheduling/time_slices.rs
@@ -22,7 +22,7 @@
     pub(super) round: Duration,
     /// Yields to the other tasks of this thread.
     pub(super) runtime_lag: Arc<RuntimeLag>,
-    /// Where the time goes.
+    /// Measures the work that is done.
     pub(super) work_profile: Arc<WorkProfile>,
 }
 
--- a/crates/rushwalk/src/shards/dispatch.rs
+++ b/crates/rushwalk/src/shards/dispatch.rs
@@ -38,7 +38,7 @@
     pub replica: Arc<Replica>,
     /// Shows what workers report.
     pub workers: Arc<WorkerRegistry>,
-    /// How workers are called.
+    /// Calls the workers.
     pub client: WorkerClient,
     /// Shows whether this controller keeps up.
     pub runtime_lag: Arc<RuntimeLag>,
@@ -85,7 +85,7 @@
     address: String,
 }
 
-/// What a tick does about a machine.
+/// What a tick sends to a machine.
 enum Step {
     Nothing,
     /// It is too early: the next tick tries again.
@@ -235,7 +235,7 @@
     }
 }
 
-/// Notes the end of a call, whatever came of it.
+/// Records the end of a call, whatever came of it.
 fn finish_call<'a>(sessions: &'a mut Sessions, call: &Call) -> &'a mut WorkerSession {
     sessions.changed.insert(call.machine.clone());
     let session = sessions.session_mut(&call.machine);
--- a/crates/rushwalk/src/shards/outcomes.rs
+++ b/crates/rushwalk/src/shards/outcomes.rs
@@ -43,7 +43,7 @@
     findings.into_mutations(now_ms())
 }
 
-/// Looks at one machine.
+/// Observes one machine.
 struct Observer<'a> {
     state: &'a ClusterState,
     timing: &'a Timing,
--- a/crates/rushwalk/src/shards/placement.rs
+++ b/crates/rushwalk/src/shards/placement.rs
@@ -13,7 +13,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// A task that waits for its place, in the order in which places are given.
+/// An assigned task that is not placed yet, in the order of placement.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct WaitingTask {
     priority: Priority,
@@ -24,7 +24,7 @@
 /// Placed tasks, by job and attempt.
 type Placements = BTreeMap<JobAttempt, Vec<TaskOnMachine>>;
 
-/// Picks machines for the tasks assigned to our shards.
+/// Places the tasks that are assigned to the owned shards on machines.
 pub(super) fn placements(
     context: &Context,
     state: &ClusterState,
@@ -45,7 +45,7 @@
             now_s: scheduler_inputs::seconds(now_ms),
         };
         let mut round = round_of_shard(context, &inputs, shard);
-        // A job's tasks in one go.
+        // All tasks of a job at once.
         for tasks in tasks.chunk_by(|a, b| a.task.job == b.task.job) {
             place_tasks_of_job(state, &types, &mut round, tasks, &mut placements);
         }
--- a/crates/rushwalk/src/shards/reconciler.rs
+++ b/crates/rushwalk/src/shards/reconciler.rs
@@ -25,23 +25,23 @@
     token: Revision,
 }
 
-/// Does the work of the owner of shards.
+/// Reconciles the owned shards with what workers report.
 pub(crate) struct Reconciler {
     /// This process's context.
     pub context: Arc<Context>,
     /// Shows which shards are owned, and what should be.
     pub replica: Arc<Replica>,
-    /// How outcomes and placements are committed.
+    /// Commits outcomes and placements.
     pub log: Arc<LogWriter>,
     /// Shows what workers report.
     pub workers: Arc<WorkerRegistry>,
-    /// How workers are commanded.
+    /// Sends commands to workers.
     pub dispatcher: Dispatcher,
-    /// Where the time goes.
+    /// Measures the work that is done.
     pub work_profile: Arc<WorkProfile>,
 }
 
-/// What is kept from tick to tick.
+/// State that is kept between ticks.
 #[derive(Default)]
 struct TickState {
     /// When all machines were last examined.
--- a/crates/rushwalk/src/store/committer.rs
+++ b/crates/rushwalk/src/store/committer.rs
@@ -23,16 +23,16 @@
 /// Of the store's limit, what all controllers together use: some is left for misjudgement.
 const USED_SHARE: f64 = 0.9;
 
-/// Whom a write serves. Users' requests go before maintenance.
+/// The priority of a write, the most urgent first: users' requests go before maintenance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WritePriority {
-    /// Membership, leadership and shard leases: without them nothing goes on.
+    /// Membership, leadership and shard leases: without them the cluster makes no progress.
     Coordination,
     /// A user's request.
     UserRequest,
-    /// Placement, and what became of tasks and machines.
+    /// Placement, and the outcomes of tasks and machines.
     Scheduling,
-    /// What can wait.
+    /// Writes that can be delayed.
     Maintenance,
 }
 
--- a/crates/rushwalk/src/store/log_writer.rs
+++ b/crates/rushwalk/src/store/log_writer.rs
@@ -1,4 +1,4 @@
-//! Appending to the log: many mutations in one key, keys used again.
+//! Appending to the log: many mutations in one key, and keys that are reused.
 
 use super::committer::{Committer, WritePriority};
 use super::replica::Replica;
--- a/crates/rushwalk/src/store/membership.rs
+++ b/crates/rushwalk/src/store/membership.rs
@@ -166,7 +166,7 @@
     }
 
     /// Writes the member record again as it is, which shows the others in the log that this
-    /// process lives.
+    /// process is alive.
     pub async fn rewrite_record(&self, lease: u64) {
         let transaction = {
             let state = self.replica.state();
@@ -189,7 +189,7 @@
     }
 }
 
-/// When the membership is looked after next.
+/// When the membership is renewed next.
 enum NextStep {
     Now,
     Soon,
--- a/crates/rushwalk/src/store/replica.rs
+++ b/crates/rushwalk/src/store/replica.rs
@@ -21,7 +21,7 @@
 /// The latest samples of which a predicted duration is the mean.
 const DURATION_SAMPLES: usize = 10;
 
-/// The replica, and what is known of its freshness.
+/// The replica of the cluster's state, and how stale it is.
 pub struct Replica {
     context: Arc<Context>,
     client: StoreClient,
@@ -30,7 +30,7 @@
     changes: Observable<u64>,
     /// When the newest read of the store that succeeded was sent.
     last_read_sent: Observable<Option<Instant>>,
-    /// Somebody waits for a read.
+    /// Wakes the read loop.
     read_requested: Notify,
     /// The newest commit of this process: nothing is decided before it is applied.
     last_commit: AtomicU64,
@@ -68,7 +68,7 @@
         self.changes.wait_for(|count| count != seen).await;
     }
 
-    /// Wakes those who wait for a change of the state.
+    /// Wakes the tasks that wait for a change of the state.
     pub fn notify_changed(&self) {
         self.changes.update(|count| *count += 1);
     }
@@ -88,14 +88,14 @@
         self.last_read_age().unwrap_or(Duration::MAX)
     }
 
-    /// Notes that a read which was sent then has succeeded.
+    /// Records that a read which was sent then has succeeded.
     pub(crate) fn record_read(&self, sent: Instant) {
         self.last_read_sent
             .update(|last| *last = Some(last.map_or(sent, |before| before.max(sent))));
         self.notify_changed();
     }
 
-    /// Notes the revision of a commit of this process.
+    /// Records the revision of a commit of this process.
     pub fn record_commit(&self, revision: Revision) {
         self.last_commit.fetch_max(revision, Ordering::Relaxed);
     }
--- a/crates/rushwalk/src/store/replica/follow.rs
+++ b/crates/rushwalk/src/store/replica/follow.rs
@@ -61,7 +61,7 @@
     }
 }
 
-/// Reads everything: at the start, and when a watch can't go on.
+/// Lists the whole store: at the start, and when a watch can't continue.
 async fn list(replica: &Replica, work_profile: &WorkProfile) -> Result<(), Error> {
     let sent = Instant::now();
     let listing = list_pages(replica).await?;
@@ -87,7 +87,7 @@
     Ok(())
 }
 
-/// All pages of a listing.
+/// Reads all pages of a listing.
 struct Listing {
     entries: Vec<KeyValue>,
     first_revision: Revision,
@@ -162,8 +162,7 @@
     }
 }
 
-/// Reads the store when somebody waits for a linearizable read; one cheap read serves all
-/// who wait.
+/// Reads the store when a linearizable read is requested; one cheap read serves all requests.
 pub(crate) async fn read_loop(replica: Arc<Replica>, work_profile: Arc<WorkProfile>) {
     let context = &replica.context;
     // The reads of all controllers together take at most a third of the store's budget.
@@ -184,8 +183,8 @@
             read_once(&reader, &profile, gap).await;
             drop(permit);
         });
-        // Behind a read that takes long nobody has to wait for its end and then as long
-        // again: others begin meanwhile.
+        // A slow read does not delay the requests that come after it was sent: further
+        // reads begin in the meantime.
         let _ = timeout(context.timing.round / 8, &mut read).await;
         sleep(gap).await;
     }
--- a/crates/rushwalk/src/store/user_writes.rs
+++ b/crates/rushwalk/src/store/user_writes.rs
@@ -15,38 +15,38 @@
 /// Writes that may wait at once; more are rejected.
 const MAX_WAITING: usize = 1024;
 
-/// How often a commit is repeated whose key another entry has taken first.
+/// How often a commit is retried if another entry has used its key first.
 const CONFLICT_RETRIES: usize = 3;
 
-/// A user's write, and who waits for its outcome.
+/// A user's write, and where its outcome is sent.
 struct PendingWrite {
     mutation: Mutation,
     done: oneshot::Sender<CommitOutcome>,
 }
 
-/// Where users' writes are handed in.
+/// The sending side of the queue of users' writes.
 #[derive(Clone)]
 pub struct UserWrites {
     queue: mpsc::Sender<PendingWrite>,
 }
 
-/// Too many users' writes wait.
+/// The queue of users' writes is full.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("too many writes are waiting")]
 pub struct TooManyWrites;
 
 impl UserWrites {
-    /// The way in, and the queue that [`UserWriteQueue::run`] works off.
+    /// The sending side, and the queue that [`UserWriteQueue::run`] commits.
     pub fn new() -> (UserWrites, UserWriteQueue) {
         let (queue, waiting) = mpsc::channel(MAX_WAITING);
         (UserWrites { queue }, UserWriteQueue { waiting })
     }
 
-    /// Writes a mutation together with those that arrive beside it.
+    /// Writes a mutation together with those that arrive at the same time.
     ///
     /// # Errors
     ///
-    /// [`TooManyWrites`] if it was not taken.
+    /// [`TooManyWrites`] if the queue is full, or ends before the write is committed.
     pub async fn write(&self, mutation: Mutation) -> Result<CommitOutcome, TooManyWrites> {
         let (done, outcome) = oneshot::channel();
         let write = PendingWrite { mutation, done };
@@ -61,7 +61,8 @@
 }
 
 impl UserWriteQueue {
-    /// Commits what waits, one transaction after the other, until no user can come any more.
+    /// Commits the queued writes, one transaction after the other, until the sending side is
+    /// dropped.
     pub async fn run(mut self, context: Arc<Context>, replica: Arc<Replica>, log: Arc<LogWriter>) {
         let write_rps = context.settings.site.store.write_rps;
         let gap = Duration::from_secs_f64(0.5 * context.controllers() as f64 / write_rps);
@@ -82,13 +83,13 @@
                 .unzip();
             let outcome = commit(&context, &replica, &log, &mutations).await;
             for done in waiting {
-                // A user that has given up needs no answer.
+                // A user who no longer waits needs no answer.
                 let _ = done.send(outcome.clone());
             }
         }
     }
 
-    /// Takes what fits one transaction, so that all have the same outcome.
+    /// Takes as many writes as fit one transaction, so that all have the same outcome.
     fn take_batch(
         &mut self,
         first: PendingWrite,
--- a/crates/rushwalk/src/workers/session.rs
+++ b/crates/rushwalk/src/workers/session.rs
@@ -80,7 +80,7 @@
     Call,
 }
 
-/// What is known of one worker.
+/// The session of one worker, as its shard's owner knows it.
 #[derive(Debug, Default)]
 pub struct WorkerSession {
     /// The worker's session: its epoch, which rises when the worker starts or its lease
@@ -262,7 +262,7 @@
         self.starts_withheld
     }
 
-    /// Notes the response to a heartbeat. To the newest one the next heartbeat will show
+    /// Records the response to a heartbeat. To the newest one the next heartbeat will show
     /// whether it was received; of another it is assumed.
     pub fn record_response(
         &mut self,
@@ -353,7 +353,7 @@
             && self.unresolved_start.is_none()
     }
 
-    /// Notes that a start which was sent to its own address was not answered, unless the
+    /// Records that a start which was sent to its own address was not answered, unless the
     /// worker has moved on.
     pub fn mark_unresolved_start(&mut self, start: UnresolvedStart) {
         if self.session <= start.session && self.token <= start.token {
