--- a/crates/failure-detector/src/reachability.rs
+++ b/crates/failure-detector/src/reachability.rs
@@ -18,7 +18,7 @@
 const MIN_SILENCE_INTERVALS: f64 = 1.0 / 8.0;
 
 /// When a worker should have been heard again, in seconds of the same clock. It was last
-/// heard at `last_heard_s`, or never since its shard came to this owner at
+/// heard at `last_contact_s`, or never since its shard came to this owner at
 /// `owned_since_s`. One that is new to an owner is given half an interval to find it.
 ///
 /// This is not the time since anybody was heard: workers that started together, or came
@@ -26,11 +26,11 @@
 /// With that time shards were taken from owners that heard all of their machines, one
 /// each three seconds.
 pub fn next_heartbeat_due_s(
-    last_heard_s: Option<f64>,
+    last_contact_s: Option<f64>,
     owned_since_s: f64,
     heartbeat_s: f64,
 ) -> f64 {
-    match last_heard_s.filter(|at| *at > owned_since_s) {
+    match last_contact_s.filter(|at| *at > owned_since_s) {
         Some(at) => at + LATEST_INTERVALS * heartbeat_s,
         None => owned_since_s + (LATEST_INTERVALS + DISCOVERY_INTERVALS) * heartbeat_s,
     }
@@ -43,8 +43,8 @@
     pub machines: usize,
     /// Those of them whose next heartbeat is overdue.
     pub overdue: usize,
-    /// How long none of them was heard, in seconds.
-    pub silent_s: f64,
+    /// Seconds since the last contact with any of them.
+    pub contact_age_s: f64,
 }
 
 impl ShardReception {
@@ -53,7 +53,7 @@
     pub fn has_inbound_loss(&self, heartbeat_s: f64) -> bool {
         self.machines > 0
             && self.overdue >= evidence_threshold(self.machines)
-            && self.silent_s > heartbeat_s * MIN_SILENCE_INTERVALS
+            && self.contact_age_s > heartbeat_s * MIN_SILENCE_INTERVALS
     }
 }
 
--- a/crates/rushwalk/src/capacity/boot_supervision.rs
+++ b/crates/rushwalk/src/capacity/boot_supervision.rs
@@ -1,4 +1,4 @@
-//! How rented machines boot, and which of them are not waited for any longer.
+//! Boot supervision: how long rented machines boot, and which of them are abandoned.
 
 use crate::clock::now_ms;
 use crate::scheduler_inputs::seconds;
@@ -11,8 +11,8 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// One in so many of the machines that are late, as all that were rented with them are, is
-/// abandoned in a boot time to see how another one fares.
+/// One in so many of the machines that are as late as all that were rented with them is
+/// abandoned in a boot time, to try whether a new one boots faster.
 const LATE_PER_TRIAL: usize = 8;
 
 /// Boot times for which an abandoned machine still counts as a sample.
@@ -25,65 +25,81 @@
     sample: BootSample,
 }
 
-/// A machine abandoned only to see how another one fares.
+/// A machine abandoned only to try whether a new one boots faster.
 struct Trial {
     group: BootGroup,
     at: Instant,
 }
 
-/// A machine that is late as those rented with it are.
-struct LateMachine<'a> {
+/// A machine that boots.
+struct BootingMachine<'a> {
     group: BootGroup,
     rented_ms: UnixMillis,
     id: &'a MachineId,
     nominal_s: f64,
 }
 
-/// Learns how machines boot, and abandons those that don't come.
+impl BootingMachine<'_> {
+    fn lateness(&self, boot_times: &BootTimeEstimator) -> BootLateness {
+        boot_times.lateness(self.group, self.nominal_s, seconds(self.rented_ms))
+    }
+}
+
+/// Learns how machines boot, and abandons those that don't become ready.
 #[derive(Default)]
-pub struct BootSupervisor {
+pub(crate) struct BootSupervisor {
     boot_times: BootTimeEstimator,
     abandoned: Vec<AbandonedBoot>,
     trials: Vec<Trial>,
 }
 
-/// The group with which a machine boots, and its type.
-pub fn boot_group<'a>(
+/// What the boot time of a machine depends on.
+struct BootClass<'a> {
+    /// The machines with which it is compared.
+    group: BootGroup,
+    machine_type: &'a MachineType,
+}
+
+/// The class of a machine; `None` if its type or zone is not known.
+fn boot_class<'a>(
     machine: &MachineRecord,
     types: &'a MachineTypes,
     zones: &[Arc<str>],
-) -> Option<(BootGroup, &'a MachineType)> {
+) -> Option<BootClass<'a>> {
     let zone = zones.iter().position(|zone| *zone == machine.zone)?;
     let mut all_types = types.types.iter();
     let group = all_types.position(|t| *t.name == *machine.machine_type)?;
-    Some((BootGroup::new(group, zone), &types.types[group]))
+    Some(BootClass {
+        group: BootGroup::new(group, zone),
+        machine_type: &types.types[group],
+    })
 }
 
 impl BootSupervisor {
     /// How machines boot, as of the latest update.
-    pub fn boot_times(&self) -> &BootTimeEstimator {
+    pub(crate) fn boot_times(&self) -> &BootTimeEstimator {
         &self.boot_times
     }
 
     /// When a machine that boots should be ready, in seconds.
-    pub fn expected_ready_s(
+    pub(crate) fn expected_ready_s(
         &self,
         machine: &MachineRecord,
         types: &MachineTypes,
         zones: &[Arc<str>],
         now_s: f64,
     ) -> f64 {
-        let remaining_s = boot_group(machine, types, zones).map_or(0.0, |(group, machine_type)| {
+        let remaining_s = boot_class(machine, types, zones).map_or(0.0, |class| {
             let rented_s = seconds(machine.rented_ms);
             self.boot_times
-                .remaining_s(group, machine_type.boot_s, rented_s)
+                .remaining_s(class.group, class.machine_type.boot_s, rented_s)
         });
         now_s + remaining_s.max(1.0)
     }
 
     /// Learns from the machines there are and from those that were abandoned. A machine may
-    /// be ready for `heartbeat_s` before it is seen to be.
-    pub fn update(
+    /// be ready for `heartbeat_s` before its heartbeat shows it.
+    pub(crate) fn update(
         &mut self,
         state: &ClusterState,
         types: &MachineTypes,
@@ -95,7 +111,7 @@
         let mut boot_times = BootTimeEstimator::new(now_s, heartbeat_s);
         for machine in state.machines.values() {
             let record = &machine.record;
-            if let Some((group, machine_type)) = boot_group(record, types, zones) {
+            if let Some(class) = boot_class(record, types, zones) {
                 let rented_s = seconds(record.rented_ms);
                 let until_s = record.ready_ms.map_or(now_s, seconds);
                 let sample = BootSample {
@@ -103,7 +119,7 @@
                     elapsed_s: (until_s - rented_s).max(0.0),
                     booted: record.ready_ms.is_some(),
                 };
-                boot_times.add_sample(group, machine_type.boot_s, sample);
+                boot_times.add_sample(class.group, class.machine_type.boot_s, sample);
             }
         }
         self.abandoned
@@ -118,7 +134,7 @@
     /// Machines to abandon since others would come sooner. One that never comes holds what
     /// can be rented of its kind: 580 did for 250 s, and all others were in use. Only if
     /// `jobs_wait` it is worth a try to abandon one of many that are all late.
-    pub fn abandon_late(
+    pub(crate) fn abandon_late(
         &mut self,
         state: &ClusterState,
         types: &MachineTypes,
@@ -132,19 +148,18 @@
             if !is_booting_under_an_owner(state, record) {
                 continue;
             }
-            let Some((group, machine_type)) = boot_group(record, types, zones) else {
+            let Some(class) = boot_class(record, types, zones) else {
                 continue;
             };
-            let nominal_s = machine_type.boot_s;
-            let rented_s = seconds(record.rented_ms);
-            match self.boot_times.lateness(group, nominal_s, rented_s) {
+            let booting = BootingMachine {
+                group: class.group,
+                rented_ms: record.rented_ms,
+                id,
+                nominal_s: class.machine_type.boot_s,
+            };
+            match booting.lateness(&self.boot_times) {
                 BootLateness::OnTime => {}
-                BootLateness::LateLikeOthers => late_like_others.push(LateMachine {
-                    group,
-                    rented_ms: record.rented_ms,
-                    id,
-                    nominal_s,
-                }),
+                BootLateness::LateLikeOthers => late_like_others.push(booting),
                 BootLateness::ReplaceNow => {
                     abandoned.insert(id.clone());
                 }
@@ -159,7 +174,7 @@
 
     /// Abandons some of the machines that are all late: if work waits, another is worth a
     /// try now and then.
-    fn try_others(&mut self, mut late: Vec<LateMachine>, abandoned: &mut BTreeSet<MachineId>) {
+    fn try_others(&mut self, mut late: Vec<BootingMachine>, abandoned: &mut BTreeSet<MachineId>) {
         late.sort_by_key(|machine| (machine.group, machine.rented_ms));
         for machines in late.chunk_by(|a, b| a.group == b.group) {
             let (group, nominal_s) = (machines[0].group, machines[0].nominal_s);
@@ -188,15 +203,15 @@
         let now_ms = now_ms();
         for machine in abandoned.iter().filter_map(|id| state.machines.get(id)) {
             let record = &machine.record;
-            if let Some((group, machine_type)) = boot_group(record, types, zones) {
+            if let Some(class) = boot_class(record, types, zones) {
                 let sample = BootSample {
                     rented_s: seconds(record.rented_ms),
                     elapsed_s: seconds(now_ms.saturating_sub(record.rented_ms)),
                     booted: false,
                 };
                 self.abandoned.push(AbandonedBoot {
-                    group,
-                    nominal_s: machine_type.boot_s,
+                    group: class.group,
+                    nominal_s: class.machine_type.boot_s,
                     sample,
                 });
             }
@@ -204,7 +219,7 @@
     }
 }
 
-/// Whether a machine boots, and a controller would hear it.
+/// Whether a machine boots, and a controller would receive its heartbeat.
 fn is_booting_under_an_owner(state: &ClusterState, machine: &MachineRecord) -> bool {
     let lease = state.shard_leases.get(&machine.shard);
     machine.ready_ms.is_none()
--- a/crates/rushwalk/src/capacity/inventory.rs
+++ b/crates/rushwalk/src/capacity/inventory.rs
@@ -23,26 +23,34 @@
 /// A listing may take at most one in so many of the calls to the cloud.
 const LIST_CALL_SHARE: f64 = 10.0;
 
-/// What a rental may be older than its machine's age tells, beyond the clocks' skew.
+/// By how much a rental may be older than its machine, beyond the clocks' skew, in
+/// milliseconds.
 const AGE_TOLERANCE_MS: UnixMillis = 2000;
 
 /// Reads machine types and the machine list while this process leads.
-pub struct Inventory {
+pub(crate) struct Inventory {
     /// This process's context.
     pub context: Arc<Context>,
     /// Shows the machines that are known.
     pub replica: Arc<Replica>,
     /// Only the leader reconciles.
     pub leadership: Arc<Leadership>,
-    /// How the cloud is asked.
+    /// Calls the cloud.
     pub cloud: Arc<CloudClient>,
     /// Shows what was deleted lately.
     pub tracker: Arc<RentalTracker>,
 }
 
+/// What a comparison of the cloud's list with the state leads to.
+struct Reconciliation {
+    /// The leadership under which it is committed.
+    leader: LeaderVersion,
+    mutations: Vec<Mutation>,
+}
+
 impl Inventory {
-    /// Reads both from time to time, for good.
-    pub async fn run(self) {
+    /// Reads both from time to time, until the process ends.
+    pub(crate) async fn run(self) {
         let mut types_read: Option<Instant> = None;
         let mut list_read: Option<Instant> = None;
         let timing = &self.context.timing;
@@ -108,9 +116,9 @@
                 return;
             }
         };
-        if let Some((version, mutations)) = self.compare(&listed) {
+        if let Some(Reconciliation { leader, mutations }) = self.compare(&listed) {
             self.leadership
-                .append(version, &mutations, WritePriority::Maintenance)
+                .append(leader, &mutations, WritePriority::Maintenance)
                 .await;
         }
     }
@@ -131,9 +139,9 @@
         }
     }
 
-    fn compare(&self, listed: &[ListedMachine]) -> Option<(LeaderVersion, Vec<Mutation>)> {
+    fn compare(&self, listed: &[ListedMachine]) -> Option<Reconciliation> {
         let state = self.replica.state();
-        let version = self.leadership.version(&state)?;
+        let leader = self.leadership.version(&state)?;
         let lag_s = self.context.settings.site.cloud.list_lag_s;
         let mut tracked = self.tracker.state();
         // The list lags: a machine just deleted may still be on it.
@@ -168,7 +176,7 @@
                 machines,
             })
         }));
-        Some((version, mutations))
+        Some(Reconciliation { leader, mutations })
     }
 
     /// Whether no rental that is open may have brought a machine.
--- a/crates/rushwalk/src/capacity/machines.rs
+++ b/crates/rushwalk/src/capacity/machines.rs
@@ -1,4 +1,5 @@
-//! What there is to schedule on: machines, those being rented, and what may be rented.
+//! The machines of a scheduling round: those that exist, those being rented, and those that
+//! may be rented.
 
 use super::boot_supervision::BootSupervisor;
 use super::rentals::{RentalState, kind_of};
@@ -18,7 +19,7 @@
 const RENTAL_ROOM: usize = 64;
 
 /// Builds rounds of scheduling from the state.
-pub struct RoundBuilder<'c, 's> {
+pub(crate) struct RoundBuilder<'c, 's> {
     /// This process's context.
     pub context: &'c Context,
     /// The state.
@@ -28,12 +29,12 @@
     /// All zones, in their order.
     pub zones: Vec<Arc<str>>,
     /// How machines boot.
-    pub boots: &'s BootSupervisor,
-    /// The present, in seconds.
+    pub boot_supervisor: &'s BootSupervisor,
+    /// The current time, in seconds since the Unix epoch.
     pub now_s: f64,
 }
 
-/// Machines of ours in a zone.
+/// How many machines there are in a zone.
 #[derive(Debug, Clone, Copy, Default)]
 struct ZoneCounts {
     machines: usize,
@@ -41,15 +42,15 @@
 }
 
 impl ZoneCounts {
-    /// Whether the zone is partitioned from us: what is rented there would be so too.
-    fn is_cut_off(self) -> bool {
+    /// Whether the zone is partitioned from this controller: machines rented there would be, too.
+    fn is_partitioned(self) -> bool {
         self.unreachable > 2 && self.unreachable * 2 > self.machines
     }
 }
 
 impl<'c> RoundBuilder<'c, '_> {
     /// A round with all machines and rentals, and with what may be rented.
-    pub fn build(&self, rentals: &mut RentalState) -> SchedulingRound<'c> {
+    pub(crate) fn build(&self, rentals: &mut RentalState) -> SchedulingRound<'c> {
         let rentable = self.rentable(rentals);
         let machines = self.state.machines.len() + RENTAL_ROOM;
         let zones = self.zones.clone();
@@ -78,9 +79,12 @@
             }
             let ready_s = match record.ready_ms {
                 Some(_) => self.now_s,
-                None => self
-                    .boots
-                    .expected_ready_s(record, self.types, &self.zones, self.now_s),
+                None => self.boot_supervisor.expected_ready_s(
+                    record,
+                    self.types,
+                    &self.zones,
+                    self.now_s,
+                ),
             };
             if let Some(timeline) = inputs.timeline(id, machine, ready_s) {
                 round.machines.push(timeline);
@@ -108,7 +112,7 @@
     }
 
     fn expected_boot_s(&self, group: usize, zone: usize, machine_type: &MachineType) -> f64 {
-        self.boots
+        self.boot_supervisor
             .boot_times()
             .expected_boot_s(BootGroup::new(group, zone), machine_type.boot_s)
     }
@@ -125,7 +129,7 @@
                     .get(zone_name.as_str())
                     .copied()
                     .unwrap_or_default();
-                if in_zone.is_cut_off() {
+                if in_zone.is_partitioned() {
                     continue;
                 }
                 let Some(zone) = self.zones.iter().position(|z| **z == **zone_name) else {
--- a/crates/rushwalk/src/capacity/rentals.rs
+++ b/crates/rushwalk/src/capacity/rentals.rs
@@ -1,4 +1,4 @@
-//! Requests the rentals that were committed, and commits what became of them.
+//! Requests the rentals that were committed, and commits their outcomes.
 
 use super::shard_allocation::ShardAllocator;
 use crate::context::Context;
@@ -22,16 +22,16 @@
 
 /// A rental that was never requested from the cloud.
 #[derive(Debug, Clone, Copy)]
-pub struct UnsentRental {
+pub(crate) struct UnsentRental {
     /// The leadership under which it was decided: no other controller can have requested it.
     pub leader: LeaderVersion,
     /// When it was decided, in seconds since the start of this process.
     pub decided_s: f64,
 }
 
-/// What is known of rentals beyond the cluster's state. A new process starts with nothing.
+/// What is known of rentals beyond the cluster's state. It starts empty with each process.
 #[derive(Default)]
-pub struct RentalState {
+pub(crate) struct RentalState {
     /// What the cloud has to rent, as far as its responses show.
     pub capacity: CapacityEstimator,
     /// Rentals whose request is in flight.
@@ -44,19 +44,19 @@
 
 /// The rental state, shared by all that deal with the cloud.
 #[derive(Default)]
-pub struct RentalTracker {
+pub(crate) struct RentalTracker {
     state: Mutex<RentalState>,
 }
 
 impl RentalTracker {
     /// The state. The lock is taken after that of the cluster's state, if both are.
-    pub fn state(&self) -> MutexGuard<'_, RentalState> {
+    pub(crate) fn state(&self) -> MutexGuard<'_, RentalState> {
         self.state.lock()
     }
 }
 
 /// The kind of machine that a rental asks for.
-pub fn kind_of(request: &RentalRequest) -> InstanceKind {
+pub(crate) fn kind_of(request: &RentalRequest) -> InstanceKind {
     InstanceKind::new(
         request.machine_type.as_str(),
         request.zone.as_str(),
@@ -73,22 +73,22 @@
 
 /// Requests rentals while this process leads.
 #[derive(Clone)]
-pub struct Rentals {
+pub(crate) struct Rentals {
     /// This process's context.
     pub context: Arc<Context>,
     /// Shows the rentals to be requested.
     pub replica: Arc<Replica>,
     /// Only the leader requests.
     pub leadership: Arc<Leadership>,
-    /// How the cloud is asked.
+    /// Calls the cloud.
     pub cloud: Arc<CloudClient>,
     /// What is in flight.
     pub tracker: Arc<RentalTracker>,
 }
 
 impl Rentals {
-    /// Requests rentals side by side, and commits together what became of them, for good.
-    pub async fn run(self) {
+    /// Requests rentals side by side, and commits their outcomes together, until the process ends.
+    pub(crate) async fn run(self) {
         let (responses, mut received) = mpsc::unbounded_channel::<RentalResponse>();
         loop {
             sleep(self.context.timing.round / 8).await;
@@ -105,8 +105,8 @@
                     .append(version, &mutations, WritePriority::Scheduling)
                     .await;
             }
-            // What is still open is requested again under the same name, which rents
-            // nothing more.
+            // Rentals that are still open are requested again under the same name: the
+            // request is idempotent.
             for response in &answered {
                 self.tracker.state().in_flight.remove(&response.rental);
             }
@@ -204,6 +204,12 @@
             ?kind,
             "rental answered"
         );
+        self.record_response(kind, requested, rented);
+        Some(outcome)
+    }
+
+    /// Records how many machines of a kind the cloud had, for the estimate of its capacity.
+    fn record_response(&self, kind: &InstanceKind, requested: u32, rented: u32) {
         let owned = self.replica.state().count_of_kind(kind);
         let pause_s = PROBE_PAUSE_ROUNDS * self.context.timing.round.as_secs_f64();
         let now_s = self.context.uptime_s();
@@ -211,10 +217,9 @@
             .state()
             .capacity
             .record_response(kind, requested, rented, owned, now_s, pause_s);
-        Some(outcome)
     }
 
-    /// What became of rentals, with shards for what was rented.
+    /// The outcomes of rentals, with shards for the rented machines.
     fn outcomes(&self, responses: &[RentalResponse]) -> Vec<Mutation> {
         let state = self.replica.state();
         let mut allocator = ShardAllocator::new(&state, self.context.controllers());
--- a/crates/rushwalk/src/capacity/scale_in.rs
+++ b/crates/rushwalk/src/capacity/scale_in.rs
@@ -1,4 +1,4 @@
-//! Which machines to do without.
+//! Scale in: which machines to remove.
 
 use crate::scheduler_inputs;
 use rushwalk_protocol::ids::MachineId;
@@ -18,8 +18,9 @@
 /// Machines used by more than this share are not worth emptying.
 const WELL_USED: f64 = 0.7;
 
-/// A start that is stopped within this time does not count for the users.
-const SETTLED_MS: UnixMillis = 30_000;
+/// Services that started less than this ago are not moved: a start that is stopped so soon
+/// does not count for the users. In milliseconds.
+const MIN_SERVICE_UPTIME_MS: UnixMillis = 30_000;
 
 /// The share of a boot time for which a machine stays idle: having it again costs a boot.
 const IDLE_BOOT_SHARE: f64 = 0.5;
@@ -33,13 +34,13 @@
 /// The boot time that counts if all are longer, in seconds.
 const MAX_SHORTEST_BOOT_S: f64 = 60.0;
 
-/// Chooses machines to do without. A new leader starts with nothing.
+/// Chooses machines to remove. A new leader starts without any history.
 #[derive(Default)]
-pub struct ScaleIn {
+pub(crate) struct ScaleIn {
     idle_since: HashMap<MachineId, Instant>,
     /// When a machine with services was last emptied.
     service_moved: Option<Instant>,
-    /// How many machines to try to do without; doubles while it works.
+    /// How many machines to try to remove; doubles while that succeeds.
     batch: usize,
     /// When that last failed.
     failed: Option<Instant>,
@@ -51,9 +52,20 @@
     machine: usize,
 }
 
+/// A machine's timeline before services were planned on it.
+struct SavedTimeline {
+    /// The machine's index in the round.
+    index: usize,
+    timeline: MachineTimeline,
+}
+
 impl ScaleIn {
     /// Drains machines that nothing needs, and deletes drained ones.
-    pub fn remove_idle(&mut self, state: &ClusterState, round: &SchedulingRound) -> Vec<Mutation> {
+    pub(crate) fn remove_idle(
+        &mut self,
+        state: &ClusterState,
+        round: &SchedulingRound,
+    ) -> Vec<Mutation> {
         let in_use = round.machines.iter().filter(|machine| machine.tasks > 0);
         let needed: BTreeSet<&str> = in_use.map(|machine| &*machine.name).collect();
         self.idle_since
@@ -80,7 +92,7 @@
         mutations
     }
 
-    /// What becomes of an idle machine, if anything does now.
+    /// The next lifecycle of an idle machine, if it changes now.
     fn next_lifecycle(
         &mut self,
         state: &ClusterState,
@@ -100,11 +112,11 @@
         }
     }
 
-    /// Machines to do without, if what waits and what is expected finds its places all the
-    /// same: the dearest for what is on them first. They are closed in the round. Batch
+    /// Machines to remove, if what is pending and what is expected finds its places without
+    /// them: the most expensive for what is on them first. They are cordoned in the round. Batch
     /// tasks end where they are; services move, one machine's at a time, to where their
     /// images are already.
-    pub fn empty_machines(
+    pub(crate) fn empty_machines(
         &mut self,
         state: &ClusterState,
         round: &mut SchedulingRound,
@@ -145,8 +157,8 @@
         emptied
     }
 
-    /// Notes whether the jobs found their places without the emptied machines.
-    pub fn record_trial(&mut self, succeeded: bool) {
+    /// Records whether the jobs found their places without the emptied machines.
+    pub(crate) fn record_trial(&mut self, succeeded: bool) {
         if succeeded {
             self.batch = (self.batch * 2).min(MAX_EMPTIED);
         } else {
@@ -169,7 +181,7 @@
     Duration::from_secs_f64(PAUSE_BOOT_SHARE * shortest_s)
 }
 
-/// Machines that might be emptied, the dearest for what is on them first.
+/// Machines that might be emptied, the most expensive for what is on them first.
 fn candidates(state: &ClusterState, round: &SchedulingRound) -> Vec<Candidate> {
     let mut candidates = Vec::new();
     for (index, machine) in round.machines.iter().enumerate() {
@@ -195,7 +207,7 @@
 /// Plans services on other machines that are in use and have their images; false, and
 /// nothing is planned, if not all find such a place.
 fn move_services(round: &mut SchedulingRound, services: &[PendingJob]) -> bool {
-    let mut before: Vec<(usize, MachineTimeline)> = Vec::new();
+    let mut before: Vec<SavedTimeline> = Vec::new();
     for job in services {
         let Some(choice) = round.best_machine(job, true) else {
             restore(round, before);
@@ -204,7 +216,10 @@
         let is_warm = choice.finish.running_s <= round.planned_time_s + job.overhead_s + 0.1;
         let machine = &round.machines[choice.machine];
         let is_in_use = machine.tasks > 0;
-        before.push((choice.machine, machine.clone()));
+        before.push(SavedTimeline {
+            index: choice.machine,
+            timeline: machine.clone(),
+        });
         round.machines.place(choice.machine, job, &choice.finish);
         if !(is_in_use && is_warm) {
             restore(round, before);
@@ -214,13 +229,13 @@
     true
 }
 
-fn restore(round: &mut SchedulingRound, before: Vec<(usize, MachineTimeline)>) {
-    for (index, machine) in before.into_iter().rev() {
-        round.machines.restore(index, machine);
+fn restore(round: &mut SchedulingRound, before: Vec<SavedTimeline>) {
+    for saved in before.into_iter().rev() {
+        round.machines.restore(saved.index, saved.timeline);
     }
 }
 
-/// A machine's services as if they waited; `None` if the machine should stay as it is:
+/// A machine's services as pending jobs; `None` if the machine should stay as it is:
 /// gangs keep what they have, and what has just started is not disturbed.
 fn services_to_move(
     state: &ClusterState,
@@ -234,9 +249,9 @@
         let record = &task.record;
         let is_service = job.spec.shape == Shape::Service;
         let started_ms = record.started_ms;
-        let is_settled = started_ms.is_some_and(|at| now_ms > at + SETTLED_MS);
+        let is_established = started_ms.is_some_and(|at| now_ms > at + MIN_SERVICE_UPTIME_MS);
         let is_open = job.phase == JobPhase::Active && record.stop_reason.is_none();
-        if !is_open || job.spec.shape == Shape::Gang || (is_service && !is_settled) {
+        if !is_open || job.spec.shape == Shape::Gang || (is_service && !is_established) {
             return None;
         }
         if !is_service {
--- a/crates/rushwalk/src/connections.rs
+++ b/crates/rushwalk/src/connections.rs
@@ -4,7 +4,7 @@
 //! The limit leaves sockets for the calls that the controller itself must make: without
 //! the key-value store, the cloud and its workers it can keep no guarantee. At the limit
 //! connections are closed in this order: idle ones of users, the longest idle first, then
-//! those of workers that have fallen silent.
+//! those of workers that no longer send heartbeats.
 //!
 //! Machines that fail close no connection, so whatever is idle for as long as a worker
 //! lease is closed at any time: when a third of the machines had failed, a controller once
@@ -16,10 +16,11 @@
 #[cfg(test)]
 mod tests;
 
-pub use tracked::TrackedConnection;
+pub(crate) use tracked::TrackedConnection;
 
 use parking_lot::Mutex;
 use poem::web::RemoteAddr;
+use serde::Serialize;
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -32,7 +33,7 @@
 /// [`ConnectionTable::shed`].
 const SHED_DIVISOR: usize = 64;
 
-/// How often [`ConnectionTable::sweep_loop`] looks within the idle limit.
+/// How often [`ConnectionTable::sweep_loop`] sweeps within the idle limit.
 const SWEEPS_PER_IDLE_LIMIT: u32 = 4;
 
 /// The connections that are open at the public address.
@@ -43,6 +44,15 @@
     connections: Mutex<HashMap<SocketAddr, Arc<ConnectionState>>>,
 }
 
+/// How many connections are open at the public address, as the administration API shows it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
+pub struct ConnectionCounts {
+    /// All open connections.
+    pub open: usize,
+    /// Of the open ones, those of workers.
+    pub workers: usize,
+}
+
 /// What the table knows of one connection.
 struct ConnectionState {
     /// When data was last read or written, in milliseconds since the table was made.
@@ -76,14 +86,17 @@
         self.connections.lock().len() >= self.capacity
     }
 
-    /// How many connections are open, and how many of these are workers'.
-    pub fn count(&self) -> (usize, usize) {
+    /// How many connections are open now.
+    pub fn count(&self) -> ConnectionCounts {
         let connections = self.connections.lock();
         let workers = connections.values().filter(|c| c.is_worker());
-        (connections.len(), workers.count())
+        ConnectionCounts {
+            open: connections.len(),
+            workers: workers.count(),
+        }
     }
 
-    /// Notes that a worker has sent a heartbeat from this address.
+    /// Records that a worker has sent a heartbeat from this address.
     pub fn mark_worker(&self, remote: &RemoteAddr) {
         if let Some(connection) = self.connections.lock().get(&connection_key(remote)) {
             connection.is_worker.store(true, Ordering::Relaxed);
@@ -111,7 +124,7 @@
         }
     }
 
-    /// Closes idle connections from time to time, for ever.
+    /// Closes idle connections from time to time, until the process ends.
     pub async fn sweep_loop(self: Arc<ConnectionTable>, idle_limit: Duration) {
         loop {
             sleep(idle_limit / SWEEPS_PER_IDLE_LIMIT).await;
--- a/crates/rushwalk/src/http/forwarding.rs
+++ b/crates/rushwalk/src/http/forwarding.rs
@@ -19,7 +19,7 @@
 /// Peers that are asked at most.
 const MAX_PEERS: usize = 2;
 
-/// Rounds after which a peer's heartbeat, or the read of which it tells, is too old.
+/// Rounds after which a peer's heartbeat, or the read that it reports, is too old.
 const MAX_AGE_ROUNDS: f64 = 4.0;
 
 /// Statuses from here on say that the peer could not carry the request out.
@@ -27,12 +27,12 @@
 
 /// Forwards requests to peers that reach the store.
 #[derive(Clone)]
-pub struct PeerForwarder {
+pub(super) struct PeerForwarder {
     /// This process's context.
     pub context: Arc<Context>,
-    /// Tells which peers are healthy.
+    /// Shows which peers are healthy.
     pub peers: Arc<PeerMonitor>,
-    /// How peers are called.
+    /// Calls the peers.
     pub client: PeerClient,
 }
 
@@ -56,12 +56,12 @@
 
     /// Forwards a request; `None` if no peer could carry it out. If the response is lost it
     /// may have been: as with any lost response, users ask again.
-    pub async fn forward(&self, request: &ForwardedRequest) -> Option<ForwardedResponse> {
+    pub(super) async fn forward(&self, request: &ForwardedRequest) -> Option<ForwardedResponse> {
         for endpoint in self.able_peers().iter().take(MAX_PEERS) {
-            let patience = self.context.timing.round;
+            let timeout = self.context.timing.round;
             let call =
                 self.client
-                    .call::<_, ForwardedResponse>(endpoint, FORWARD_PATH, request, patience);
+                    .call::<_, ForwardedResponse>(endpoint, FORWARD_PATH, request, timeout);
             if let Ok(response) = call.await
                 && response.status < SERVER_ERROR
             {
@@ -72,13 +72,11 @@
     }
 
     /// Asks for a job's status; `None` if no peer answers.
-    pub async fn job_status(&self, job: &str) -> Option<JobStatusReply> {
+    pub(super) async fn job_status(&self, job: &str) -> Option<JobStatusReply> {
         let query = JobStatusQuery { job: job.into() };
         for endpoint in self.able_peers().iter().take(MAX_PEERS) {
-            let patience = self.context.timing.round / 2;
-            let call = self
-                .client
-                .call(endpoint, JOB_STATUS_PATH, &query, patience);
+            let timeout = self.context.timing.round / 2;
+            let call = self.client.call(endpoint, JOB_STATUS_PATH, &query, timeout);
             if let Ok(reply) = call.await {
                 return Some(reply);
             }
--- a/crates/rushwalk/src/leadership/election.rs
+++ b/crates/rushwalk/src/leadership/election.rs
@@ -28,7 +28,7 @@
     parts: ElectionParts,
     slowness: SlownessTracker,
     /// Since when no live controller holds leadership.
-    open_since: Option<Instant>,
+    vacant_since: Option<Instant>,
 }
 
 /// The parts that an election uses.
@@ -62,11 +62,11 @@
         Election {
             parts,
             slowness: SlownessTracker::default(),
-            open_since: None,
+            vacant_since: None,
         }
     }
 
-    /// Takes part in elections, for good.
+    /// Takes part in elections until the process ends.
     pub async fn run(mut self) {
         let mut seen = self.parts.replica.change_count();
         let interval = self.parts.context.timing.peer_heartbeat / 2;
@@ -76,16 +76,16 @@
             seen = self.parts.replica.change_count();
             let lease = self.parts.membership.lease();
             let Some(lease) = lease.filter(|_| self.parts.replica.is_registered()) else {
-                self.open_since = None;
+                self.vacant_since = None;
                 continue;
             };
             if let Some(version) = self.parts.leadership.current_version() {
-                self.open_since = None;
+                self.vacant_since = None;
                 self.keep_or_step_down(version, lease, interval).await;
-            } else if self.is_open() {
+            } else if self.is_vacant() {
                 self.campaign_in_order(lease, interval).await;
             } else {
-                self.open_since = None;
+                self.vacant_since = None;
             }
         }
     }
@@ -101,13 +101,13 @@
         }
     }
 
-    /// What another controller does while leadership is open: it lets the candidates that
+    /// What another controller does while leadership is vacant: it lets the candidates that
     /// rank before it go first, then campaigns.
     async fn campaign_in_order(&mut self, lease: u64, pause: Duration) {
         if self.parts.membership.is_crash_looping() {
             self.defer_election().await;
         }
-        let since = *self.open_since.get_or_insert_with(Instant::now);
+        let since = *self.vacant_since.get_or_insert_with(Instant::now);
         if since.elapsed() < self.election_delay() {
             // Nothing may change meanwhile but the time.
             sleep(pause / 4).await;
@@ -120,7 +120,7 @@
 
     /// Whether leadership can be acquired: nobody has it, a previous process of ours, or a
     /// controller that has failed. The commit is conditioned on the key as it was seen.
-    fn is_open(&self) -> bool {
+    fn is_vacant(&self) -> bool {
         let state = self.parts.replica.state();
         match &state.leader {
             None => true,
@@ -313,10 +313,10 @@
     }
 
     async fn wait_for(&self, revision: Revision) {
-        let patience = self.parts.context.timing.round * 2;
+        let max_wait = self.parts.context.timing.round * 2;
         self.parts
             .replica
-            .wait_for_revision(revision, patience)
+            .wait_for_revision(revision, max_wait)
             .await;
     }
 }
--- a/crates/rushwalk/src/leadership/leader.rs
+++ b/crates/rushwalk/src/leadership/leader.rs
@@ -38,7 +38,7 @@
 }
 
 /// The term that ends when a leader relinquishes leadership, by the version of its key.
-pub fn leadership_term(version: Revision) -> MembershipTerm {
+pub(crate) fn leadership_term(version: Revision) -> MembershipTerm {
     MembershipTerm {
         incarnation: 0,
         since: version,
@@ -159,12 +159,12 @@
         self.term.lock().last_transfer.map(|at| at.elapsed())
     }
 
-    /// Notes that leadership passed from one live controller to another.
+    /// Records that leadership passed from one live controller to another.
     pub fn record_transfer(&self) {
         self.term.lock().last_transfer = Some(Instant::now());
     }
 
-    /// Notes the end of a scheduling round.
+    /// Records the end of a scheduling round.
     pub fn record_round(&self) {
         let mut term = self.term.lock();
         let previous = term.last_round.replace(Instant::now());
@@ -174,12 +174,12 @@
         }
     }
 
-    /// Notes the election that this process is about to try.
+    /// Records the election that this process is about to try.
     pub(crate) fn begin_election(&self, election_id: u64) {
         self.term.lock().election_id = Some(election_id);
     }
 
-    /// Notes that an election was won; `is_new` unless this process led before.
+    /// Records that an election was won; `is_new` unless this process led before.
     pub(super) fn record_election(&self, is_new: bool) {
         let mut term = self.term.lock();
         term.has_unresolved_commit = false;
@@ -195,9 +195,9 @@
         self.acquired.notify_one();
     }
 
-    /// Waits until leadership is acquired, for `patience` at most.
-    pub async fn wait_acquired(&self, patience: Duration) {
-        let _ = timeout(patience, self.acquired.notified()).await;
+    /// Waits until leadership is acquired, for `max_wait` at most.
+    pub async fn wait_acquired(&self, max_wait: Duration) {
+        let _ = timeout(max_wait, self.acquired.notified()).await;
     }
 
     /// Commits under this leadership (see [`LeaderVersion::transaction`]); false if the
--- a/crates/rushwalk/src/leadership/snapshot_writer.rs
+++ b/crates/rushwalk/src/leadership/snapshot_writer.rs
@@ -1,4 +1,4 @@
-//! The leader writes snapshots, so that the log's keys can be used again and a controller
+//! The leader writes snapshots, so that the log's keys can be reused and a controller
 //! that starts has little to read.
 
 use super::leader::{LeaderVersion, Leadership};
@@ -18,25 +18,25 @@
 /// A snapshot is written after as many log entries as the store takes in so many seconds.
 const ENTRIES_S: f64 = 12.0;
 
-/// Mutations packed in one turn of the thread.
+/// Mutations packed in one time slice.
 const PACKED_AT_ONCE: usize = 256;
 
 /// Bytes of chunks in one transaction.
 const MAX_CHUNK_BYTES: usize = 40 << 10;
 
 /// Writes snapshots while this process leads.
-pub struct SnapshotWriter {
+pub(crate) struct SnapshotWriter {
     /// This process's context.
     pub context: Arc<Context>,
     /// The state of which snapshots are made.
     pub replica: Arc<Replica>,
-    /// How chunks are committed.
+    /// Commits the chunks.
     pub committer: Arc<Committer>,
     /// Knows the size of a value.
     pub log: Arc<LogWriter>,
     /// Only the leader writes.
     pub leadership: Arc<Leadership>,
-    /// Where the time goes.
+    /// Measures the work that is done.
     pub work_profile: Arc<WorkProfile>,
 }
 
@@ -48,15 +48,21 @@
     manifest_version: Revision,
 }
 
-/// What became of a transaction with chunks.
+/// A draft with the mutations that its chunks will hold.
+struct DraftContents {
+    draft: Draft,
+    mutations: Vec<Mutation>,
+}
+
+/// The outcome of a transaction with chunks.
 enum ChunkOutcome {
     Written,
     Abandoned,
 }
 
 impl SnapshotWriter {
-    /// Writes a snapshot whenever the log has grown enough, for good.
-    pub async fn run(self) {
+    /// Writes a snapshot whenever the log has grown enough, until the process ends.
+    pub(crate) async fn run(self) {
         let write_rps = self.context.settings.site.store.write_rps;
         let max_entries = (ENTRIES_S * write_rps) as usize;
         loop {
@@ -75,7 +81,11 @@
     /// Chunks first, in the keys that are not in use, then the manifest that makes them
     /// count. All on condition of the leader key: of two leaders one fails.
     async fn write(&self) {
-        let Some((mut draft, mutations)) = self.begin() else {
+        let Some(DraftContents {
+            mut draft,
+            mutations,
+        }) = self.begin()
+        else {
             return;
         };
         let chunks = self.pack(mutations).await;
@@ -85,7 +95,7 @@
         }
     }
 
-    fn begin(&self) -> Option<(Draft, Vec<Mutation>)> {
+    fn begin(&self) -> Option<DraftContents> {
         let _timer = self.work_profile.start(WorkKind::Snapshot);
         let state = self.replica.state();
         let draft = Draft {
@@ -97,7 +107,10 @@
             },
             manifest_version: state.key_version(keys::SNAPSHOT_MANIFEST),
         };
-        Some((draft, state.to_mutations()))
+        Some(DraftContents {
+            draft,
+            mutations: state.to_mutations(),
+        })
     }
 
     /// Packs the mutations, which are of one moment; that takes longer than others on this
@@ -129,7 +142,7 @@
                     ..Write::default()
                 });
             }
-            if let ChunkOutcome::Abandoned = self.write_until_taken(draft, transaction).await {
+            if let ChunkOutcome::Abandoned = self.write_with_retries(draft, transaction).await {
                 return ChunkOutcome::Abandoned;
             }
             sleep(self.context.timing.round / 4).await;
@@ -137,7 +150,7 @@
         ChunkOutcome::Written
     }
 
-    async fn write_until_taken(&self, draft: &Draft, transaction: Transaction) -> ChunkOutcome {
+    async fn write_with_retries(&self, draft: &Draft, transaction: Transaction) -> ChunkOutcome {
         loop {
             let commit = self
                 .committer
@@ -147,7 +160,7 @@
                 return ChunkOutcome::Written;
             }
             match outcome {
-                // Too many writes at once: others go first.
+                // Too many writes at once: more urgent ones go first.
                 CommitOutcome::Rejected(_) => sleep(self.context.timing.round / 2).await,
                 // One of unknown outcome would, arriving late, replace a chunk of the next
                 // try once that counts, and nobody could read the snapshot any more.
--- a/crates/rushwalk/src/reporting/usage.rs
+++ b/crates/rushwalk/src/reporting/usage.rs
@@ -1,4 +1,4 @@
-//! Logs from time to time where the time went, and which jobs are served least.
+//! Logs regularly where the time went, and which jobs are served least.
 
 use crate::connections::ConnectionTable;
 use crate::context::Context;
@@ -9,7 +9,7 @@
 use tokio::time::sleep;
 
 /// Logs once in a worker lease.
-pub struct UsageReport {
+pub(crate) struct UsageReport {
     /// This process's context.
     pub context: Arc<Context>,
     /// Counts the jobs that are served.
@@ -18,13 +18,13 @@
     pub connections: Arc<ConnectionTable>,
     /// Shows whether this controller keeps up.
     pub runtime_lag: Arc<RuntimeLag>,
-    /// Where the time goes.
+    /// Measures the work that is done.
     pub work_profile: Arc<WorkProfile>,
 }
 
 impl UsageReport {
-    /// Logs for good.
-    pub async fn run(self) {
+    /// Logs until the process ends.
+    pub(crate) async fn run(self) {
         loop {
             sleep(self.context.timing.worker_lease).await;
             self.log_time();
@@ -35,7 +35,7 @@
     fn log_time(&self) {
         let times = self.context.process_times();
         let (up_s, busy_s) = (times.up_s, times.busy_s);
-        let (connections, workers) = self.connections.count();
+        let connections = self.connections.count();
         let recent_lag_ms = self.runtime_lag.recent_lag().as_millis() as u64;
         let mean_lag_ms = self.runtime_lag.mean_lag().as_millis() as u64;
         let work = self.work_profile.summary();
@@ -44,8 +44,8 @@
             busy_s,
             recent_lag_ms,
             mean_lag_ms,
-            connections,
-            workers,
+            connections = connections.open,
+            workers = connections.workers,
             %work,
             "time spent"
         );
--- a/crates/rushwalk/src/scheduling/assignment.rs
+++ b/crates/rushwalk/src/scheduling/assignment.rs
@@ -14,9 +14,10 @@
 use rushwalk_state::{ClusterState, Mutation, UnixMillis};
 use std::collections::BTreeMap;
 
-/// So many tasks with their machines fit the smallest value of the store. A larger gang,
-/// which is assigned whole, goes without them, and the owners of its shards search.
-const MAX_HINTED_GANG: usize = 8 * MAX_BATCH;
+/// The most tasks whose mutation, with their machines, fits the smallest value of the store. A
+/// larger gang, which is assigned at once, is assigned without machines, and the owners of its
+/// shards choose them.
+const MAX_GANG_WITH_HINTS: usize = 8 * MAX_BATCH;
 
 /// Counts assigned tasks into the usage, and plans places for those that the owner of their
 /// shard has not placed yet.
@@ -34,7 +35,18 @@
             round.usage.add(&job.spec.team, resources);
         }
     }
-    let mut last: Option<(&JobId, PendingJob)> = None;
+    reserve_unplaced(state, types, round);
+}
+
+/// A job whose tasks are being reserved.
+struct ReservedJob<'a> {
+    id: &'a JobId,
+    pending: PendingJob,
+}
+
+/// Plans places for assigned tasks that are not placed yet.
+fn reserve_unplaced(state: &ClusterState, types: &MachineTypes, round: &mut SchedulingRound) {
+    let mut last: Option<ReservedJob> = None;
     for id in &state.unplaced {
         let Some((job, task)) = state.task(id) else {
             continue;
@@ -43,18 +55,19 @@
             continue;
         };
         let pending = match &last {
-            Some((last_id, pending)) if **last_id == id.job => pending,
+            Some(reserved) if *reserved.id == id.job => &reserved.pending,
             _ => {
                 let pending = scheduler_inputs::pending_job(state, &job.spec, types);
-                &last.insert((&id.job, pending)).1
+                let id = &id.job;
+                &last.insert(ReservedJob { id, pending }).pending
             }
         };
-        reserve_hinted(round, pending, hint);
+        reserve_hinted_machine(round, pending, hint);
     }
 }
 
 /// Plans a task on the machine for which it was assigned.
-fn reserve_hinted(round: &mut SchedulingRound, pending: &PendingJob, hint: &MachineId) {
+fn reserve_hinted_machine(round: &mut SchedulingRound, pending: &PendingJob, hint: &MachineId) {
     // Machines come in the order of their names.
     let index = round
         .machines
@@ -71,7 +84,7 @@
 }
 
 /// Assigns tasks that can start now to the shards of their machines. Not to a shard that
-/// takes no more work, whose owner is gone or suspected: the place is kept for the time of
+/// takes no more work, whose owner has failed or is suspected: the place stays reserved for
 /// this round, since renting another would cost more.
 pub(super) fn assign(
     state: &ClusterState,
@@ -124,7 +137,7 @@
 }
 
 /// The mutations that assign a job's tasks to shards. An array's are split: with 900 places
-/// free at a time its one mutation fitted no value, so none of it started, round after
+/// free at a time its one mutation fitted no value, so none of it started, in any
 /// round, for as long as there was room for so many.
 fn assignments(
     id: &JobId,
@@ -157,7 +170,7 @@
 fn gang_shards(by_shard: TasksByShard) -> Vec<ShardTasks> {
     let tasks: usize = by_shard.values().map(Vec::len).sum();
     let shards = by_shard.into_iter().map(|(shard, mut tasks_of_shard)| {
-        if tasks > MAX_HINTED_GANG {
+        if tasks > MAX_GANG_WITH_HINTS {
             for task in &mut tasks_of_shard {
                 task.machine = "".into();
             }
--- a/crates/rushwalk/src/scheduling/expected_demand.rs
+++ b/crates/rushwalk/src/scheduling/expected_demand.rs
@@ -1,12 +1,11 @@
-//! What is expected to arrive, or to come back.
+//! Expected demand: jobs that may arrive, and services that may have to start anew.
 
 use super::queue::MIN_TASKS_PER_JOB;
 use crate::context::Context;
-use crate::scheduler_inputs::{self, seconds};
+use crate::scheduler_inputs::{self, is_usable_type, seconds};
 use rushwalk_protocol::ids::JobId;
 use rushwalk_protocol::jobs::{JobSpec, Priority, Shape};
 use rushwalk_protocol::settings::ObjectiveKind;
-use rushwalk_scheduler::Resources;
 use rushwalk_scheduler::arrivals::{arrival_rate, expected_arrival_times};
 use rushwalk_scheduler::round::PendingJob;
 use rushwalk_state::cluster_state::Arrival;
@@ -14,10 +13,10 @@
 use rushwalk_state::{ClusterState, UnixMillis};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The time over which arrivals are counted together.
+/// The length of a bucket in which arrivals are counted, in milliseconds.
 const BUCKET_MS: UnixMillis = 30_000;
 
-/// So many of these times, the latest, tell the rate of arrivals.
+/// The latest buckets from which the rate of arrivals is estimated.
 const MAX_BUCKETS: u64 = 5;
 
 /// Boot times before the end of a worker lease at which a place is made ready for a service.
@@ -31,22 +30,31 @@
     pub(super) job: PendingJob,
 }
 
+/// A class of jobs.
+struct JobClass<'a> {
+    /// Its latest arrivals, in order.
+    arrivals: &'a VecDeque<Arrival>,
+    /// The job that arrived last.
+    spec: &'a JobSpec,
+}
+
+/// Tasks of a service that may have to start anew.
+struct ReturningTasks {
+    /// In how many seconds.
+    in_s: f64,
+    tasks: Vec<u32>,
+}
+
 /// Arrivals to be expected while a machine would boot, and services that may come back:
-/// they are planned as what waits is, so that they find a warm machine.
+/// they are planned as pending jobs are, so that they find a machine that is ready.
 pub(super) fn expected_jobs(
     context: &Context,
     state: &ClusterState,
     types: &MachineTypes,
     now_ms: UnixMillis,
 ) -> Vec<ExpectedJob> {
-    let mut classes: Vec<(&VecDeque<Arrival>, &JobSpec)> = state
-        .arrivals
-        .values()
-        .filter_map(|arrivals| Some((arrivals, &*arrivals.back()?.spec)))
-        .collect();
-    classes.sort_by_key(|(_, spec)| (spec.priority, spec.class.clone()));
     let mut expected = Vec::new();
-    for (arrivals, spec) in classes {
+    for JobClass { arrivals, spec } in job_classes(state) {
         let rate = recent_arrival_rate(arrivals, now_ms);
         let lead_s = slowest_boot_s(spec, types);
         let deviations = deviations(context, spec);
@@ -63,6 +71,17 @@
     expected
 }
 
+/// The classes of which jobs have arrived, the most urgent first.
+fn job_classes(state: &ClusterState) -> Vec<JobClass<'_>> {
+    let with_arrivals = state.arrivals.values().filter_map(|arrivals| {
+        let spec = &arrivals.back()?.spec;
+        Some(JobClass { arrivals, spec })
+    });
+    let mut classes: Vec<JobClass> = with_arrivals.collect();
+    classes.sort_by_key(|class| (class.spec.priority, class.spec.class.clone()));
+    classes
+}
+
 /// Arrivals a second.
 fn recent_arrival_rate(arrivals: &VecDeque<Arrival>, now_ms: UnixMillis) -> f64 {
     let first_ms = arrivals.front().map_or(now_ms, |first| first.accepted_ms);
@@ -79,20 +98,20 @@
 
 /// The longest boot time of a machine that a job may use, in seconds.
 fn slowest_boot_s(spec: &JobSpec, types: &MachineTypes) -> f64 {
-    let usable = types.types.iter().filter(|t| {
-        spec.types.as_ref().is_none_or(|n| n.contains(&t.name))
-            && Resources::of_task(spec).fits_in(&Resources::of_type(t))
-    });
-    usable.map(|t| t.boot_s).fold(0.0, f64::max)
+    let types = types.types.iter();
+    let usable = types.filter(|machine_type| is_usable_type(spec, machine_type));
+    usable
+        .map(|machine_type| machine_type.boot_s)
+        .fold(0.0, f64::max)
 }
 
-/// For how many deviations from the mean number of arrivals there should be room. A job that
-/// only has to finish by a time can wait a little for the end of a burst.
+/// How many standard deviations above the mean number of arrivals there should be room for. A
+/// job that only has a deadline can wait a little for the end of a burst.
 fn deviations(context: &Context, spec: &JobSpec) -> f64 {
     let objectives = &context.settings.site.objectives;
-    let has_start_objective = objectives
-        .iter()
-        .any(|o| o.kind == ObjectiveKind::QueueTime && o.class == spec.class);
+    let has_start_objective = objectives.iter().any(|objective| {
+        objective.kind == ObjectiveKind::QueueTime && objective.class == spec.class
+    });
     match spec.priority {
         Priority::Production | Priority::High => 1.5,
         _ if has_start_objective => 1.0,
@@ -108,13 +127,33 @@
     types: &MachineTypes,
     now_ms: UnixMillis,
 ) -> Vec<ExpectedJob> {
+    let returning = returning_tasks(context, state, types, now_ms).into_iter();
+    let expected = returning.filter_map(|(id, returning)| {
+        let mut job = scheduler_inputs::pending_job(state, &state.jobs.get(id)?.spec, types);
+        job.tasks = returning.tasks;
+        Some(ExpectedJob {
+            in_s: returning.in_s,
+            job,
+        })
+    });
+    expected.collect()
+}
+
+/// The services' tasks on machines whose worker lease expires within the time that it takes
+/// to make a place ready, by job.
+fn returning_tasks<'a>(
+    context: &Context,
+    state: &'a ClusterState,
+    types: &MachineTypes,
+    now_ms: UnixMillis,
+) -> BTreeMap<&'a JobId, ReturningTasks> {
     let timing = &context.timing;
     let expiry = (timing.worker_lease + timing.lease_validity)
         .saturating_sub(timing.unreachable_after)
         .as_secs_f64();
     let boot_times = types.types.iter().map(|t| t.boot_s);
     let lead_s = boot_times.fold(0.0, f64::max) * LEAD_BOOT_TIMES;
-    let mut by_job: BTreeMap<&JobId, (f64, Vec<u32>)> = BTreeMap::new();
+    let mut by_job: BTreeMap<&JobId, ReturningTasks> = BTreeMap::new();
     for machine in state.machines.values() {
         let Some(unreachable_since_ms) = machine.record.unreachable_since_ms else {
             continue;
@@ -123,21 +162,24 @@
         if in_s > lead_s {
             continue;
         }
-        for id in &machine.tasks {
-            let job = state.jobs.get(&id.job);
-            let is_service = job.is_some_and(|job| {
-                job.phase == JobPhase::Active && job.spec.shape == Shape::Service
+        let services = machine
+            .tasks
+            .iter()
+            .filter(|id| is_active_service(state, &id.job));
+        for id in services {
+            let returning = by_job.entry(&id.job).or_insert_with(|| ReturningTasks {
+                in_s: in_s.max(0.0),
+                tasks: Vec::new(),
             });
-            if is_service {
-                let entry = by_job.entry(&id.job).or_insert((in_s.max(0.0), Vec::new()));
-                entry.1.push(id.index);
-            }
+            returning.tasks.push(id.index);
         }
     }
-    let expected = by_job.into_iter().filter_map(|(id, (in_s, tasks))| {
-        let mut job = scheduler_inputs::pending_job(state, &state.jobs.get(id)?.spec, types);
-        job.tasks = tasks;
-        Some(ExpectedJob { in_s, job })
-    });
-    expected.collect()
+    by_job
+}
+
+fn is_active_service(state: &ClusterState, id: &JobId) -> bool {
+    state
+        .jobs
+        .get(id)
+        .is_some_and(|job| job.phase == JobPhase::Active && job.spec.shape == Shape::Service)
 }
--- a/crates/rushwalk/src/scheduling/maintenance.rs
+++ b/crates/rushwalk/src/scheduling/maintenance.rs
@@ -1,15 +1,14 @@
-//! Broken gangs, assignments that no owner took up, evictions, and machines that are
-//! quarantined or given up.
+//! Broken gangs, assignments that no owner placed, evictions, and machines that are
+//! quarantined or deleted.
 
 use crate::context::Context;
+use crate::job_attempt::JobAttempt;
 use crate::scheduler_inputs::{predicted_end, seconds};
 use rushwalk_protocol::ids::{JobId, MachineId};
 use rushwalk_protocol::jobs::Shape;
 use rushwalk_state::mutation::{SetLifecycle, StopTasks, UnassignTasks, in_batches};
 use rushwalk_state::records::{JobPhase, MachineLifecycle, MachineRecord, StopReason};
-use rushwalk_state::{
-    ClusterState, JobState, MachineState, Mutation, Revision, TaskState, UnixMillis,
-};
+use rushwalk_state::{ClusterState, JobState, MachineState, Mutation, TaskState, UnixMillis};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -23,30 +22,34 @@
 /// Rounds after its notice for which a reclaimed machine may still be there.
 const RECLAIM_ROUNDS: u64 = 3;
 
-/// Why a machine is deleted at once, whatever is on it.
+/// Why a machine is deleted at once, with the tasks on it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum GiveUpReason {
+enum DeletionReason {
     /// It does not boot.
     NotBooting,
     /// The cloud has reclaimed it.
     Reclaimed,
-    /// It is unreachable for good.
+    /// It has been unreachable for too long.
     Unreachable,
 }
 
-/// One attempt at some tasks of a job.
-type JobAttempt = (JobId, Revision);
+/// An attempt that is stopped, and why.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
+struct StoppedAttempt {
+    attempt: JobAttempt,
+    reason: StopReason,
+}
 
 /// Tasks and machines that maintenance changes.
 #[derive(Default)]
 struct Changes {
     unassigned: BTreeMap<JobAttempt, Vec<u32>>,
-    stopped: BTreeMap<(JobAttempt, StopReason), Vec<u32>>,
+    stopped: BTreeMap<StoppedAttempt, Vec<u32>>,
     quarantined: Vec<MachineId>,
-    given_up: Vec<MachineId>,
+    deleted: Vec<MachineId>,
 }
 
-/// What keeps jobs and machines going. `abandoned` are machines that do not boot.
+/// The mutations that maintain jobs and machines. `abandoned` are machines that do not boot.
 pub(super) fn maintenance(
     context: &Context,
     state: &ClusterState,
@@ -62,13 +65,13 @@
             continue;
         }
         let reason = if abandoned.contains(id) {
-            Some(GiveUpReason::NotBooting)
+            Some(DeletionReason::NotBooting)
         } else {
-            give_up_reason(context, state, &machine.record, now_ms)
+            deletion_reason(context, state, &machine.record, now_ms)
         };
         if let Some(reason) = reason {
             tracing::info!(machine = &**id, ?reason, "machine given up");
-            changes.given_up.push(id.clone());
+            changes.deleted.push(id.clone());
             continue;
         }
         if lifecycle == MachineLifecycle::Active && machine.failed_jobs.len() >= FAULTY_JOBS {
@@ -82,7 +85,8 @@
     changes.into_mutations()
 }
 
-/// The owner of their shard found no room, or is gone.
+/// Unassigns tasks that the owner of their shard has not placed in time: it found no room,
+/// or has failed.
 fn unassign_stuck_tasks(
     context: &Context,
     state: &ClusterState,
@@ -95,13 +99,20 @@
         if let Some((_, task)) = state.task(id)
             && now_ms > task.record.scheduled_ms + stuck_ms
         {
-            let key = (id.job.clone(), task.record.attempt);
-            changes.unassigned.entry(key).or_default().push(id.index);
+            let attempt = JobAttempt {
+                job: id.job.clone(),
+                attempt: task.record.attempt,
+            };
+            changes
+                .unassigned
+                .entry(attempt)
+                .or_default()
+                .push(id.index);
         }
     }
 }
 
-/// A gang of which a task is gone, or stops, is stopped whole.
+/// Stops all tasks of a gang of which a task has ended or is stopping.
 fn stop_broken_gangs(state: &ClusterState, changes: &mut Changes) {
     for id in &state.jobs_with_tasks {
         let Some(job) = state.jobs.get(id) else {
@@ -159,43 +170,47 @@
     })
 }
 
-fn give_up_reason(
+fn deletion_reason(
     context: &Context,
     state: &ClusterState,
     machine: &MachineRecord,
     now_ms: UnixMillis,
-) -> Option<GiveUpReason> {
+) -> Option<DeletionReason> {
     let timing = &context.timing;
     if let Some(reclaim_ms) = machine.reclaim_ms
         && now_ms > reclaim_ms + timing.round.as_millis() as u64 * RECLAIM_ROUNDS
     {
         // Its notice has run out: it is gone, or will be in a moment.
-        return Some(GiveUpReason::Reclaimed);
+        return Some(DeletionReason::Reclaimed);
     }
     let unreachable_since_ms = machine.unreachable_since_ms?;
-    // Spot instances that fall silent were mostly reclaimed without notice. Other machines
-    // rarely die, and so do whole shards: that is rather a network partition, behind which
-    // the tasks go on. Until their leases expire they are not given up, and then the machine
-    // may yet come back, empty but with its images.
+    // Spot instances whose heartbeats stop were mostly reclaimed without notice. Other machines
+    // rarely fail, and whole shards rarely do: that is rather a network partition, behind
+    // which the tasks continue. Until their leases expire they are kept, and after that the
+    // machine may still return, empty but with its images.
     let is_partitioned = state.shard_counts(&machine.shard).mostly_unreachable();
-    let patience = if machine.spot && !is_partitioned {
+    let grace = if machine.spot && !is_partitioned {
         Duration::ZERO
     } else {
         2 * timing.worker_lease + timing.lease_validity
     };
-    let is_over = now_ms >= unreachable_since_ms + patience.as_millis() as u64;
-    is_over.then_some(GiveUpReason::Unreachable)
+    let is_over = now_ms >= unreachable_since_ms + grace.as_millis() as u64;
+    is_over.then_some(DeletionReason::Unreachable)
 }
 
 impl Changes {
     fn stop(&mut self, job: &JobId, task: &TaskState, index: u32, reason: StopReason) {
-        let key = ((job.clone(), task.record.attempt), reason);
-        self.stopped.entry(key).or_default().push(index);
+        let attempt = JobAttempt {
+            job: job.clone(),
+            attempt: task.record.attempt,
+        };
+        let stopped = StoppedAttempt { attempt, reason };
+        self.stopped.entry(stopped).or_default().push(index);
     }
 
     fn into_mutations(self) -> Vec<Mutation> {
         let mut mutations = Vec::new();
-        for ((job, attempt), tasks) in &self.unassigned {
+        for (JobAttempt { job, attempt }, tasks) in &self.unassigned {
             mutations.extend(in_batches(tasks, |tasks| {
                 Mutation::Unassign(UnassignTasks {
                     job: job.clone(),
@@ -204,18 +219,18 @@
                 })
             }));
         }
-        for (((job, attempt), reason), tasks) in &self.stopped {
+        for (StoppedAttempt { attempt, reason }, tasks) in &self.stopped {
             mutations.extend(in_batches(tasks, |tasks| {
                 Mutation::Stop(StopTasks {
-                    job: job.clone(),
-                    attempt: *attempt,
+                    job: attempt.job.clone(),
+                    attempt: attempt.attempt,
                     reason: *reason,
                     tasks,
                 })
             }));
         }
         mutations.extend(set_lifecycle(&self.quarantined, MachineLifecycle::Draining));
-        mutations.extend(set_lifecycle(&self.given_up, MachineLifecycle::Deleting));
+        mutations.extend(set_lifecycle(&self.deleted, MachineLifecycle::Deleting));
         mutations
     }
 }
--- a/crates/rushwalk/src/shards/assignment/assignable.rs
+++ b/crates/rushwalk/src/shards/assignment/assignable.rs
@@ -34,7 +34,7 @@
                 // One whose member lease has expired may still live and own its shards, by
                 // its last read: if its heartbeats say so it is given the time to come back.
                 let now_s = self.parts.context.uptime_s();
-                detector.lingers_after_expiry(&lease.owner, lease.incarnation, now_s, grace_s)
+                detector.is_alive_after_expiry(&lease.owner, lease.incarnation, now_s, grace_s)
             }
         };
         let leases = &self.state.shard_leases;
--- a/crates/rushwalk/src/shards/assignment/candidates.rs
+++ b/crates/rushwalk/src/shards/assignment/candidates.rs
@@ -75,7 +75,7 @@
             zone: &member.zone,
             eligible_for_moves: self.is_eligible_for_moves(detector, name, member),
             extra_load: if is_self { leader_load } else { 0 },
-            trusted: !detector.is_doubtful(name) && !is_slow,
+            trusted: !detector.is_suspected_by_majority(name) && !is_slow,
             slow: is_slow,
             has_headroom: timing.has_headroom(mean_lag_s, f64::from(busy_permille) / 1000.0),
         }
--- a/crates/rushwalk/src/shards/placement.rs
+++ b/crates/rushwalk/src/shards/placement.rs
@@ -2,8 +2,9 @@
 
 use crate::clock::now_ms;
 use crate::context::Context;
+use crate::job_attempt::JobAttempt;
 use crate::scheduler_inputs::{self, TimelineInputs};
-use rushwalk_protocol::ids::{JobId, MachineId, ShardId, TaskId};
+use rushwalk_protocol::ids::{MachineId, ShardId, TaskId};
 use rushwalk_protocol::jobs::{Priority, Shape};
 use rushwalk_scheduler::round::SchedulingRound;
 use rushwalk_state::mutation::{PlaceTasks, TaskOnMachine, in_batches};
@@ -12,7 +13,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// A task that waits for its place, in the order in which places are given.
+/// An assigned task that is not placed yet, in the order of placement.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct WaitingTask {
     priority: Priority,
@@ -21,9 +22,9 @@
 }
 
 /// Placed tasks, by job and attempt.
-type Placements = BTreeMap<(JobId, Revision), Vec<TaskOnMachine>>;
+type Placements = BTreeMap<JobAttempt, Vec<TaskOnMachine>>;
 
-/// Picks machines for the tasks assigned to our shards.
+/// Places the tasks that are assigned to the owned shards on machines.
 pub(super) fn placements(
     context: &Context,
     state: &ClusterState,
@@ -44,13 +45,13 @@
             now_s: scheduler_inputs::seconds(now_ms),
         };
         let mut round = round_of_shard(context, &inputs, shard);
-        // A job's tasks in one go.
+        // All tasks of a job at once.
         for tasks in tasks.chunk_by(|a, b| a.task.job == b.task.job) {
             place_tasks_of_job(state, &types, &mut round, tasks, &mut placements);
         }
     }
     let mut mutations = Vec::new();
-    for ((job, attempt), tasks) in &placements {
+    for (JobAttempt { job, attempt }, tasks) in &placements {
         mutations.extend(in_batches(tasks, |tasks| {
             Mutation::Place(PlaceTasks {
                 job: job.clone(),
@@ -139,7 +140,10 @@
         let Some(task) = job.tasks.get(&assignment.task) else {
             continue;
         };
-        let key = (id.clone(), task.record.attempt);
+        let key = JobAttempt {
+            job: id.clone(),
+            attempt: task.record.attempt,
+        };
         let machine = MachineId::from(round.machines[assignment.machine].name.clone());
         let placed = TaskOnMachine {
             task: assignment.task,
--- a/crates/rushwalk/src/shards/reconciler.rs
+++ b/crates/rushwalk/src/shards/reconciler.rs
@@ -18,50 +18,54 @@
 use std::sync::Arc;
 use tokio::time::{Instant, sleep};
 
-/// An owned shard with its fencing token.
-type OwnedShard = (ShardId, Revision);
+/// An owned shard.
+struct OwnedShard {
+    shard: ShardId,
+    /// Its fencing token.
+    token: Revision,
+}
 
-/// Does the work of the owner of shards.
-pub struct Reconciler {
+/// Reconciles the owned shards with what workers report.
+pub(crate) struct Reconciler {
     /// This process's context.
     pub context: Arc<Context>,
     /// Shows which shards are owned, and what should be.
     pub replica: Arc<Replica>,
-    /// How outcomes and placements are committed.
+    /// Commits outcomes and placements.
     pub log: Arc<LogWriter>,
     /// Shows what workers report.
     pub workers: Arc<WorkerRegistry>,
-    /// How workers are commanded.
+    /// Sends commands to workers.
     pub dispatcher: Dispatcher,
-    /// Where the time goes.
+    /// Measures the work that is done.
     pub work_profile: Arc<WorkProfile>,
 }
 
-/// What is kept from tick to tick.
+/// State that is kept between ticks.
 #[derive(Default)]
 struct TickState {
-    /// When all machines were last looked at.
-    last_full_look: Option<Instant>,
+    /// When all machines were last examined.
+    last_full_scan: Option<Instant>,
     /// The shards that were owned then, with their tokens.
     known: BTreeMap<ShardId, Revision>,
-    /// Machines that are to be looked at.
+    /// Machines to examine.
     changed: BTreeSet<MachineId>,
 }
 
 impl Reconciler {
-    /// Ticks a few times in each round, for good.
-    pub async fn run(self) {
+    /// Ticks a few times in each round, until the process ends.
+    pub(crate) async fn run(self) {
         let interval = self.context.timing.round / 3;
         let mut tick = TickState::default();
         loop {
             sleep(interval).await;
             if !self.replica.shard_leases_valid() {
-                tick.last_full_look = None;
+                tick.last_full_scan = None;
                 continue;
             }
             let owned = self.gather(&mut tick);
             if !self.commit(owned, &tick.changed).await {
-                tick.last_full_look = None;
+                tick.last_full_scan = None;
                 continue;
             }
             let _timer = self.work_profile.start(WorkKind::Reconcile);
@@ -74,13 +78,13 @@
 
     /// Gathers the machines to look at, and the shards that are owned. What has changed is
     /// looked at in each tick; once a round also what time alone changes: machines that were
-    /// not heard lately, or that have come under another token.
+    /// without contact lately, or that have come under another token.
     fn gather(&self, tick: &mut TickState) -> Vec<OwnedShard> {
         let is_full = tick
-            .last_full_look
+            .last_full_scan
             .is_none_or(|at| at.elapsed() >= self.context.timing.round);
         if is_full {
-            tick.last_full_look = Some(Instant::now());
+            tick.last_full_scan = Some(Instant::now());
         }
         let mut timer = self.work_profile.start(WorkKind::Reconcile);
         let mut state = self.replica.state();
@@ -94,7 +98,10 @@
             tick.known.clone_from(&owned);
         }
         timer.add_items(tick.changed.len());
-        owned.into_iter().collect()
+        let owned = owned.into_iter();
+        owned
+            .map(|(shard, token)| OwnedShard { shard, token })
+            .collect()
     }
 
     fn add_due_machines(
@@ -136,9 +143,9 @@
         }
         let preconditions: Vec<Precondition> = shards
             .iter()
-            .map(|(shard, token)| Precondition {
-                key: keys::shard_lease(shard),
-                version: *token,
+            .map(|owned| Precondition {
+                key: keys::shard_lease(&owned.shard),
+                version: owned.token,
             })
             .collect();
         let append = self
@@ -149,8 +156,8 @@
             outcome => {
                 tracing::debug!(?outcome, "reconciliation not committed");
                 if let CommitOutcome::Conflict = outcome {
-                    let patience = self.context.timing.round;
-                    self.replica.linearizable_read(patience).await;
+                    let max_wait = self.context.timing.round;
+                    self.replica.linearizable_read(max_wait).await;
                 }
                 false
             }
@@ -164,8 +171,8 @@
         // Those still ours, as far as is known by now.
         let owned: BTreeMap<ShardId, Revision> = shards
             .iter()
-            .filter(|(shard, token)| self.replica.fencing_token(&state, shard) == Some(*token))
-            .cloned()
+            .filter(|owned| self.replica.fencing_token(&state, &owned.shard) == Some(owned.token))
+            .map(|owned| (owned.shard.clone(), owned.token))
             .collect();
         let timing = &self.context.timing;
         let mut mutations = outcomes(&state, &mut sessions, &owned, changed, timing);
--- a/crates/rushwalk/src/store/replica.rs
+++ b/crates/rushwalk/src/store/replica.rs
@@ -2,7 +2,7 @@
 
 mod follow;
 
-pub use follow::{read_loop, watch_loop};
+pub(crate) use follow::{read_loop, watch_loop};
 
 use crate::context::Context;
 use crate::observable::Observable;
@@ -21,7 +21,7 @@
 /// The latest samples of which a predicted duration is the mean.
 const DURATION_SAMPLES: usize = 10;
 
-/// The replica, and what is known of its freshness.
+/// The replica of the cluster's state, and how stale it is.
 pub struct Replica {
     context: Arc<Context>,
     client: StoreClient,
@@ -30,7 +30,7 @@
     changes: Observable<u64>,
     /// When the newest read of the store that succeeded was sent.
     last_read_sent: Observable<Option<Instant>>,
-    /// Somebody waits for a read.
+    /// Wakes the read loop.
     read_requested: Notify,
     /// The newest commit of this process: nothing is decided before it is applied.
     last_commit: AtomicU64,
@@ -68,7 +68,7 @@
         self.changes.wait_for(|count| count != seen).await;
     }
 
-    /// Wakes those who wait for a change of the state.
+    /// Wakes the tasks that wait for a change of the state.
     pub fn notify_changed(&self) {
         self.changes.update(|count| *count += 1);
     }
@@ -88,14 +88,14 @@
         self.last_read_age().unwrap_or(Duration::MAX)
     }
 
-    /// Notes that a read which was sent then has succeeded.
+    /// Records that a read which was sent then has succeeded.
     pub(crate) fn record_read(&self, sent: Instant) {
         self.last_read_sent
             .update(|last| *last = Some(last.map_or(sent, |before| before.max(sent))));
         self.notify_changed();
     }
 
-    /// Notes the revision of a commit of this process.
+    /// Records the revision of a commit of this process.
     pub fn record_commit(&self, revision: Revision) {
         self.last_commit.fetch_max(revision, Ordering::Relaxed);
     }
@@ -107,25 +107,25 @@
 
     /// Waits for a read that was sent after this call, so that the state holds all that was
     /// committed before it; false if none succeeded in time.
-    pub async fn linearizable_read(&self, patience: Duration) -> bool {
+    pub async fn linearizable_read(&self, max_wait: Duration) -> bool {
         let called = Instant::now();
         self.read_requested.notify_one();
         let read = self
             .last_read_sent
             .wait_for(|sent| sent.is_some_and(|sent| sent >= called));
-        timeout(patience, read).await.is_ok()
+        timeout(max_wait, read).await.is_ok()
     }
 
     /// Waits until a revision is applied; false if it was not in time.
-    pub async fn wait_for_revision(&self, revision: Revision, patience: Duration) -> bool {
-        let until = Instant::now() + patience;
+    pub async fn wait_for_revision(&self, revision: Revision, max_wait: Duration) -> bool {
+        let until = Instant::now() + max_wait;
         loop {
             let seen = self.last_read_sent.get();
             if self.state().revision >= revision {
                 return true;
             }
             // The watch brings it at once, unless its response is late.
-            let step = (patience / 40).min(until.saturating_duration_since(Instant::now()));
+            let step = (max_wait / 40).min(until.saturating_duration_since(Instant::now()));
             let read = self.last_read_sent.wait_for(|sent| sent != seen);
             if timeout(step, read).await.is_err() {
                 self.read_requested.notify_one();
@@ -137,12 +137,12 @@
     }
 
     /// Whether the owner of a shard may act on its lease, as far as the age of the replica
-    /// tells.
+    /// shows.
     pub fn shard_leases_valid(&self) -> bool {
         self.staleness() < self.context.timing.lease_validity
     }
 
-    /// Whether the state lacks nothing that this process ever saw or did.
+    /// Whether the state holds everything that this process has ever read or committed.
     pub fn is_complete(&self, state: &ClusterState) -> bool {
         has_no_gap(state) && state.revision >= self.last_commit.load(Ordering::Relaxed)
     }
--- a/crates/rushwalk/src/store/replica/follow.rs
+++ b/crates/rushwalk/src/store/replica/follow.rs
@@ -20,8 +20,8 @@
 /// HTTP 410: the store no longer has the changes from where a watch would begin.
 const GONE: u16 = 410;
 
-/// Follows the store by long polls, for good.
-pub async fn watch_loop(replica: Arc<Replica>, work_profile: Arc<WorkProfile>) {
+/// Follows the store by long polls until the process ends.
+pub(crate) async fn watch_loop(replica: Arc<Replica>, work_profile: Arc<WorkProfile>) {
     let round = replica.context.timing.round;
     let mut listed = false;
     loop {
@@ -61,7 +61,7 @@
     }
 }
 
-/// Reads everything: at the start, and when a watch can't go on.
+/// Lists the whole store: at the start, and when a watch can't continue.
 async fn list(replica: &Replica, work_profile: &WorkProfile) -> Result<(), Error> {
     let sent = Instant::now();
     let listing = list_pages(replica).await?;
@@ -87,7 +87,7 @@
     Ok(())
 }
 
-/// All pages of a listing.
+/// Reads all pages of a listing.
 struct Listing {
     entries: Vec<KeyValue>,
     first_revision: Revision,
@@ -124,10 +124,10 @@
 ) -> Result<(), Error> {
     while state.revision < target {
         let since = state.revision;
-        let patience = replica.context.timing.round * 4;
+        let timeout = replica.context.timing.round * 4;
         let call = replica
             .client
-            .watch(keys::ROOT, since, CATCH_UP_WAIT, patience);
+            .watch(keys::ROOT, since, CATCH_UP_WAIT, timeout);
         let response = call.await?;
         state
             .apply_watch(since, response, now_ms())
@@ -154,7 +154,7 @@
         state.apply_watch(since, response, now_ms()).is_ok() && !state.has_gap
     };
     drop(timer);
-    // Nobody is answered from a state that lacks a change: it is listed anew.
+    // Nobody is answered from a state that misses a change: it is listed anew.
     if is_complete {
         replica.record_read(sent);
     } else {
@@ -162,9 +162,8 @@
     }
 }
 
-/// Reads the store when somebody waits for a linearizable read; one cheap read serves all
-/// who wait.
-pub async fn read_loop(replica: Arc<Replica>, work_profile: Arc<WorkProfile>) {
+/// Reads the store when a linearizable read is requested; one cheap read serves all requests.
+pub(crate) async fn read_loop(replica: Arc<Replica>, work_profile: Arc<WorkProfile>) {
     let context = &replica.context;
     // The reads of all controllers together take at most a third of the store's budget.
     let gap_s = 3.0 * context.controllers() as f64 / context.settings.site.store.rps;
@@ -184,8 +183,8 @@
             read_once(&reader, &profile, gap).await;
             drop(permit);
         });
-        // Behind a read that takes long nobody has to wait for its end and then as long
-        // again: others begin meanwhile.
+        // A slow read does not delay the requests that come after it was sent: further
+        // reads begin in the meantime.
         let _ = timeout(context.timing.round / 8, &mut read).await;
         sleep(gap).await;
     }
@@ -194,10 +193,10 @@
 async fn read_once(replica: &Replica, work_profile: &WorkProfile, gap: Duration) {
     let since = replica.state().revision;
     let sent = Instant::now();
-    let patience = replica.context.timing.round * 2;
+    let timeout = replica.context.timing.round * 2;
     let call = replica
         .client
-        .watch(keys::ROOT, since, Duration::ZERO, patience);
+        .watch(keys::ROOT, since, Duration::ZERO, timeout);
     match call.await {
         Ok(response) => apply(replica, work_profile, since, sent, response),
         Err(error) => {
