--- a/crates/failure-detector/src/detector/tests.rs
+++ b/crates/failure-detector/src/detector/tests.rs
@@ -37,22 +37,26 @@
     detector
 }
 
-fn heartbeat(member: &str, incarnation: u64, of: &[(&str, u64, u64, bool)]) -> PeerHeartbeat {
-    let observation = |(m, incarnation, heard, refused): &(&str, u64, u64, bool)| PeerObservation {
-        member: m.to_string(),
-        incarnation: *incarnation,
-        last_heard_ms: Some(*heard),
-        refused: *refused,
-    };
+fn heartbeat(member: &str, incarnation: u64, observations: &[PeerObservation]) -> PeerHeartbeat {
     PeerHeartbeat {
         member: member.into(),
         incarnation,
         revision: 100,
-        observations: of.iter().map(observation).collect(),
+        observations: observations.to_vec(),
         ..PeerHeartbeat::default()
     }
 }
 
+/// What another controller reports of `a`.
+fn observation_of_a(last_heard_ms: u64, refused: bool) -> PeerObservation {
+    PeerObservation {
+        member: "a".into(),
+        incarnation: 1,
+        last_heard_ms: Some(last_heard_ms),
+        refused,
+    }
+}
+
 /// `a` refuses from 10 s on; `b` is heard, and reports what it observes of `a`.
 fn health_of_refusing(heard_ms: u64, refuses: bool, own: LocalHealth, wrote: bool) -> PeerHealth {
     let mut detector = new_detector(&["a", "b"]);
@@ -60,7 +64,10 @@
     for step in 0..10u32 {
         let now = 10.0 + 0.3 * f64::from(step);
         detector.record_probe_failure("a", ProbeFailure::Refused);
-        detector.record_response(now, heartbeat("b", 2, &[("a", 1, heard_ms, refuses)]));
+        detector.record_response(
+            now,
+            heartbeat("b", 2, &[observation_of_a(heard_ms, refuses)]),
+        );
         if wrote {
             detector.record_write(now, "a");
         }
@@ -111,7 +118,7 @@
     for step in 0..10u32 {
         let now = 10.0 + 0.3 * f64::from(step);
         detector.record_probe_failure("a", ProbeFailure::Refused);
-        detector.record_response(now, heartbeat("b", 2, &[("a", 1, 9000, true)]));
+        detector.record_response(now, heartbeat("b", 2, &[observation_of_a(9000, true)]));
         detector.evaluate(now, LOCAL);
     }
     assert_eq!(
@@ -140,7 +147,7 @@
         for step in 0..steps {
             let now = from + 0.3 * f64::from(step);
             detector.record_probe_failure("a", ProbeFailure::Refused);
-            detector.record_response(now, heartbeat("b", 2, &[("a", 1, 9000, true)]));
+            detector.record_response(now, heartbeat("b", 2, &[observation_of_a(9000, true)]));
             detector.evaluate(now, LOCAL);
         }
     };
--- a/crates/scheduler/src/capacity.rs
+++ b/crates/scheduler/src/capacity.rs
@@ -137,7 +137,7 @@
 }
 
 /// How many machines of a kind are missing.
-#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Shortfall {
     /// For pending tasks.
     pub pending: u32,
@@ -146,9 +146,12 @@
 }
 
 impl Shortfall {
-    /// What one call of at most `call_size` machines would bring, for comparison.
-    fn value_of_call(&self, call_size: u32) -> (u32, u32) {
-        (self.pending.min(call_size), self.total.min(call_size))
+    /// The part of it that one call of at most `call_size` machines would cover.
+    fn covered_by_call(&self, call_size: u32) -> Shortfall {
+        Shortfall {
+            pending: self.pending.min(call_size),
+            total: self.total.min(call_size),
+        }
     }
 }
 
@@ -173,7 +176,7 @@
     while calls.len() < max_calls {
         let largest = shortfalls
             .iter_mut()
-            .max_by_key(|(_, shortfall)| shortfall.value_of_call(call_size))
+            .max_by_key(|(_, shortfall)| shortfall.covered_by_call(call_size))
             .filter(|(_, shortfall)| shortfall.total > 0);
         let Some((kind, shortfall)) = largest else {
             break;
--- a/crates/simulator/src/commands/search.rs
+++ b/crates/simulator/src/commands/search.rs
@@ -68,9 +68,9 @@
         init_controller_log();
     }
     let outcomes = parallel::map(args.max_threads(), &args.schedules(), |schedule| {
-        let (outcome, events) = run_on_virtual_time(run_with_events(schedule, args.events))?;
-        events.iter().for_each(|line| eprintln!("{line}"));
-        Ok::<_, SimulatorError>(outcome)
+        let recorded = run_on_virtual_time(run_with_events(schedule, args.events))?;
+        recorded.events.iter().for_each(|line| eprintln!("{line}"));
+        Ok::<_, SimulatorError>(recorded.outcome)
     });
     let outcomes: Vec<SearchOutcome> = outcomes.into_iter().collect::<Result<_, _>>()?;
     if args.json {
--- a/crates/simulator/src/fault_search.rs
+++ b/crates/simulator/src/fault_search.rs
@@ -8,7 +8,7 @@
 mod schedule;
 mod users;
 
-pub use run::{SearchOutcome, run, run_with_events};
+pub use run::{RecordedRun, SearchOutcome, run, run_with_events};
 pub use schedule::{FaultEvent, FaultKind, FaultSchedule};
 
 /// Controllers of the cluster that is searched.
--- a/crates/simulator/src/fault_search/run.rs
+++ b/crates/simulator/src/fault_search/run.rs
@@ -59,16 +59,22 @@
 /// Boot time of machines with `FaultKind::FastBoots`.
 const FAST_BOOT: Duration = Duration::from_millis(1_200);
 
+/// A run with the events that were recorded.
+pub struct RecordedRun {
+    /// What came of it.
+    pub outcome: SearchOutcome,
+    /// The events, a line each; none unless they were to be recorded.
+    pub events: Vec<String>,
+}
+
 /// Runs a schedule; on a runtime with simulated time.
 pub async fn run(schedule: &FaultSchedule) -> SearchOutcome {
-    run_with_events(schedule, false).await.0
+    run_with_events(schedule, false).await.outcome
 }
 
-/// Runs a schedule; also returns what happened, a line an event, if events are recorded.
-pub async fn run_with_events(
-    schedule: &FaultSchedule,
-    record_events: bool,
-) -> (SearchOutcome, Vec<String>) {
+/// Runs a schedule, and records its events if `record_events` is set; on a runtime with
+/// simulated time.
+pub async fn run_with_events(schedule: &FaultSchedule, record_events: bool) -> RecordedRun {
     let mut run = Run::new(schedule, record_events);
     let recovered_s = schedule.end_s() + RECOVERY_S;
     let end_s = recovered_s.max(SUBMISSIONS_END_S) + COMPLETION_S;
@@ -234,7 +240,7 @@
         }
     }
 
-    fn finish(mut self) -> (SearchOutcome, Vec<String>) {
+    fn finish(mut self) -> RecordedRun {
         self.users.abort_all();
         let mut violations = std::mem::take(&mut self.cluster.platform.checker().violations);
         violations.extend(self.cluster.platform.checker().service_violations());
@@ -250,7 +256,10 @@
             starts_after_cancellation: checker.starts_after_cancellation.count,
             longest_wait_s: checker.longest_wait.as_secs_f64(),
         };
-        (outcome, platform.take_events())
+        RecordedRun {
+            outcome,
+            events: platform.take_events(),
+        }
     }
 
     /// Accepted jobs that are neither done nor cancelled, but for services that run.
--- a/crates/simulator/src/fault_search/users.rs
+++ b/crates/simulator/src/fault_search/users.rs
@@ -77,16 +77,19 @@
     plans
 }
 
-/// The last phase that each job's user was told; `None` if it is only accepted yet.
+/// The last phase reported to each job's user; `None` if the job is only accepted yet.
+type PhasesByJob = BTreeMap<String, Option<StatusPhase>>;
+
+/// The phases reported to all users so far.
 #[derive(Clone, Default)]
-pub(super) struct ReportedPhases(Arc<Mutex<BTreeMap<String, Option<StatusPhase>>>>);
+pub(super) struct ReportedPhases(Arc<Mutex<PhasesByJob>>);
 
 impl ReportedPhases {
     fn set(&self, job: &str, phase: Option<StatusPhase>) {
         self.lock().insert(job.to_string(), phase);
     }
 
-    pub(super) fn lock(&self) -> MutexGuard<'_, BTreeMap<String, Option<StatusPhase>>> {
+    pub(super) fn lock(&self) -> MutexGuard<'_, PhasesByJob> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/simulator/src/parallel.rs
+++ b/crates/simulator/src/parallel.rs
@@ -5,6 +5,12 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::thread;
 
+/// The result for one of the items.
+struct IndexedResult<T> {
+    index: usize,
+    result: T,
+}
+
 /// Applies `work` to each item, on at most so many threads. Results are in the items' order.
 pub fn map<T: Send, I: Sync>(
     max_threads: usize,
@@ -15,7 +21,7 @@
     let threads = threads.min(max_threads).min(items.len());
     let bar = progress_bar(items.len());
     let next = AtomicUsize::new(0);
-    let results: Mutex<Vec<(usize, T)>> = Mutex::new(Vec::new());
+    let results: Mutex<Vec<IndexedResult<T>>> = Mutex::new(Vec::new());
     thread::scope(|scope| {
         for _ in 0..threads {
             scope.spawn(|| {
@@ -26,7 +32,7 @@
                     };
                     let result = work(item);
                     if let Ok(mut results) = results.lock() {
-                        results.push((index, result));
+                        results.push(IndexedResult { index, result });
                     }
                     bar.inc(1);
                 }
@@ -35,8 +41,8 @@
     });
     bar.finish_and_clear();
     let mut results = results.into_inner().unwrap_or_default();
-    results.sort_by_key(|(index, _)| *index);
-    results.into_iter().map(|(_, result)| result).collect()
+    results.sort_by_key(|result| result.index);
+    results.into_iter().map(|result| result.result).collect()
 }
 
 fn progress_bar(length: usize) -> ProgressBar {
--- a/crates/simulator/tests/fault_search.rs
+++ b/crates/simulator/tests/fault_search.rs
@@ -20,11 +20,15 @@
     for seed in [3, 4] {
         let schedule = FaultSchedule::draw(seed, 3, FaultKind::value_variants());
         let run = || run_on_virtual_time(fault_search::run_with_events(&schedule, true)).unwrap();
-        let ((first, before), (second, after)) = (run(), run());
+        let (first, second) = (run(), run());
+        let (before, after) = (&first.events, &second.events);
         assert!(before.len() > 1000, "{} events", before.len());
-        let differ = before.iter().zip(&after).find(|(a, b)| a != b);
+        let differ = before.iter().zip(after).find(|(a, b)| a != b);
         assert_eq!(differ, None, "seed {seed}");
         assert_eq!(before.len(), after.len());
-        assert_eq!(format!("{first:?}"), format!("{second:?}"));
+        assert_eq!(
+            format!("{:?}", first.outcome),
+            format!("{:?}", second.outcome)
+        );
     }
 }
--- a/crates/testkit/src/platform.rs
+++ b/crates/testkit/src/platform.rs
@@ -235,14 +235,14 @@
 
     /// Whether a machine is ready, stays, and exchanges messages with controllers.
     fn is_usable(&self, index: usize, worker: &Worker) -> bool {
-        const FAULTS: [fn(usize) -> Fault; 4] = [
-            Fault::MachineFrozen,
-            Fault::MachineOutboundLoss,
-            Fault::MachinePartitioned,
-            Fault::MachineInboundLoss,
+        let faults = [
+            Fault::MachineFrozen(index),
+            Fault::MachineOutboundLoss(index),
+            Fault::MachinePartitioned(index),
+            Fault::MachineInboundLoss(index),
         ];
         let ready = !worker.deleted && worker.sequence > 0 && worker.reclaim_at.is_none();
-        ready && !FAULTS.iter().any(|fault| self.is_active(fault(index)))
+        ready && !faults.into_iter().any(|fault| self.is_active(fault))
     }
 
     /// The most status requests that workers received within a span of time.
--- a/crates/testkit/src/platform/network.rs
+++ b/crates/testkit/src/platform/network.rs
@@ -3,6 +3,7 @@
 use super::{SimulatedPlatform, ZONES};
 use crate::fault::Fault;
 use crate::lock;
+use crate::worker::DirectResponse;
 use rushwalk_clients::http::{Exchange, Transport, TransportResponse};
 use rushwalk_clients::{Error, Method};
 use rushwalk_protocol::worker::{CommandBatch, Heartbeat};
@@ -256,9 +257,10 @@
         while self.is_active(Fault::MachineFrozen(machine)) {
             sleep(Duration::from_millis(50)).await;
         }
-        let (status, heartbeat) = self.serve_worker(machine, path, body)?;
+        let response = self.serve_worker(machine, path, body)?;
         self.wait_while_delayed(controller).await;
-        Some((status, serde_json::to_vec(&heartbeat).ok()?))
+        let body = serde_json::to_vec(&response.heartbeat).ok()?;
+        Some((response.status, body))
     }
 
     /// The machine at an address, unless the network keeps the controller from it.
@@ -275,12 +277,12 @@
     }
 
     /// A worker's response to a direct request.
-    fn serve_worker(&self, machine: usize, path: &str, body: &[u8]) -> Option<(u16, Heartbeat)> {
+    fn serve_worker(&self, machine: usize, path: &str, body: &[u8]) -> Option<DirectResponse> {
         let mut workers = self.workers();
         let worker = workers.get_mut(machine).filter(|worker| !worker.deleted)?;
         worker.advance(self, self.worker_lease);
         if path == "/status" {
-            return Some((200, worker.next_heartbeat()));
+            return Some(worker.report_status());
         }
         let commands = serde_json::from_slice::<CommandBatch>(body).ok()?;
         Some(worker.handle_commands(self, &commands))
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -56,6 +56,14 @@
     run_time: Duration,
 }
 
+/// A worker's response to a direct request of a controller.
+pub(crate) struct DirectResponse {
+    /// The HTTP status.
+    pub(crate) status: u16,
+    /// The worker's state after the request.
+    pub(crate) heartbeat: Heartbeat,
+}
+
 impl WorkerTask {
     fn is_active(&self) -> bool {
         self.status.phase != TaskPhase::Exited
@@ -111,18 +119,33 @@
         free
     }
 
-    /// Direct commands: the response's status, and the heartbeat after them.
+    /// The response to a status query.
+    pub(crate) fn report_status(&mut self) -> DirectResponse {
+        DirectResponse {
+            status: 200,
+            heartbeat: self.next_heartbeat(),
+        }
+    }
+
+    /// Executes direct commands, unless they are for another session or have a lower
+    /// fencing token than the worker has seen.
     pub(crate) fn handle_commands(
         &mut self,
         platform: &SimulatedPlatform,
         batch: &CommandBatch,
-    ) -> (u16, Heartbeat) {
+    ) -> DirectResponse {
         if batch.token < self.token || batch.session != self.session {
-            return (409, self.next_heartbeat());
+            return DirectResponse {
+                status: 409,
+                heartbeat: self.next_heartbeat(),
+            };
         }
         self.token = batch.token;
         self.execute(platform, &batch.commands);
-        (200, self.next_heartbeat())
+        DirectResponse {
+            status: 200,
+            heartbeat: self.next_heartbeat(),
+        }
     }
 
     fn execute(&mut self, platform: &SimulatedPlatform, commands: &[Command]) {
