--- a/crates/scheduler/src/boot_times.rs
+++ b/crates/scheduler/src/boot_times.rs
@@ -51,7 +51,11 @@
 }
 
 /// Identifies machines of a group that were rented in the same millisecond.
-type RentalKey = (BootGroup, u64);
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct RentalKey {
+    group: BootGroup,
+    rented_ms: u64,
+}
 
 /// Estimates boot times, as of one moment.
 #[derive(Debug, Clone, Default)]
@@ -140,7 +144,10 @@
     /// Seconds until a machine that was rented at `rented_s` and has not booted should be
     /// up.
     pub fn remaining_s(&self, group: BootGroup, nominal_s: f64, rented_s: f64) -> f64 {
-        let key = (group, (rented_s * 1000.0) as u64);
+        let key = RentalKey {
+            group,
+            rented_ms: (rented_s * 1000.0) as u64,
+        };
         if let Some(remaining_s) = self.remaining_cache.borrow().get(&key) {
             return *remaining_s;
         }
--- a/crates/simulator/src/cluster.rs
+++ b/crates/simulator/src/cluster.rs
@@ -15,7 +15,7 @@
 use rushwalk_clients::HttpClient;
 use rushwalk_protocol::jobs::JobSpec;
 use rushwalk_protocol::settings::{PeerSettings, Settings, Team};
-use rushwalk_testkit::platform::{ControllerTransport, Endpoint};
+use rushwalk_testkit::platform::{ControllerTransport, Endpoint, HttpResponse};
 use rushwalk_testkit::{Fault, SimulatedPlatform, TeamLimit, ZONES};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -306,7 +306,10 @@
             };
             let status = response.status().as_u16();
             let body = response.into_body().into_bytes().await.unwrap_or_default();
-            (status, body.to_vec())
+            HttpResponse {
+                status,
+                body: body.to_vec(),
+            }
         })
     })
 }
--- a/crates/simulator/src/cluster/requests.rs
+++ b/crates/simulator/src/cluster/requests.rs
@@ -62,10 +62,10 @@
     let sent = platform.checker().request_sent(request, job);
     let call = platform.user_request(controller, method, &path, body.as_bytes().to_vec());
     let response = timeout(patience, call).await.ok().flatten();
-    let response = response.map(|(status, body)| JobResponse {
-        status,
-        job: (status < 300)
-            .then(|| serde_json::from_slice(&body).ok())
+    let response = response.map(|response| JobResponse {
+        status: response.status,
+        job: (response.status < 300)
+            .then(|| serde_json::from_slice(&response.body).ok())
             .flatten(),
     });
     let status = response.as_ref().map(|response| response.status);
@@ -108,10 +108,10 @@
             let call = self
                 .platform
                 .user_request(controller, method, path, body.to_vec());
-            if let Ok(Some((status, body))) = timeout(CHANGE_TIMEOUT, call).await
-                && !matches!(status, 429 | 503)
+            if let Ok(Some(response)) = timeout(CHANGE_TIMEOUT, call).await
+                && !matches!(response.status, 429 | 503)
             {
-                return Some((status, body));
+                return Some(response);
             }
             sleep(RETRY_DELAY).await;
         }
--- a/crates/simulator/src/failover.rs
+++ b/crates/simulator/src/failover.rs
@@ -158,7 +158,9 @@
             let call =
                 platform.user_request(controller, "POST", "/api/jobs", body.clone().into_bytes());
             let response = timeout(Duration::from_secs(5), call).await;
-            if let Ok(Some((200 | 201, _))) = response {
+            if let Ok(Some(response)) = response
+                && matches!(response.status, 200 | 201)
+            {
                 return;
             }
             sleep(Duration::from_secs(1)).await;
--- a/crates/simulator/src/fault_search/users.rs
+++ b/crates/simulator/src/fault_search/users.rs
@@ -110,7 +110,7 @@
                 .platform
                 .user_request(controller, "GET", "/healthz", Vec::new());
             let health = timeout(Duration::from_secs(1), health).await;
-            if matches!(health, Ok(Some((200, _)))) {
+            if matches!(health, Ok(Some(response)) if response.status == 200) {
                 return Some(controller);
             }
         }
--- a/crates/simulator/tests/cluster/http.rs
+++ b/crates/simulator/tests/cluster/http.rs
@@ -7,7 +7,11 @@
     let mut cluster = SimulatedCluster::new(7);
     let known = cluster.submit(1, "sweep", 1, 1.0, 5.0).await;
     let status = async |method: &str, path: &str, body: &[u8]| {
-        cluster.user_request(method, path, body).await.unwrap().0
+        cluster
+            .user_request(method, path, body)
+            .await
+            .unwrap()
+            .status
     };
     assert_eq!(status("POST", "/api/jobs", b"{").await, 400);
     assert_eq!(status("POST", "/api/jobs", b"[1]").await, 400);
--- a/crates/simulator/tests/cluster/scale.rs
+++ b/crates/simulator/tests/cluster/scale.rs
@@ -106,8 +106,8 @@
     let (mut answered, mut refused) = (0, 0);
     while let Some(answer) = polls.join_next().await {
         match answer.unwrap() {
-            Ok(Some((200, _))) => answered += 1,
-            Ok(Some((429 | 503, _))) => refused += 1,
+            Ok(Some(response)) if response.status == 200 => answered += 1,
+            Ok(Some(response)) if matches!(response.status, 429 | 503) => refused += 1,
             other => panic!("{other:?}"),
         }
     }
--- a/crates/simulator/tests/fault_combinations.rs
+++ b/crates/simulator/tests/fault_combinations.rs
@@ -93,7 +93,7 @@
             .platform
             .user_request(controller, "GET", "/healthz", Vec::new())
             .await;
-        answer.unwrap().0
+        answer.unwrap().status
     };
     assert_eq!(health(leader).await, 503);
     assert_eq!(health((leader + 1) % 3).await, 200);
@@ -367,7 +367,7 @@
             .user_request(number % 3, "GET", &path, Vec::new());
         let answer = tokio::time::timeout(Duration::from_secs(2), call).await;
         sent += 1;
-        answered += usize::from(matches!(answer, Ok(Some((200, _)))));
+        answered += usize::from(matches!(answer, Ok(Some(answer)) if answer.status == 200));
     }
     assert!(answered * 10 >= sent * 9, "{answered} of {sent}");
     // The leader alone loses the store, then everybody for longer than a cancellation may take.
--- a/crates/simulator/tests/real_machines/validation.rs
+++ b/crates/simulator/tests/real_machines/validation.rs
@@ -108,9 +108,9 @@
         let response = cluster
             .platform
             .user_request(controller, "POST", "/api/jobs", body);
-        let (actual, text) = response.await.unwrap();
-        let text = String::from_utf8(text).unwrap();
-        assert_eq!(actual, *status, "{text}");
+        let response = response.await.unwrap();
+        let text = String::from_utf8(response.body).unwrap();
+        assert_eq!(response.status, *status, "{text}");
         assert!(
             text.contains(names) || names.contains("type") && text.contains("type"),
             "{names}: {text}"
--- a/crates/testkit/src/platform.rs
+++ b/crates/testkit/src/platform.rs
@@ -5,11 +5,13 @@
 
 mod cloud_service;
 mod event_log;
+mod http_response;
 mod network;
 mod store_service;
 
 pub use cloud_service::RentalCounts;
-pub use network::{ControllerTransport, Endpoint, HttpResponse};
+pub use http_response::HttpResponse;
+pub use network::{ControllerTransport, Endpoint};
 
 use crate::fault::Fault;
 use crate::invariants::InvariantChecker;
--- a/crates/testkit/src/platform/cloud_service.rs
+++ b/crates/testkit/src/platform/cloud_service.rs
@@ -1,8 +1,6 @@
 //! HTTP interface of the cloud: machine types, rentals and the machine list.
 
-use super::network::HttpResponse;
-use super::store_service::json_body;
-use super::{SimulatedPlatform, ZONES};
+use super::{HttpResponse, SimulatedPlatform, ZONES};
 use crate::fault::Fault;
 use crate::lock;
 use crate::machine_type::{DEFAULT_MACHINE_TYPE, MachineType};
@@ -38,13 +36,13 @@
                 for name in names.iter().flat_map(|names| &names.machines) {
                     self.delete_machine(name);
                 }
-                (200, b"{}".to_vec())
+                HttpResponse::json(200, &json!({}))
             }
             "/rentals" if !body.is_empty() => self.rent(body),
             _ => {
                 let machines = self.list_machines();
                 let body = json!({ "rigs": machines, "truncated": false });
-                (200, json_body(body))
+                HttpResponse::json(200, &body)
             }
         }
     }
@@ -60,13 +58,13 @@
             })
         });
         let types: Vec<_> = types.collect();
-        (200, json_body(json!({ "builds": types })))
+        HttpResponse::json(200, &json!({ "builds": types }))
     }
 
     /// Serves a rental request; a repeated one gets the machines of the first.
     fn rent(self: &Arc<Self>, body: &[u8]) -> HttpResponse {
         let Ok(request) = serde_json::from_slice::<RentRequest>(body) else {
-            return (400, Vec::new());
+            return HttpResponse::empty(400);
         };
         let known = lock(&self.machines_by_request)
             .get(&request.request)
@@ -74,11 +72,11 @@
         let names = known.unwrap_or_else(|| self.start_machines(&request));
         if names.is_empty() {
             lock(&self.rental_counts).refused += 1;
-            return (503, json_body(json!({"error": "no capacity"})));
+            return HttpResponse::json(503, &json!({"error": "no capacity"}));
         }
         lock(&self.rental_counts).fulfilled += 1;
         lock(&self.machines_by_request).insert(request.request, names.clone());
-        (200, json_body(json!({ "rigs": names })))
+        HttpResponse::json(200, &json!({ "rigs": names }))
     }
 
     /// Starts as many of the requested machines as the zone has room for.
--- a/crates/testkit/src/platform/network.rs
+++ b/crates/testkit/src/platform/network.rs
@@ -1,10 +1,10 @@
 //! The network: messages between users, controllers and workers, and the faults on the way.
 
-use super::{SimulatedPlatform, ZONES};
+use super::{HttpResponse, SimulatedPlatform, ZONES};
 use crate::fault::Fault;
 use crate::lock;
 use crate::worker::DirectResponse;
-use rushwalk_clients::http::{Exchange, Transport, TransportResponse};
+use rushwalk_clients::http::{Exchange, Transport};
 use rushwalk_clients::{Error, Method};
 use rushwalk_protocol::worker::{CommandBatch, Heartbeat};
 use std::future::Future;
@@ -16,9 +16,6 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, sleep};
 
-/// Status and body of an HTTP response.
-pub type HttpResponse = (u16, Vec<u8>);
-
 /// An HTTP interface of a controller: takes method, path and body.
 pub type Endpoint = Arc<
     dyn Fn(String, String, Vec<u8>) -> Pin<Box<dyn Future<Output = HttpResponse> + Send>>
@@ -118,7 +115,7 @@
         let response = self.call_controller(controller, method, path, body).await;
         self.record_event(|| {
             let shown = response.as_ref();
-            let shown = shown.map(|(status, body)| (status, String::from_utf8_lossy(body)));
+            let shown = shown.map(|shown| (shown.status, String::from_utf8_lossy(&shown.body)));
             format!("{controller} {method} {path}: {shown:?}")
         });
         response
@@ -259,8 +256,7 @@
         }
         let response = self.serve_worker(machine, path, body)?;
         self.wait_while_delayed(controller).await;
-        let body = serde_json::to_vec(&response.heartbeat).ok()?;
-        Some((response.status, body))
+        Some(HttpResponse::json(response.status, &response.heartbeat))
     }
 
     /// The machine at an address, unless the network keeps the controller from it.
@@ -348,7 +344,7 @@
         });
         Box::pin(async move {
             match response.await {
-                Ok(response) => response.map(|(status, body)| TransportResponse { status, body }),
+                Ok(response) => response.map(HttpResponse::into),
                 Err(_) => {
                     sleep(NO_RESPONSE).await;
                     Err(Error::Unanswered("no answer".into()))
--- a/crates/testkit/src/platform/store_service.rs
+++ b/crates/testkit/src/platform/store_service.rs
@@ -1,7 +1,6 @@
 //! HTTP interface of the key-value store, with its faults.
 
-use super::SimulatedPlatform;
-use super::network::HttpResponse;
+use super::{HttpResponse, SimulatedPlatform};
 use crate::fault::Fault;
 use crate::lock;
 use crate::store::CommitError;
@@ -58,7 +57,7 @@
             sleep(self.random_ms(400, 900)).await;
         }
         if self.store_refuses(controller) {
-            return (503, Vec::new());
+            return HttpResponse::empty(503);
         }
         lock(&self.store).expire_leases();
         let (path, query) = path.split_once('?').unwrap_or((path, ""));
@@ -69,7 +68,7 @@
             ("POST", "/commit") => self.commit(controller, body).await,
             ("POST", "/leases") => self.grant_lease(body),
             ("POST", path) => self.renew_lease(path),
-            _ => (404, Vec::new()),
+            _ => HttpResponse::empty(404),
         }
     }
 
@@ -79,7 +78,7 @@
 
     fn list_keys(&self, query: &Query) -> HttpResponse {
         let page = lock(&self.store).list(query.get("under"), query.get("since"));
-        (200, serde_json::to_vec(&page).unwrap_or_default())
+        HttpResponse::json(200, &page)
     }
 
     /// Responds once there are changes or the caller's time is over. A watch that is open
@@ -94,10 +93,10 @@
             lock(&self.store).expire_leases();
             let changes = lock(&self.store).changes(query.get("under"), since);
             let Some(changes) = changes else {
-                return (410, Vec::new());
+                return HttpResponse::empty(410);
             };
             if !changes.events.is_empty() || Instant::now() >= until {
-                return (200, serde_json::to_vec(&changes).unwrap_or_default());
+                return HttpResponse::json(200, &changes);
             }
             let _ = timeout(POLL_INTERVAL, self.store_changed.notified()).await;
         }
@@ -105,7 +104,7 @@
 
     async fn commit(&self, controller: usize, body: &[u8]) -> HttpResponse {
         let Ok(transaction) = serde_json::from_slice::<Transaction>(body) else {
-            return (400, Vec::new());
+            return HttpResponse::empty(400);
         };
         let delay = self.commit_delay(body);
         if let Some(delay) = delay {
@@ -127,15 +126,13 @@
             sleep(COMMIT_RESPONSE_LOST).await;
         }
         match result {
-            Ok(revision) => (200, json_body(json!({ "ledger": revision }))),
-            Err(error @ CommitError::UnknownLease) => (
-                error.status(),
-                json_body(json!({ "error": "no such lease" })),
-            ),
-            Err(error @ CommitError::ConditionFailed) => (
-                error.status(),
-                json_body(json!({"failed": [], "ledger": 0})),
-            ),
+            Ok(revision) => HttpResponse::json(200, &json!({ "ledger": revision })),
+            Err(error @ CommitError::UnknownLease) => {
+                HttpResponse::json(error.status(), &json!({ "error": "no such lease" }))
+            }
+            Err(error @ CommitError::ConditionFailed) => {
+                HttpResponse::json(error.status(), &json!({"failed": [], "ledger": 0}))
+            }
         }
     }
 
@@ -160,23 +157,19 @@
 
     fn grant_lease(&self, body: &[u8]) -> HttpResponse {
         let Ok(request) = serde_json::from_slice::<LeaseRequest>(body) else {
-            return (400, Vec::new());
+            return HttpResponse::empty(400);
         };
         let id = lock(&self.store).grant_lease(Duration::from_millis(request.ttl_ms));
-        (200, json_body(json!({ "tenure": id })))
+        HttpResponse::json(200, &json!({ "tenure": id }))
     }
 
     fn renew_lease(&self, path: &str) -> HttpResponse {
         let id = path.trim_start_matches("/leases/");
         let id = id.trim_end_matches("/touch").parse().unwrap_or(0);
         if lock(&self.store).renew_lease(id) {
-            (200, b"{}".to_vec())
+            HttpResponse::json(200, &json!({}))
         } else {
-            (404, Vec::new())
+            HttpResponse::empty(404)
         }
     }
 }
-
-pub(super) fn json_body(value: serde_json::Value) -> Vec<u8> {
-    value.to_string().into_bytes()
-}
--- a/crates/testkit/src/worker/heartbeat_loop.rs
+++ b/crates/testkit/src/worker/heartbeat_loop.rs
@@ -69,7 +69,7 @@
         let sent = Instant::now();
         let response = exchange(&platform, machine, next.controller, &heartbeat).await;
         next = match response {
-            Some((200, body)) if sent.elapsed() < RESPONSE_TIMEOUT => {
+            Some(HttpResponse { status: 200, body }) if sent.elapsed() < RESPONSE_TIMEOUT => {
                 let worker = &mut platform.workers()[machine];
                 worker.accept_response(&platform, &heartbeat, &body, sent);
                 NextHeartbeat {
@@ -77,7 +77,9 @@
                     delay: interval,
                 }
             }
-            Some((421, body)) => NextHeartbeat::redirected(&platform, next.controller, &body),
+            Some(HttpResponse { status: 421, body }) => {
+                NextHeartbeat::redirected(&platform, next.controller, &body)
+            }
             _ => NextHeartbeat::retry(&platform, next.controller),
         };
     }
