--- a/crates/simulator/src/failover.rs
+++ b/crates/simulator/src/failover.rs
@@ -94,20 +94,8 @@
     let failed = scenario.failed_controllers(leader, controllers);
     let mut observer = Observer::new(&cluster, &failed);
     let mut actions = ActionSchedule::new(scenario, controllers, leader, restart_s);
-    let mut next_array = FIRST_ARRAY + ARRAYS_BEFORE_FAILURE;
-    for observation in 0..OBSERVATIONS_PER_S * scenario.duration_s(controllers) {
-        let now_s = f64::from(observation) / f64::from(OBSERVATIONS_PER_S);
-        for successor in actions.run_due(&mut cluster, now_s) {
-            observer.add_failed(successor);
-        }
-        sleep(Duration::from_secs(1) / OBSERVATIONS_PER_S).await;
-        observer.observe(&cluster);
-        if observation % OBSERVATIONS_PER_SUBMISSION == 0 {
-            cluster.platform.check_invariants();
-            spawn_submission(&cluster, next_array);
-            next_array += 1;
-        }
-    }
+    let duration_s = scenario.duration_s(controllers);
+    observe_failover(&mut cluster, &mut actions, &mut observer, duration_s).await;
     let checker = cluster.platform.checker();
     FailoverMeasurements {
         scenario,
@@ -128,6 +116,30 @@
     }
 }
 
+/// Carries out the scenario's actions on time and observes the cluster for `duration_s`
+/// seconds, while arrays are submitted.
+async fn observe_failover(
+    cluster: &mut SimulatedCluster,
+    actions: &mut ActionSchedule,
+    observer: &mut Observer,
+    duration_s: u32,
+) {
+    let mut next_array = FIRST_ARRAY + ARRAYS_BEFORE_FAILURE;
+    for observation in 0..OBSERVATIONS_PER_S * duration_s {
+        let now_s = f64::from(observation) / f64::from(OBSERVATIONS_PER_S);
+        for successor in actions.run_due(cluster, now_s) {
+            observer.add_failed(successor);
+        }
+        sleep(Duration::from_secs(1) / OBSERVATIONS_PER_S).await;
+        observer.observe(cluster);
+        if observation % OBSERVATIONS_PER_SUBMISSION == 0 {
+            cluster.platform.check_invariants();
+            spawn_submission(cluster, next_array);
+            next_array += 1;
+        }
+    }
+}
+
 /// A cluster whose machines all run a service, and that starts arrays in every round.
 async fn busy_cluster(controllers: usize, seed: u64) -> SimulatedCluster {
     let config = ClusterConfig {
--- a/crates/simulator/src/fault_search/users.rs
+++ b/crates/simulator/src/fault_search/users.rs
@@ -186,46 +186,93 @@
         }
     }
 
+    /// Queries the job until the end of the run, and cancels it once that is due.
     async fn follow(&self, balancer: &mut LoadBalancer, body: &str) {
         let job = &self.plan.job;
-        let heeds_signal = self.number.is_multiple_of(2);
-        let accepted = Instant::now();
-        let mut cancel_after_s = self.plan.cancel_after_s;
-        let mut final_phase_queried = false;
-        let mut seen_signal = self.cancel_signal.get();
+        let mut follower = JobFollower::new(self);
         loop {
-            let cancels = cancel_after_s.is_some_and(|s| accepted.elapsed().as_secs_f64() > s);
-            let kind = if cancels {
-                Request::Cancel
-            } else {
-                Request::Query
-            };
+            let kind = follower.next_request();
             let response = balancer.request(kind, job, "").await;
             let phase = response.as_ref().and_then(JobResponse::phase);
-            if phase.is_some() {
-                self.reported_phases.set(job, phase);
-                cancel_after_s = cancel_after_s.filter(|_| !cancels);
-            }
+            follower.record_response(kind, phase);
             let is_final = matches!(phase, Some(StatusPhase::Done | StatusPhase::Cancelled));
-            if is_final && self.plan.queries_all_controllers && !final_phase_queried {
-                final_phase_queried = true;
-                query_all_controllers(&self.platform, job, body).await;
+            if is_final {
+                follower.query_final_phase(body).await;
             }
-            let pause = if is_final {
-                FINAL_QUERY_INTERVAL
-            } else {
-                QUERY_INTERVAL
-            };
-            tokio::select! {
-                biased;
-                signal = self.cancel_signal.wait_for(|signal| signal != seen_signal) => {
-                    seen_signal = signal;
-                    if heeds_signal && !is_final {
-                        cancel_after_s = Some(0.0);
-                    }
+            follower.wait(is_final).await;
+        }
+    }
+}
+
+/// What a user whose job is accepted does next.
+struct JobFollower<'a> {
+    user: &'a User,
+    accepted: Instant,
+    /// Seconds after the acceptance at which the job is to be cancelled.
+    cancel_after_s: Option<f64>,
+    /// Whether all controllers have been queried for the final phase.
+    final_phase_queried: bool,
+    /// The latest cancel signal that was seen.
+    seen_signal: usize,
+}
+
+impl JobFollower<'_> {
+    fn new(user: &User) -> JobFollower<'_> {
+        JobFollower {
+            user,
+            accepted: Instant::now(),
+            cancel_after_s: user.plan.cancel_after_s,
+            final_phase_queried: false,
+            seen_signal: user.cancel_signal.get(),
+        }
+    }
+
+    fn next_request(&self) -> Request {
+        let elapsed_s = self.accepted.elapsed().as_secs_f64();
+        if self.cancel_after_s.is_some_and(|s| elapsed_s > s) {
+            Request::Cancel
+        } else {
+            Request::Query
+        }
+    }
+
+    /// Records the phase in a response; `None` if there was none.
+    fn record_response(&mut self, request: Request, phase: Option<StatusPhase>) {
+        if phase.is_some() {
+            self.user.reported_phases.set(&self.user.plan.job, phase);
+            if request == Request::Cancel {
+                self.cancel_after_s = None;
+            }
+        }
+    }
+
+    /// Queries all controllers for the final phase, once and if that is planned.
+    async fn query_final_phase(&mut self, body: &str) {
+        let plan = &self.user.plan;
+        if plan.queries_all_controllers && !self.final_phase_queried {
+            self.final_phase_queried = true;
+            query_all_controllers(&self.user.platform, &plan.job, body).await;
+        }
+    }
+
+    /// Waits until the next query is due, or until the cancel signal changes.
+    async fn wait(&mut self, is_final: bool) {
+        let interval = if is_final {
+            FINAL_QUERY_INTERVAL
+        } else {
+            QUERY_INTERVAL
+        };
+        let seen = self.seen_signal;
+        tokio::select! {
+            biased;
+            signal = self.user.cancel_signal.wait_for(|signal| signal != seen) => {
+                self.seen_signal = signal;
+                let follows_signal = self.user.number.is_multiple_of(2);
+                if follows_signal && !is_final {
+                    self.cancel_after_s = Some(0.0);
                 }
-                () = sleep(pause) => {}
             }
+            () = sleep(interval) => {}
         }
     }
 }
--- a/crates/state/src/cluster_state/replication.rs
+++ b/crates/state/src/cluster_state/replication.rs
@@ -27,13 +27,6 @@
     pub reached: Revision,
 }
 
-/// A log entry in a listing.
-struct ListedEntry {
-    version: Revision,
-    key: String,
-    value: Value,
-}
-
 impl ClusterState {
     /// A state made of a listing whose first page had `revision`. What is newer comes with
     /// the watch from there.
@@ -49,43 +42,39 @@
         // The durations learnt so far are taken over by `replace_with`.
         let mut state = ClusterState::new(DurationEstimator::new(10, 0.0));
         let mut chunks: BTreeMap<String, Value> = BTreeMap::new();
-        let mut log: Vec<ListedEntry> = Vec::new();
-        for KeyValue {
-            key,
-            value,
-            version,
-        } in entries
-        {
-            if version > revision {
+        let mut log: Vec<KeyValue> = Vec::new();
+        for entry in entries {
+            if entry.version > revision {
                 continue;
             }
-            match KeyKind::of(&key) {
-                Some(KeyKind::LogEntry { .. }) => log.push(ListedEntry {
-                    version,
-                    key,
-                    value,
-                }),
+            match KeyKind::of(&entry.key) {
+                Some(KeyKind::LogEntry { .. }) => log.push(entry),
                 Some(KeyKind::SnapshotChunk) => {
-                    chunks.insert(key, value);
+                    chunks.insert(entry.key, entry.value);
                 }
-                _ => state.apply_put(key, &value, version),
+                _ => state.apply_put(entry.key, &entry.value, entry.version),
             }
         }
         state.apply_snapshot(&chunks, now_ms)?;
         log.sort_by(|a, b| (a.version, &a.key).cmp(&(b.version, &b.key)));
         for entry in log {
-            if entry.version > state.snapshot.revision {
-                match unframe(&entry.value) {
-                    Some(parsed) => state.apply_entry(parsed, entry.version, now_ms),
-                    None => state.mark_unreadable(&entry.key),
-                }
-            }
-            state.log_versions.insert(entry.key, entry.version);
+            state.apply_listed_entry(entry, now_ms);
         }
         state.revision = revision;
         Ok(state)
     }
 
+    /// Applies a log entry of a listing, unless the snapshot includes it.
+    fn apply_listed_entry(&mut self, entry: KeyValue, now_ms: UnixMillis) {
+        if entry.version > self.snapshot.revision {
+            match unframe(&entry.value) {
+                Some(parsed) => self.apply_entry(parsed, entry.version, now_ms),
+                None => self.mark_unreadable(&entry.key),
+            }
+        }
+        self.log_versions.insert(entry.key, entry.version);
+    }
+
     fn apply_snapshot(
         &mut self,
         chunks: &BTreeMap<String, Value>,
--- a/crates/state/src/cluster_state/tasks.rs
+++ b/crates/state/src/cluster_state/tasks.rs
@@ -61,17 +61,7 @@
             job: id.clone(),
             index,
         };
-        match &record.machine {
-            Some(machine) => {
-                if let Some(machine) = self.machines.get_mut(machine) {
-                    machine.tasks.insert(task);
-                }
-                self.changed_machines.insert(machine.clone());
-            }
-            None => {
-                self.unplaced.insert(task);
-            }
-        }
+        self.link_task(task, record.machine.as_ref());
         if let Some(job) = self.jobs.get_mut(&id) {
             if record.started_ms.is_some() {
                 job.mark_started(&mut self.service_counts);
@@ -97,20 +87,34 @@
             job: id.clone(),
             index,
         };
-        match &state.record.machine {
-            Some(machine) => {
-                if let Some(machine) = self.machines.get_mut(machine) {
-                    machine.tasks.remove(&task);
-                }
-                self.changed_machines.insert(machine.clone());
-            }
-            None => {
-                self.unplaced.remove(&task);
-            }
-        }
+        self.unlink_task(&task, state.record.machine.as_ref());
         Some(state.record)
     }
 
+    /// Lists a task under its machine, or among the unplaced ones if it has none.
+    fn link_task(&mut self, task: TaskId, machine: Option<&MachineId>) {
+        let Some(id) = machine else {
+            self.unplaced.insert(task);
+            return;
+        };
+        if let Some(machine) = self.machines.get_mut(id) {
+            machine.tasks.insert(task);
+        }
+        self.changed_machines.insert(id.clone());
+    }
+
+    /// The reverse of [`ClusterState::link_task`].
+    fn unlink_task(&mut self, task: &TaskId, machine: Option<&MachineId>) {
+        let Some(id) = machine else {
+            self.unplaced.remove(task);
+            return;
+        };
+        if let Some(machine) = self.machines.get_mut(id) {
+            machine.tasks.remove(task);
+        }
+        self.changed_machines.insert(id.clone());
+    }
+
     pub(super) fn place(&mut self, place: PlaceTasks) {
         let Some((id, job)) = self.jobs.get_key_value(&place.job) else {
             return;
@@ -131,41 +135,46 @@
         placed_ms: UnixMillis,
         placement: &TaskOnMachine,
     ) {
-        let Some(job) = self.jobs.get_mut(id) else {
-            return;
-        };
-        let Some(task) = job.tasks.get_mut(&placement.task) else {
-            return;
-        };
-        let Some((machine_id, machine)) = self.machines.get_key_value(&placement.machine) else {
+        let Some(machine) = self.usable_machine(id, attempt, placement) else {
             return;
         };
-        let record = &mut task.record;
-        let is_open =
-            record.attempt == attempt && record.machine.is_none() && record.stop_reason.is_none();
-        let is_usable = machine.record.lifecycle == MachineLifecycle::Active
-            && machine.record.shard == record.shard;
-        if !is_open || !is_usable {
-            return;
-        }
-        task.cold_start = Some(!machine.has_image(&job.spec.image));
-        record.machine = Some(machine_id.clone());
-        record.scheduled_ms = placed_ms;
-        // Fetches side by side share the rate, which says little of it.
-        if !self.all_tasks_started(&placement.machine)
-            && let Some(task) = self.task_mut(id, placement.task)
-        {
-            task.cold_start = None;
+        let cold_start = self.expected_cold_start(id, &machine);
+        if let Some(task) = self.task_mut(id, placement.task) {
+            task.cold_start = cold_start;
+            task.record.machine = Some(machine.clone());
+            task.record.scheduled_ms = placed_ms;
         }
         let task = TaskId {
             job: id.clone(),
             index: placement.task,
         };
-        self.unplaced.remove(&task);
-        if let Some(machine) = self.machines.get_mut(&placement.machine) {
-            machine.tasks.insert(task);
-        }
-        self.changed_machines.insert(placement.machine.clone());
+        self.unlink_task(&task, None);
+        self.link_task(task, Some(&machine));
+    }
+
+    /// The machine of a placement, if the attempt still waits for one and the machine is
+    /// an active one of the task's shard.
+    fn usable_machine(
+        &self,
+        id: &JobId,
+        attempt: Revision,
+        placement: &TaskOnMachine,
+    ) -> Option<MachineId> {
+        let record = &self.current_attempt(id, attempt, placement.task)?.record;
+        let (machine_id, machine) = self.machines.get_key_value(&placement.machine)?;
+        let is_open = record.machine.is_none() && record.stop_reason.is_none();
+        let is_usable = machine.record.lifecycle == MachineLifecycle::Active
+            && machine.record.shard == record.shard;
+        (is_open && is_usable).then(|| machine_id.clone())
+    }
+
+    /// Whether a job's task that is placed on a machine now has to wait for its image;
+    /// `None` if its start would tell nothing of the fetch rate, because another task on
+    /// the machine may still be fetching: fetches side by side share the rate.
+    fn expected_cold_start(&self, id: &JobId, machine: &MachineId) -> Option<bool> {
+        let image = &self.jobs.get(id)?.spec.image;
+        let has_image = self.machines.get(machine)?.has_image(image);
+        self.all_tasks_started(machine).then_some(!has_image)
     }
 
     fn task_mut(&mut self, job: &JobId, index: u32) -> Option<&mut TaskState> {
@@ -214,7 +223,7 @@
         let Some(machine) = machine.and_then(|id| self.machines.get_mut(&id)) else {
             return;
         };
-        // A gang waits for its other tasks, which says nothing of the fetch.
+        // A gang waits for its other tasks, which tells nothing of the fetch.
         if let Some(cold_start) = cold_start
             && spec.shape != Shape::Gang
         {
