--- a/crates/protocol/src/cloud.rs
+++ b/crates/protocol/src/cloud.rs
@@ -27,16 +27,20 @@
     /// Space for cached images, in GB.
     #[serde(rename = "localGb", default)]
     pub cache_gb: f64,
-    /// How fast images are fetched, in GB a second, give or take a third.
+    /// How fast images are fetched, in GB a second, give or take a third. Concurrent fetches
+    /// may share it.
     #[serde(rename = "pullGbPerS", default)]
     pub fetch_gb_per_s: f64,
-    /// Price of an ordinary machine for an hour, charged by the second.
+    /// Price of an on-demand machine for an hour, charged by the second and for at least
+    /// 60 s.
     #[serde(rename = "hourly")]
     pub price: f64,
-    /// The present price of a spot machine for an hour; none if there are none.
+    /// The current price of a spot machine for an hour, whenever it was rented; none if the
+    /// type has no spot machines.
     #[serde(rename = "lowPrice", default)]
     pub spot_price: Option<f64>,
-    /// The nominal boot time in seconds; usually 0.6 to 1.5 times as long.
+    /// The nominal boot time in seconds. Most machines take 0.6 to 1.5 times as long, some
+    /// several times, and a few never boot.
     #[serde(rename = "startupS", default)]
     pub boot_s: f64,
     /// The zones that have it.
@@ -55,7 +59,8 @@
 /// A rental of machines of one kind.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct RentRequest {
-    /// The idempotency key: a request repeated by this name rents nothing more.
+    /// The idempotency key: a request that was fulfilled under this name rents nothing more
+    /// when it is repeated.
     #[serde(rename = "ask")]
     pub request: String,
     /// The machine type's name.
@@ -64,7 +69,7 @@
     /// The zone.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Spot machines rather than ordinary ones.
+    /// Spot machines rather than on-demand ones.
     #[serde(rename = "loaners")]
     pub spot: bool,
     /// How many, at most [`MAX_RENT`].
@@ -83,10 +88,10 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ListedState {
-    /// Not up yet; some never come up.
+    /// Not booted yet, as of the time that the list describes; some never boot.
     #[serde(rename = "starting")]
     Booting,
-    /// Up.
+    /// Booted. Includes machines that died less than about 30 s ago.
     Running,
     /// Stopped on its own. Listed, at no charge, until it is deleted.
     Failed,
--- a/crates/protocol/src/ids.rs
+++ b/crates/protocol/src/ids.rs
@@ -97,8 +97,8 @@
 }
 
 string_id! {
-    /// A rental request, by the name under which the cloud is asked. Repeating a request
-    /// under the same name rents nothing more.
+    /// A rental request, by its idempotency key: repeating a request under the same name
+    /// rents nothing more.
     RentalId
 }
 
--- a/crates/protocol/src/jobs.rs
+++ b/crates/protocol/src/jobs.rs
@@ -20,19 +20,22 @@
     Service,
 }
 
-/// Priorities, the most urgent first, so that the derived order sorts them.
+/// Priorities, the highest first, so that the derived order sorts them.
+///
+/// A job may preempt tasks of lower priority. Apart from that, tasks of any priority may be
+/// preempted if their team exceeds its guarantee while another team is short of its own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, Hash)]
 pub enum Priority {
-    /// Preempts all others.
+    /// The highest: may preempt tasks of all other priorities.
     #[serde(rename = "prod")]
     Production,
-    /// Above normal.
+    /// May preempt normal and low-priority tasks.
     #[serde(rename = "urgent")]
     High,
-    /// The usual one.
+    /// May preempt low-priority tasks only.
     #[serde(rename = "normal")]
     Normal,
-    /// Preempts none.
+    /// The lowest: preempts a task only to give its team its guarantee.
     #[serde(rename = "best_effort")]
     Low,
 }
@@ -54,7 +57,7 @@
     /// Its priority.
     #[serde(rename = "rank")]
     pub priority: Priority,
-    /// The number of tasks.
+    /// The number of tasks; their indices start at 0.
     #[serde(rename = "pieces")]
     pub tasks: u32,
     /// Processors for each task.
@@ -64,7 +67,7 @@
     /// Memory for each task, in GB.
     #[serde(rename = "memoryGb")]
     pub memory_gb: f64,
-    /// The image that a machine must have.
+    /// The image that a machine must have fetched before a task can start.
     #[serde(rename = "kit")]
     pub image: String,
     /// The image's size in GB.
@@ -84,16 +87,18 @@
     /// Whether it may use spot machines.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// The user's estimate of a task's run time, in seconds without the image fetch.
+    /// The user's estimate of a task's run time, in seconds without the image fetch; often
+    /// wrong, and 0 for services.
     #[serde(rename = "guessS")]
     pub estimate_s: f64,
-    /// Seconds of progress between checkpoints; 0: tasks save none.
+    /// Seconds of progress between checkpoints; 0: the tasks save none, not even when they
+    /// are stopped.
     #[serde(rename = "waypointS")]
     pub checkpoint_s: f64,
-    /// The time that a task needs to save when it is stopped, in seconds.
+    /// The time that a task needs to save a checkpoint when it is stopped, in seconds.
     #[serde(rename = "stashS")]
     pub save_s: f64,
-    /// When it should be complete, in seconds from its submission.
+    /// When it should be complete, in seconds from its submission; none: no deadline.
     #[serde(rename = "dueS", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
 }
@@ -112,9 +117,9 @@
     Queued,
     /// Some tasks run.
     Running,
-    /// All tasks are done.
+    /// All tasks are done. Final.
     Done,
-    /// Cancelled by its user.
+    /// Cancelled by its user. Final.
     #[serde(rename = "aborted")]
     Cancelled,
 }
--- a/crates/protocol/src/jobs/validation.rs
+++ b/crates/protocol/src/jobs/validation.rs
@@ -4,7 +4,7 @@
 
 const MAX_TASKS: u32 = 100_000;
 
-/// No real job asks for more than this of anything; it keeps sums finite.
+/// The largest resource amount or duration that is accepted, which keeps sums finite.
 const MAX_AMOUNT: f64 = 1e9;
 
 /// In bytes.
--- a/crates/protocol/src/peers.rs
+++ b/crates/protocol/src/peers.rs
@@ -16,7 +16,7 @@
     pub staleness_ms: u64,
     /// The newest revision of the store that the sender has seen.
     pub revision: u64,
-    /// The sender's process; 0 if it does not tell.
+    /// The incarnation of the sender's process; 0 if it is not sent.
     #[serde(default)]
     #[serde(rename = "nonce")]
     pub incarnation: u64,
@@ -40,8 +40,8 @@
     #[serde(default)]
     #[serde(rename = "sights")]
     pub observations: Vec<PeerObservation>,
-    /// Shards leased to the sender none of whose machines it has heard for longer than
-    /// chance explains.
+    /// Shards leased to the sender from whose machines it receives no heartbeats, for longer
+    /// than chance explains.
     #[serde(default)]
     #[serde(rename = "deaf")]
     pub unreachable_shards: Vec<String>,
@@ -56,10 +56,10 @@
 pub struct PeerObservation {
     /// The other's name as a member.
     pub member: String,
-    /// The other's process.
+    /// The incarnation of the other's process.
     #[serde(rename = "nonce")]
     pub incarnation: u64,
-    /// Milliseconds since that process was heard from; none if never.
+    /// Milliseconds since the last message from that process; none if there was none.
     #[serde(rename = "heard_ms")]
     pub last_heard_ms: Option<u64>,
     /// Whether its port refused the latest heartbeats.
@@ -88,7 +88,7 @@
     }
 }
 
-/// A controller that can't read the store asks for a job on a user's behalf.
+/// A query for a job's status, from a controller that can't read the store.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct JobStatusQuery {
     /// The job's id.
--- a/crates/protocol/src/settings.rs
+++ b/crates/protocol/src/settings.rs
@@ -55,7 +55,7 @@
 pub struct SiteSettings {
     /// All zones.
     pub zones: Vec<String>,
-    /// How far a machine's time of day may be off, in milliseconds.
+    /// How far a machine's time of day may differ from the true time, in milliseconds.
     #[serde(default)]
     pub skew_ms: f64,
     /// All teams.
@@ -76,7 +76,8 @@
     pub limits: ProcessLimits,
 }
 
-/// A team's guarantee and limit; 0 means none.
+/// A team's guarantee and its quota; 0 means none. Resources within the guarantee are the
+/// team's whenever it needs them, those above it are borrowed from other teams.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Team {
     /// Its name.
@@ -105,7 +106,7 @@
     CompletionTime,
     /// The time until a job within its team's guarantee starts.
     GuaranteedStart,
-    /// One that this version does not know and ignores.
+    /// A kind that this version does not know, and ignores.
     Unknown,
 }
 
@@ -145,20 +146,22 @@
 /// The workers' intervals, in seconds.
 #[derive(Debug, Clone, Deserialize)]
 pub struct WorkerTiming {
-    /// Between two heartbeats of a worker, give or take a quarter.
+    /// The time between two heartbeats of a worker, give or take a quarter.
     #[serde(rename = "report_s")]
     pub heartbeat_s: f64,
-    /// After which a worker that gets no valid response kills its tasks.
+    /// A worker kills its tasks and begins a new session once the last heartbeat that got a
+    /// valid response was sent longer ago than this.
     pub lease_s: f64,
-    /// For which a gang's task waits for the others.
+    /// How long a gang's task waits for the others.
     pub gang_wait_s: f64,
-    /// Within which a gang's tasks notice that one is gone.
+    /// The time within which a gang's tasks notice that one is gone, and within which all
+    /// must be stopped for their progress to be saved.
     pub gang_peer_s: f64,
-    /// Within which a cancelled job's tasks must be gone.
+    /// The time within which a cancelled job's tasks must be gone.
     pub cancel_s: f64,
 }
 
-/// The store's limits.
+/// The store's limits. Bursts of one second's worth are allowed.
 #[derive(Debug, Clone, Deserialize)]
 pub struct StoreLimits {
     /// Requests a second.
@@ -171,12 +174,13 @@
     pub txn_ops: usize,
 }
 
-/// The cloud's limits.
+/// The cloud's limits. Bursts of two seconds' worth of requests are allowed.
 #[derive(Debug, Clone, Deserialize)]
 pub struct CloudLimits {
     /// Requests a second.
     pub rps: f64,
-    /// By how much the list of machines lags, in seconds.
+    /// By how much the list of machines usually lags, in seconds; sometimes it is twice as
+    /// much.
     #[serde(default)]
     pub list_lag_s: f64,
 }
--- a/crates/protocol/src/settings/validation.rs
+++ b/crates/protocol/src/settings/validation.rs
@@ -137,7 +137,7 @@
 }
 
 impl ProcessLimits {
-    /// 0 means no limit; less than the least given is a mistake.
+    /// 0 means no limit; a value below what a process needs at least is a mistake.
     fn check(&self) -> Checked {
         let limits = [
             ("settings.quota.cpu_share", self.cpu_share, 0.005),
--- a/crates/protocol/src/store.rs
+++ b/crates/protocol/src/store.rs
@@ -46,7 +46,8 @@
     pub version: u64,
 }
 
-/// A put names its key in `put` and has a value, a deletion names its key in `delete`.
+/// A put or a deletion. A put names its key in `put` and has a value, a deletion names its
+/// key in `delete`.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Write {
     /// The key that is put.
@@ -63,7 +64,7 @@
     pub delete: Option<String>,
 }
 
-/// Writes that are carried out together, if all conditions hold.
+/// An atomic compare-and-swap: all writes are carried out, if all conditions hold, or none.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Transaction {
     /// What must hold.
--- a/crates/protocol/src/worker.rs
+++ b/crates/protocol/src/worker.rs
@@ -11,9 +11,10 @@
     /// Has its image and waits for the other tasks of its gang.
     #[serde(rename = "gathering")]
     WaitingForGang,
-    /// Runs; also while its gang is stopped or has lost a task.
+    /// Runs. The tasks of a gang that is stopping or broken stay in this state until they
+    /// exit.
     Running,
-    /// Was told to stop and saves a checkpoint.
+    /// Was commanded to stop, and saves a checkpoint.
     Saving,
     /// Has ended, see its [`ExitCause`].
     #[serde(rename = "ended")]
@@ -27,19 +28,19 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ExitCause {
-    /// Completed; the result is kept.
+    /// Completed. The result is kept: another attempt would only fetch the image and complete.
     Done,
     /// Stopped by command.
     Stopped,
     /// Another task of its gang is gone.
     #[serde(rename = "peers")]
     GangPeerLost,
-    /// Its gang was not complete in time.
+    /// Its gang was not complete within the gang wait time.
     #[serde(rename = "alone")]
     GangIncomplete,
-    /// Failed: mostly the machine is faulty, sometimes the job.
+    /// Failed: mostly because the machine is faulty, sometimes because the job itself is.
     Error,
-    /// Refused: the machine lacks free resources.
+    /// Refused: the machine lacks free resources. Tasks use theirs from the image fetch on.
     #[serde(rename = "full")]
     NoRoom,
     /// Refused: the task is on the machine under another attempt.
@@ -57,7 +58,7 @@
     /// The task's name, see [`TaskId`](crate::ids::TaskId).
     #[serde(rename = "piece")]
     pub task: String,
-    /// Which start of the task it is.
+    /// The attempt: which start of the task it is.
     #[serde(rename = "try")]
     pub attempt: u64,
     /// Its state.
@@ -67,7 +68,7 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "cause")]
     pub exit_cause: Option<ExitCause>,
-    /// Whether a stopped task's progress was saved.
+    /// Whether the progress of a task that was stopped has been saved.
     #[serde(rename = "stored", default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
 }
@@ -91,10 +92,11 @@
     /// Whether it is a spot machine.
     #[serde(rename = "loaners", default)]
     pub spot: bool,
-    /// The worker's session (epoch): counts up when its lease expires, from 1.
+    /// The worker session (epoch), from 1; a new one begins when the worker's lease
+    /// expires.
     #[serde(rename = "stint")]
     pub session: u64,
-    /// Counts up with each heartbeat.
+    /// Increases with each heartbeat, sent or returned to a direct request.
     #[serde(rename = "tally")]
     pub sequence: u64,
     /// The highest fencing token that the worker has seen.
@@ -103,33 +105,38 @@
     /// Seconds until the cloud takes the machine away, once that is announced.
     #[serde(rename = "recallS", default)]
     pub notice_s: Option<f64>,
-    /// All tasks on the machine; exited ones until they are forgotten.
+    /// All tasks on the machine; exited ones until a [`Command::Forget`].
     #[serde(rename = "pieces", default)]
     pub tasks: Vec<TaskStatus>,
 }
 
-/// A command to a worker. Each is idempotent, but a run repeated after its forget.
+/// A command to a worker. All are idempotent, with one exception: a [`Command::Run`] that
+/// is repeated after the [`Command::Forget`] of its attempt starts the attempt again.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb", rename_all = "lowercase")]
 pub enum Command {
-    /// Start a task; without effect if the worker has this attempt in any state.
+    /// Start a task. Without effect if the worker already knows this attempt, even as refused
+    /// or exited.
     Run {
         /// The task's name.
         #[serde(rename = "piece")]
         task: String,
-        /// Which start of the task it is.
+        /// The attempt: which start of the task it is.
         #[serde(rename = "try")]
         attempt: u64,
     },
-    /// Stop a task.
+    /// Stop a task. It saves a checkpoint first if it runs, its job has checkpoints and the
+    /// grace period suffices; otherwise it exits at once. A second stop with a grace period
+    /// of 0 ends a task that saves.
     Stop {
         /// The task's name.
         #[serde(rename = "piece")]
         task: String,
-        /// Which start of the task it is.
+        /// The attempt: which start of the task it is.
         #[serde(rename = "try")]
         attempt: u64,
-        /// Time for saving, in seconds: with less than the task needs it exits at once.
+        /// The grace period for saving, in seconds; see
+        /// [`JobSpec::save_s`](crate::jobs::JobSpec::save_s).
         #[serde(rename = "leewayS")]
         grace_s: f64,
     },
@@ -138,17 +145,18 @@
         /// The task's name.
         #[serde(rename = "piece")]
         task: String,
-        /// Which start of the task it is.
+        /// The attempt: which start of the task it is.
         #[serde(rename = "try")]
         attempt: u64,
     },
 }
 
-/// The response to a heartbeat. It renews the worker's lease.
+/// The response to a heartbeat. It renews the worker's lease from the time at which that
+/// heartbeat was sent, unless its token is too low.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct HeartbeatResponse {
-    /// The sender's fencing token: the worker drops a response with a lower one than the
-    /// highest that it has seen.
+    /// The sender's fencing token. The worker drops a response whose token is lower than the
+    /// highest that it has seen, as from a controller that has been superseded.
     #[serde(rename = "baton")]
     pub token: u64,
     /// Executed in order.
@@ -162,7 +170,7 @@
     /// The sender's fencing token.
     #[serde(rename = "baton")]
     pub token: u64,
-    /// The worker's session: the commands count for no other.
+    /// The worker session; a worker that is in another one executes nothing.
     #[serde(rename = "stint")]
     pub session: u64,
     /// Executed in order.
@@ -173,7 +181,7 @@
 /// Body of a 421: which controller the worker should send its heartbeats to.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Redirect {
-    /// That controller's name as a member; none: the worker tries the next.
+    /// The name of that controller; none: the worker tries the next one.
     #[serde(rename = "steward", default, skip_serializing_if = "Option::is_none")]
     pub report_to: Option<String>,
 }
