--- a/crates/clients/src/cloud.rs
+++ b/crates/clients/src/cloud.rs
@@ -32,7 +32,7 @@
 /// The cloud's response to a rental request.
 #[derive(Debug, Clone)]
 pub enum RentOutcome {
-    /// The machines' names: as many as there were, up to the number asked for.
+    /// The machines' names: as many as there were, up to the requested number.
     Machines(Vec<String>),
     /// None of that kind is available now.
     OutOfCapacity,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Asks which machine types there are.
+    /// Gets the machine types.
     ///
     /// # Errors
     ///
@@ -81,7 +81,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Status`] for statuses that tell nothing of the machines; else as
+    /// [`Error::Status`] for statuses that show nothing about the machines; else as
     /// [`HttpClient::call`].
     pub async fn rent(&self, request: &RentRequest) -> Result<RentOutcome, Error> {
         let request = self.request(Method::POST, "/rentals", json_body(request));
--- a/crates/clients/src/http.rs
+++ b/crates/clients/src/http.rs
@@ -20,7 +20,7 @@
     /// Nothing was sent: the other side can't have acted.
     #[error("not sent: {0}")]
     NotSent(String),
-    /// Nothing was sent either: the host answered that nobody listens there.
+    /// Nothing was sent either: the host refused the connection.
     #[error("connection refused")]
     ConnectionRefused,
     /// Sent, but unanswered: the other side may have acted, or may still act.
@@ -198,7 +198,7 @@
         }
     }
 
-    /// Closes idle connections to an address that may be dead.
+    /// Closes idle connections to an address whose host may have failed.
     pub fn drop_idle(&self, address: SocketAddr) {
         self.idle().remove_all(address);
     }
--- a/crates/clients/src/peers.rs
+++ b/crates/clients/src/peers.rs
@@ -13,7 +13,7 @@
 }
 
 impl PeerClient {
-    /// A client that uses the given HTTP client.
+    /// A client that uses an HTTP client.
     pub fn new(http: HttpClient) -> Self {
         PeerClient { http }
     }
--- a/crates/clients/src/store.rs
+++ b/crates/clients/src/store.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Entries asked for in a page of a list.
+/// Entries requested in a page of a list.
 const PAGE_SIZE: usize = 1000;
 
 const LIST_TIMEOUT: Duration = Duration::from_secs(5);
--- a/crates/clients/src/workers.rs
+++ b/crates/clients/src/workers.rs
@@ -13,7 +13,7 @@
 pub struct WorkerClient {
     http: HttpClient,
     command_permits: Arc<Semaphore>,
-    /// Status queries go to workers that are not heard from and mostly time out, so they
+    /// Status queries go to workers that send no heartbeats and mostly time out, so they
     /// have permits of their own.
     status_permits: Arc<Semaphore>,
 }
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Asks a worker for its state.
+    /// Queries a worker's status.
     ///
     /// # Errors
     ///
--- a/crates/failure-detector/src/accrual.rs
+++ b/crates/failure-detector/src/accrual.rs
@@ -1,4 +1,5 @@
-//! Suspicion that accrues with silence, relative to the peer's own history.
+//! Suspicion that accrues with the time since a peer's last heartbeat, relative to the peer's
+//! own history.
 //!
 //! After Hayashibara, Défago, Yared and Katayama, "The φ Accrual Failure Detector"
 //! (2004): φ is the negative decimal logarithm of the probability that a live peer is
@@ -8,14 +9,14 @@
 use statrs::function::erf::erfc;
 use std::collections::VecDeque;
 
-/// Intervals remembered. Heartbeats come a few times a second, so this is about the
-/// last half minute.
+/// Intervals in the history. Heartbeats come a few times a second, so this is about the last
+/// half minute.
 const WINDOW: usize = 100;
 
-/// φ is capped here: beyond, the normal distribution says nothing about networks.
+/// Upper bound of φ: beyond it the normal distribution is no model of a network.
 const MAX_PHI: f64 = 100.0;
 
-/// The expected interval counts as so many samples: a few observed ones say little.
+/// The expected interval counts as so many samples: a few observed ones are no evidence yet.
 const PRIOR_WEIGHT: f64 = 8.0;
 
 /// A longer silence enters the history as so many expected intervals.
@@ -38,7 +39,7 @@
 }
 
 impl HeartbeatHistory {
-    /// An empty history of a peer that should be heard each `expected_s` seconds.
+    /// An empty history of a peer that should send a heartbeat each `expected_s` seconds.
     pub fn new(expected_s: f64) -> HeartbeatHistory {
         HeartbeatHistory {
             intervals: VecDeque::with_capacity(WINDOW),
@@ -64,7 +65,7 @@
         self.last_s = Some(now_s);
     }
 
-    /// Forgets the history: the peer's process is another one.
+    /// Clears the history, because the peer's process is another one.
     pub fn reset(&mut self) {
         self.intervals.clear();
         self.last_s = None;
@@ -90,10 +91,10 @@
         }
     }
 
-    /// How improbable it is that the peer is alive and silent since its last heartbeat.
+    /// How improbable it is that a live peer has sent nothing since its last heartbeat.
     /// `lag_s` is the observer's own event-loop lag: a response may wait in its own
     /// queue for as long (the local health of Lifeguard: Dadgar, Phillips and Currey,
-    /// 2018), so a controller that is short of processor time suspects nobody.
+    /// 2018), so a controller that is short of processor time suspects no peer.
     pub fn phi(&self, now_s: f64, lag_s: f64) -> f64 {
         let Some(last) = self.last_s else {
             return 0.0;
--- a/crates/failure-detector/src/accrual/tests.rs
+++ b/crates/failure-detector/src/accrual/tests.rs
@@ -38,8 +38,8 @@
 }
 
 proptest! {
-    /// Whatever came before: φ is a number, grows with silence, and shrinks with
-    /// the observer's own lag.
+    /// Whatever came before: φ is a number, grows with the time since the last
+    /// heartbeat, and shrinks with the observer's own lag.
     #[test]
     fn phi_accrues(gaps in prop::collection::vec(0.001f64..20.0, 0..200), a in 0.0f64..30.0, b in 0.0f64..30.0, late in 0.0f64..5.0) {
         let mut history = HeartbeatHistory::new(0.3);
--- a/crates/failure-detector/src/damping.rs
+++ b/crates/failure-detector/src/damping.rs
@@ -6,21 +6,21 @@
 /// Delays double up to so many times the first.
 const MAX_DELAY_FACTOR: f64 = 8.0;
 
-/// A departure counts for so many first delays: longer than the longest delay, so that
-/// one who leaves again as soon as it may is still known.
+/// A departure counts for so many first delays. That is longer than the longest delay, so
+/// that a member that leaves again right after it still counts as flapping.
 const MEMORY_FACTOR: f64 = 16.0;
 
 /// Bounds the exponent of the doubling.
 const MAX_COUNTED_DEPARTURES: usize = 8;
 
-/// One term of a member: what ended when it left. The expiry of its lease and a verdict
-/// on it before are one departure.
+/// One term of a member, which a departure ends. If a member is declared failed and its
+/// lease expires afterwards, that is one departure.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MembershipTerm {
     /// The member's process.
     pub incarnation: u64,
-    /// What tells terms of a process apart; mostly when it registered, in milliseconds
-    /// since the Unix epoch.
+    /// Distinguishes the terms of a process; mostly the time of its registration, in
+    /// milliseconds since the Unix epoch.
     pub since: u64,
 }
 
@@ -50,7 +50,7 @@
         MEMORY_FACTOR * self.first_delay_s
     }
 
-    /// A member left, was declared failed, or stepped down. Once for each term.
+    /// Records that a member left, was declared failed, or stepped down; once for each term.
     pub fn record_departure(&mut self, now_s: f64, member: &str, term: MembershipTerm) {
         let memory = self.memory_s();
         let departures = self.departures.entry(member.to_string()).or_default();
@@ -68,7 +68,7 @@
             .count()
     }
 
-    /// For how long after its return a member is not yet given what it had, in seconds.
+    /// For how long after its return a member does not yet get its work back, in seconds.
     pub fn delay_s(&self, now_s: f64, member: &str) -> f64 {
         let factor = match self.departures(now_s, member) {
             0 => 1.0,
--- a/crates/failure-detector/src/damping/tests.rs
+++ b/crates/failure-detector/src/damping/tests.rs
@@ -18,7 +18,7 @@
     for n in 0..6 {
         let now = 12.0 * n as f64;
         damping.record_departure(now, "a", term(n));
-        // Its lease expires after the verdict on it: the same departure.
+        // Its lease expires after it was declared failed: the same departure.
         damping.record_departure(now + 2.0, "a", term(n));
         delays.push(damping.delay_s(now, "a"));
     }
--- a/crates/failure-detector/src/detector.rs
+++ b/crates/failure-detector/src/detector.rs
@@ -1,17 +1,16 @@
-//! What a controller thinks of each of the others, and why.
+//! One controller's view of the health of the others, with the reasons for it.
 //!
 //! | health | what it allows | how it ends |
 //! | --- | --- | --- |
 //! | healthy | everything | a reason for suspicion |
-//! | suspected | what can be undone: nothing new is assigned to it, no user's request is forwarded to it, a successor prepares | a response of the same process to a later heartbeat |
+//! | suspected | reversible measures: nothing new is assigned to it, no user's request is forwarded to it, a successor prepares | a response of the same process to a later heartbeat |
 //! | failed | what the store fences: leadership and shards are taken by conditional commits | another process of that name, or responses for the length of a member lease |
 //!
-//! Declaring a peer failed needs, beside the suspicion, that most of the other
-//! controllers that can be heard and that reach the store have the same suspicion, that
-//! none of them has heard from the peer since, that the peer has written nothing to the
-//! log since, and that the observer itself has read the store since. So one that is cut
-//! off can declare nobody failed, and a packet filter between all controllers leads to
-//! no verdict.
+//! A suspected peer is declared failed only if, since the suspicion began, most of the other
+//! controllers that send heartbeats and reach the store have the same suspicion, none of
+//! them has seen the peer, the peer has written nothing to the log, and the observer itself
+//! has read the store. So a controller that is partitioned from the others can declare none
+//! failed, and neither can any behind a packet filter between all controllers.
 
 mod assessment;
 mod evaluation;
@@ -38,7 +37,7 @@
     pub heartbeat_s: f64,
     /// A scheduling round, in seconds.
     pub round_s: f64,
-    /// The member lease, in seconds: by its end the store itself says who is gone.
+    /// The member lease, in seconds: by its end the store itself shows who is gone.
     pub member_lease_s: f64,
     /// The workers' lease, in seconds.
     pub worker_lease_s: f64,
@@ -66,7 +65,7 @@
     /// Departures of all members, this controller included.
     pub damping: FlapDamping,
     /// When peers were declared failed by evidence, in seconds, the latest last.
-    verdicts_s: Vec<f64>,
+    declared_failed_at_s: Vec<f64>,
 }
 
 impl FailureDetector {
@@ -81,7 +80,7 @@
             peers: peers.map(|name| (name.to_string(), new_peer())).collect(),
             damping: FlapDamping::new(config.member_lease_s),
             config,
-            verdicts_s: Vec::new(),
+            declared_failed_at_s: Vec::new(),
         }
     }
 
--- a/crates/failure-detector/src/detector/assessment.rs
+++ b/crates/failure-detector/src/detector/assessment.rs
@@ -4,22 +4,22 @@
 use super::health::{LocalHealth, PeerHealth, SuspicionReason};
 use super::peer::PeerState;
 
-/// A witness that has not heard a peer for so many heartbeat intervals agrees that it
-/// is silent.
+/// A witness that has not seen a peer for so many heartbeat intervals agrees that it is
+/// unresponsive.
 const SILENT_HEARTBEATS: f64 = 4.0;
 
 /// A witness counts if its heartbeat and its read of the store are younger than so many
 /// rounds; so long after its last log entry a peer counts as idle.
 const RECENT_ROUNDS: f64 = 2.0;
 
-/// A silent peer is declared failed after this share of the member lease.
+/// An unresponsive peer is declared failed after this share of the member lease.
 const SILENCE_LEASE_SHARE: f64 = 0.75;
 
 /// The evidence on a suspected peer at a moment.
 pub(super) struct Assessment {
     /// Whether it is enough to declare the peer failed.
     pub conclusive: bool,
-    /// Whether most witnesses have the same suspicion, and the log speaks for it.
+    /// Whether most witnesses have the same suspicion, and the log does not contradict it.
     pub majority_agrees: bool,
     pub witnesses: usize,
     pub agreeing: usize,
@@ -31,20 +31,20 @@
     witnesses: usize,
     /// Those that have the same suspicion.
     agreeing: usize,
-    /// Whether any has heard from it since the suspicion began.
-    heard_since: bool,
+    /// Whether any has seen it since the suspicion began.
+    seen_since: bool,
 }
 
 impl WitnessReports {
     fn majority_agrees(&self) -> bool {
-        self.agreeing > 0 && 2 * self.agreeing > self.witnesses && !self.heard_since
+        self.agreeing > 0 && 2 * self.agreeing > self.witnesses && !self.seen_since
     }
 }
 
 /// What one controller reports of a suspected peer.
 struct WitnessReport {
     agrees: bool,
-    heard_since: bool,
+    seen_since: bool,
 }
 
 impl FailureDetector {
@@ -76,35 +76,37 @@
     ) -> bool {
         let config = &self.config;
         let suspected_s = now_s - peer.health_since_s;
-        // The observer must be able to observe.
-        let able = local.recent_lag_s < config.round_s && local.staleness_s < suspected_s;
+        // The observer must be can_observe to observe.
+        let can_observe = local.recent_lag_s < config.round_s && local.staleness_s < suspected_s;
         let agreed = reports.majority_agrees();
         let only_peer = self.peers.len() == 1;
         match peer.reason {
             Some(SuspicionReason::LeaseExpired) => true,
             Some(SuspicionReason::Refused) if only_peer => {
-                able && idle && suspected_s >= RECENT_ROUNDS * config.round_s
+                can_observe && idle && suspected_s >= RECENT_ROUNDS * config.round_s
             }
             Some(SuspicionReason::Refused) => {
-                able && idle && agreed && suspected_s >= config.heartbeat_s
+                can_observe && idle && agreed && suspected_s >= config.heartbeat_s
             }
             Some(SuspicionReason::Unresponsive) => {
-                able && agreed
+                can_observe
+                    && agreed
                     && self.is_silent_for_long(peer, now_s)
                     && config.timing().is_on_time(local.mean_lag_s)
             }
             // Once in a lease, whoever it was: if the next one can't keep up either, it is
             // the load, and leadership would circulate.
             Some(SuspicionReason::Stalled) => {
-                able && suspected_s >= config.round_s
+                can_observe
+                    && suspected_s >= config.round_s
                     && local.since_leadership_moved_s > config.worker_lease_s
             }
             Some(SuspicionReason::Slow) | None => false,
         }
     }
 
-    /// Whether a peer's member lease is about to expire, unless a process lives there
-    /// that renews it and does nothing else.
+    /// Whether a peer's member lease is about to expire, unless its process still renews it
+    /// and does nothing else.
     fn is_silent_for_long(&self, peer: &PeerState, now_s: f64) -> bool {
         let long_s = SILENCE_LEASE_SHARE * self.config.member_lease_s;
         let suspected_s = now_s - peer.health_since_s;
@@ -112,7 +114,7 @@
             && peer.since_last_write_s(now_s) >= long_s
     }
 
-    /// Whether nothing in the log shows that a peer lives. An entry that it wrote before
+    /// Whether no entry in the log shows that a peer still runs. An entry that it wrote before
     /// its end may be seen a little after.
     fn is_idle_in_log(&self, peer: &PeerState, now_s: f64) -> bool {
         let allowance_s = self.config.heartbeat_s / 2.0;
@@ -130,7 +132,7 @@
             if let Some(report) = self.witness_report(witness, member, peer, now_s) {
                 reports.witnesses += 1;
                 reports.agreeing += usize::from(report.agrees);
-                reports.heard_since |= report.heard_since;
+                reports.seen_since |= report.seen_since;
             }
         }
         reports
@@ -159,14 +161,14 @@
             .observations
             .iter()
             .find(|o| o.member == member && o.incarnation == peer.incarnation)?;
-        let heard_ago_s = observation
-            .last_heard_ms
+        let last_seen_ago_s = observation
+            .last_seen_ms
             .map(|ms| ms as f64 / 1000.0 + age_s);
         let suspected_s = now_s - peer.health_since_s;
-        let silent = heard_ago_s.is_none_or(|ago| ago > SILENT_HEARTBEATS * config.heartbeat_s);
+        let silent = last_seen_ago_s.is_none_or(|ago| ago > SILENT_HEARTBEATS * config.heartbeat_s);
         Some(WitnessReport {
             agrees: observation.refused || silent,
-            heard_since: heard_ago_s.is_some_and(|ago| ago < suspected_s),
+            seen_since: last_seen_ago_s.is_some_and(|ago| ago < suspected_s),
         })
     }
 }
--- a/crates/failure-detector/src/detector/evaluation.rs
+++ b/crates/failure-detector/src/detector/evaluation.rs
@@ -26,7 +26,12 @@
         let peer = self.peers.get(&member)?;
         let suspicion = self.suspicion(peer, now_s, local);
         let assessment = self.assess(&member, peer, now_s, local);
-        let to = next_health(peer, suspicion, &assessment, self.is_back(peer, now_s));
+        let to = next_health(
+            peer,
+            suspicion,
+            &assessment,
+            self.has_recovered(peer, now_s),
+        );
         let to = match to {
             Next::Health(health) => health,
             Next::FailedIfAllowed if self.may_declare_failed(now_s) => PeerHealth::Failed,
@@ -57,18 +62,18 @@
     }
 
     /// Whether a peer that was declared failed responds for the length of a member lease.
-    fn is_back(&self, peer: &PeerState, now_s: f64) -> bool {
+    fn has_recovered(&self, peer: &PeerState, now_s: f64) -> bool {
         peer.responding_since_s
             .is_some_and(|at| now_s - at >= self.config.member_lease_s)
     }
 
-    /// Whether one more peer may be declared failed: in the time of a member lease no more
-    /// than half of all controllers by evidence of ours. What the store says is not
-    /// bounded.
+    /// Whether one more peer may be declared failed: within a member lease no more
+    /// than half of all controllers by this observer's own evidence. Lease expiries, which
+    /// the store reports, are not bounded.
     fn may_declare_failed(&mut self, now_s: f64) -> bool {
         let span = self.config.member_lease_s;
-        self.verdicts_s.retain(|at| now_s - at < span);
-        2 * self.verdicts_s.len() < self.peers.len().max(2)
+        self.declared_failed_at_s.retain(|at| now_s - at < span);
+        2 * self.declared_failed_at_s.len() < self.peers.len().max(2)
     }
 
     fn apply(&mut self, transition: &HealthTransition, now_s: f64, revision: u64) {
@@ -80,12 +85,12 @@
         peer.health = transition.to;
         peer.reason = transition.reason;
         peer.health_since_s = now_s;
-        peer.term_then = term;
-        peer.revision_then = revision;
+        peer.term_at_change = term;
+        peer.revision_at_change = revision;
         peer.responding_since_s = None;
         let by_evidence = transition.reason != Some(SuspicionReason::LeaseExpired);
         if transition.to == PeerHealth::Failed && by_evidence {
-            self.verdicts_s.push(now_s);
+            self.declared_failed_at_s.push(now_s);
             self.damp(&transition.member, now_s, term);
         }
         if transition.to == PeerHealth::Healthy && was_slow {
@@ -114,12 +119,14 @@
     peer: &PeerState,
     suspicion: Option<SuspicionReason>,
     assessment: &Assessment,
-    is_back: bool,
+    has_recovered: bool,
 ) -> Next {
     let to = match (peer.health, suspicion) {
-        // Another process, or the same one heard for a while: a late response to an old
-        // suspicion does not undo what was done upon it.
-        (PeerHealth::Failed, None) if peer.term != peer.term_then || is_back => PeerHealth::Healthy,
+        // Another process, or the same one that has responded for a while: a single late
+        // response does not undo the failover.
+        (PeerHealth::Failed, None) if peer.term != peer.term_at_change || has_recovered => {
+            PeerHealth::Healthy
+        }
         (PeerHealth::Failed, _) => PeerHealth::Failed,
         (_, None) => PeerHealth::Healthy,
         (_, Some(SuspicionReason::LeaseExpired)) => PeerHealth::Failed,
--- a/crates/failure-detector/src/detector/evidence.rs
+++ b/crates/failure-detector/src/detector/evidence.rs
@@ -7,20 +7,20 @@
 use rushwalk_protocol::peers::PeerHeartbeat;
 
 impl FailureDetector {
-    /// A peer responded to a heartbeat of ours.
+    /// Records a peer's response to a heartbeat.
     pub fn record_response(&mut self, now_s: f64, heartbeat: PeerHeartbeat) {
         self.record_alive(now_s, heartbeat, true);
     }
 
-    /// A peer sent us a heartbeat. Such a message may have been delayed by the network
-    /// for minutes: it speaks for its sender only if it knows of what the store held
-    /// when the suspicion began.
+    /// Records a heartbeat from a peer. The network may have delayed it for minutes, so it
+    /// counts as evidence only if its sender had read the revision at which the suspicion
+    /// began.
     pub fn record_heartbeat(&mut self, now_s: f64, heartbeat: PeerHeartbeat) {
         let Some(peer) = self.peers.get(&heartbeat.member) else {
             return;
         };
         let before_suspicion =
-            peer.health != PeerHealth::Healthy && heartbeat.revision < peer.revision_then;
+            peer.health != PeerHealth::Healthy && heartbeat.revision < peer.revision_at_change;
         let out_of_order = peer
             .last_heartbeat
             .as_ref()
@@ -56,7 +56,7 @@
         });
     }
 
-    /// A heartbeat of ours was not answered.
+    /// Records that a heartbeat to a peer got no response.
     pub fn record_probe_failure(&mut self, member: &str, failure: ProbeFailure) {
         let Some(peer) = self.peers.get_mut(member) else {
             return;
@@ -77,7 +77,7 @@
     }
 
     /// An entry written by a peer was seen in the log. One that was written before its
-    /// end may be seen late, so it only speaks against a verdict, for a while.
+    /// end may be seen late, so it only defers a declaration of failure for a while.
     pub fn record_write(&mut self, now_s: f64, member: &str) {
         if let Some(peer) = self.peers.get_mut(member) {
             peer.last_write_s = Some(now_s);
--- a/crates/failure-detector/src/detector/health.rs
+++ b/crates/failure-detector/src/detector/health.rs
@@ -2,11 +2,11 @@
 
 use serde::Serialize;
 
-/// Why a heartbeat that we sent was not answered.
+/// Why a heartbeat to a peer got no response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProbeFailure {
-    /// Its host answered that nobody listens there. That is a dead process, or one
-    /// without sockets, or a packet filter.
+    /// The connection was refused: its process has ended or has no sockets left, or a packet
+    /// filter refuses it.
     Refused,
     /// No response in time.
     TimedOut,
@@ -18,10 +18,10 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PeerHealth {
-    /// Nothing speaks against it.
+    /// There is no reason to suspect it.
     #[serde(rename = "trusted")]
     Healthy,
-    /// Something speaks against it, and more is needed to declare it failed.
+    /// There is a reason to suspect it, but not enough evidence to declare it failed.
     #[serde(rename = "suspect")]
     Suspected,
     /// Declared failed: its work may be taken over.
@@ -29,26 +29,26 @@
     Failed,
 }
 
-/// What speaks against a peer.
+/// Why a peer is suspected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SuspicionReason {
     /// Its port refuses connections.
     Refused,
-    /// It is silent for longer than its history explains.
+    /// It has sent nothing for longer than its history explains.
     #[serde(rename = "silent")]
     Unresponsive,
     /// It leads, reports that its event loop lags, and finishes no scheduling rounds.
     Stalled,
     /// It reports that its event loop lags, round after round.
     Slow,
-    /// Its member lease has expired, as the store says.
+    /// Its member lease has expired, according to the store.
     #[serde(rename = "left")]
     LeaseExpired,
 }
 
 impl SuspicionReason {
-    /// Whether it is about a process that lives, but too slowly.
+    /// Whether the process runs, but too slowly.
     pub(super) fn is_slowness(self) -> bool {
         matches!(self, SuspicionReason::Slow | SuspicionReason::Stalled)
     }
@@ -63,13 +63,13 @@
     pub from: PeerHealth,
     /// Its health now.
     pub to: PeerHealth,
-    /// What speaks against it now.
+    /// Why it is suspected or was declared failed, if it is.
     pub reason: Option<SuspicionReason>,
     /// How long the state before had lasted, in seconds.
     pub previous_lasted_s: f64,
-    /// The φ of its silence.
+    /// φ for the time since its last heartbeat.
     pub phi: f64,
-    /// Controllers that could be asked.
+    /// Other controllers whose observations counted.
     pub witnesses: usize,
     /// Those of them that had the same suspicion.
     pub agreeing: usize,
--- a/crates/failure-detector/src/detector/peer.rs
+++ b/crates/failure-detector/src/detector/peer.rs
@@ -27,7 +27,7 @@
     pub last_heartbeat: Option<ReceivedHeartbeat>,
     /// Heartbeats that its port refused in a row.
     pub consecutive_refusals: u32,
-    /// A heartbeat to it timed out since it was last heard.
+    /// Whether a heartbeat to it has timed out since the last one from it.
     pub probe_timed_out: bool,
     /// When an entry of its in the log was last seen.
     pub last_write_s: Option<f64>,
@@ -35,14 +35,14 @@
     pub lagging_since_s: Option<f64>,
     pub health: PeerHealth,
     pub reason: Option<SuspicionReason>,
-    /// Whether most of those who could be asked have the same suspicion.
+    /// Whether most witnesses have the same suspicion.
     pub majority_agrees: bool,
     /// When its present health or the reason for it began.
     pub health_since_s: f64,
-    /// The term that it had then.
-    pub term_then: Option<MembershipTerm>,
-    /// The newest revision that the observer had seen then.
-    pub revision_then: u64,
+    /// The term that it had at that time.
+    pub term_at_change: Option<MembershipTerm>,
+    /// The newest revision that the observer had seen at that time.
+    pub revision_at_change: u64,
     /// Since when it responds again after it was declared failed.
     pub responding_since_s: Option<f64>,
 }
@@ -63,8 +63,8 @@
             reason: None,
             majority_agrees: false,
             health_since_s: now_s,
-            term_then: None,
-            revision_then: 0,
+            term_at_change: None,
+            revision_at_change: 0,
             responding_since_s: None,
         }
     }
@@ -74,20 +74,20 @@
         self.consecutive_refusals >= threshold.max(1)
     }
 
-    /// Forgets refused and timed-out heartbeats.
+    /// Clears refused and timed-out heartbeats.
     pub fn clear_probe_failures(&mut self) {
         self.consecutive_refusals = 0;
         self.probe_timed_out = false;
     }
 
-    /// Forgets what was measured of the process before.
+    /// Replaces the process, and clears what was measured of the one before.
     pub fn begin_incarnation(&mut self, incarnation: u64) {
         self.incarnation = incarnation;
         self.arrivals.reset();
         self.lagging_since_s = None;
     }
 
-    /// How long ago it was last heard from, in seconds.
+    /// How long ago its last heartbeat came, in seconds.
     pub fn silent_s(&self, now_s: f64) -> Option<f64> {
         self.arrivals.last_s().map(|at| now_s - at)
     }
--- a/crates/failure-detector/src/detector/queries.rs
+++ b/crates/failure-detector/src/detector/queries.rs
@@ -1,4 +1,4 @@
-//! Questions about peers.
+//! Queries of the peers' health and heartbeats.
 
 use super::FailureDetector;
 use super::health::{PeerHealth, SuspicionReason};
@@ -6,7 +6,7 @@
 use crate::succession::LeaderCandidate;
 use rushwalk_protocol::peers::{PeerHeartbeat, PeerObservation};
 
-/// A peer heard from within so many rounds counts as reachable.
+/// A peer whose last heartbeat is younger than so many rounds counts as reachable.
 const RECENT_ROUNDS: f64 = 2.0;
 
 /// A peer's latest heartbeat.
@@ -14,7 +14,7 @@
 pub struct AgedHeartbeat<'a> {
     /// How long ago it came, in seconds.
     pub age_s: f64,
-    /// What it says.
+    /// The heartbeat.
     pub heartbeat: &'a PeerHeartbeat,
 }
 
@@ -40,10 +40,11 @@
             .map_or(PeerHealth::Healthy, |peer| peer.health)
     }
 
-    /// Whether nothing new should be assigned to a member: it has failed, or others have
-    /// the same suspicion and it writes nothing. Behind a packet filter between
-    /// controllers all suspect all, and each serves as before.
-    pub fn is_doubtful(&self, member: &str) -> bool {
+    /// Whether a member has failed or is suspected with the agreement of most witnesses; then
+    /// nothing new should be assigned to it. A suspicion of this controller alone does not
+    /// count: behind a packet filter between controllers all suspect all, and each still
+    /// serves.
+    pub fn is_suspicion_confirmed(&self, member: &str) -> bool {
         self.peers
             .get(member)
             .is_some_and(|peer| match peer.health {
@@ -53,8 +54,8 @@
             })
     }
 
-    /// Whether a process has lost its shards: it has failed, and not only by the rounds
-    /// that it does not make.
+    /// Whether a process has lost its shards: it was declared failed, and not only as a leader
+    /// that finishes no rounds.
     pub fn has_lost_shards(&self, member: &str, incarnation: u64) -> bool {
         self.failed_peer(member, incarnation)
             .is_some_and(|peer| peer.reason != Some(SuspicionReason::Stalled))
@@ -74,13 +75,13 @@
 
     fn failed_peer(&self, member: &str, incarnation: u64) -> Option<&PeerState> {
         let peer = self.peers.get(member)?;
-        let same_process = peer.term_then?.incarnation == incarnation;
+        let same_process = peer.term_at_change?.incarnation == incarnation;
         (peer.health == PeerHealth::Failed && same_process).then_some(peer)
     }
 
-    /// Whether a process whose lease expired not longer than `grace_s` ago is still heard
-    /// from, cut off from the store alone.
-    pub fn lingers_after_expiry(
+    /// Whether a process whose lease expired not longer than `grace_s` ago still sends
+    /// heartbeats, and so is only partitioned from the store.
+    pub fn is_responsive_after_expiry(
         &self,
         member: &str,
         incarnation: u64,
@@ -118,13 +119,13 @@
         received.map(move |received| AgedHeartbeat::new(received, now_s))
     }
 
-    /// What heartbeats to other controllers say of this one's peers.
+    /// This controller's observations of its peers, for its own heartbeats.
     pub fn observations(&self, now_s: f64) -> Vec<PeerObservation> {
         let known = self.peers.iter().filter(|(_, peer)| peer.incarnation != 0);
         let observation = |(member, peer): (&String, &PeerState)| PeerObservation {
             member: member.clone(),
             incarnation: peer.incarnation,
-            last_heard_ms: peer
+            last_seen_ms: peer
                 .silent_s(now_s)
                 .map(|silent| (silent * 1000.0).max(0.0) as u64),
             refused: peer.refuses(self.config.refusal_threshold),
@@ -132,7 +133,7 @@
         known.map(observation).collect()
     }
 
-    /// All peers that were heard from, as candidates for leadership.
+    /// All peers that have sent a heartbeat, as candidates for leadership.
     pub fn candidates(&self, now_s: f64) -> Vec<LeaderCandidate<'_>> {
         self.peers
             .iter()
--- a/crates/failure-detector/src/detector/status.rs
+++ b/crates/failure-detector/src/detector/status.rs
@@ -13,16 +13,16 @@
     /// Its health, as this controller sees it.
     #[serde(rename = "standing")]
     pub health: PeerHealth,
-    /// What speaks against it.
+    /// Why it is suspected or was declared failed, if it is.
     #[serde(rename = "why")]
     pub reason: Option<SuspicionReason>,
     /// When its health or the reason for it last changed.
     pub since_s: f64,
-    /// The φ of its silence.
+    /// φ for the time since its last heartbeat.
     pub phi: f64,
-    /// When it was last heard from.
+    /// When its last heartbeat came.
     #[serde(rename = "heard_s")]
-    pub last_heard_s: Option<f64>,
+    pub last_seen_s: Option<f64>,
     /// Heartbeats that its port refused in a row.
     #[serde(rename = "refused")]
     pub consecutive_refusals: u32,
@@ -62,7 +62,7 @@
             reason: peer.reason,
             since_s: round_to_tenths(now_s - peer.health_since_s),
             phi: round_to_tenths(peer.arrivals.phi(now_s, local.recent_lag_s)),
-            last_heard_s: peer.silent_s(now_s).map(round_to_tenths),
+            last_seen_s: peer.silent_s(now_s).map(round_to_tenths),
             consecutive_refusals: peer.consecutive_refusals,
             last_write_s: peer.last_write_s.map(|at| round_to_tenths(now_s - at)),
             lag_ms: last.map_or(0, |last| last.heartbeat.lag_ms),
--- a/crates/failure-detector/src/detector/suspicion.rs
+++ b/crates/failure-detector/src/detector/suspicion.rs
@@ -1,4 +1,4 @@
-//! Whether anything speaks against a peer.
+//! Whether there is a reason to suspect a peer.
 
 use super::FailureDetector;
 use super::health::{LocalHealth, SuspicionReason};
@@ -11,7 +11,7 @@
 const SLOW_AFTER_ROUNDS: f64 = 3.0;
 
 impl FailureDetector {
-    /// What speaks against a peer now, the gravest first.
+    /// Why a peer is to be suspected now; the most serious reason if there are several.
     pub(super) fn suspicion(
         &self,
         peer: &PeerState,
@@ -42,8 +42,8 @@
         let round_s = self.config.round_s;
         let lagging_s = now_s - peer.lagging_since_s?;
         let heartbeat = &peer.last_heartbeat.as_ref()?.heartbeat;
-        // Who has no headroom itself would do no better. After an outage of all nobody
-        // has, and each took leadership and shards from the others in turn.
+        // An observer without headroom could not do better. After an outage of all
+        // controllers none has any, and each took leadership and shards from another.
         let timing = self.config.timing();
         if !timing.has_headroom(local.mean_lag_s, local.busy_share) {
             return None;
--- a/crates/failure-detector/src/detector/tests.rs
+++ b/crates/failure-detector/src/detector/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the failure detector's verdicts.
+//! Tests of the failure detector.
 
 use super::*;
 use crate::damping::MembershipTerm;
@@ -48,16 +48,16 @@
 }
 
 /// What another controller reports of `a`.
-fn observation_of_a(last_heard_ms: u64, refused: bool) -> PeerObservation {
+fn observation_of_a(last_seen_ms: u64, refused: bool) -> PeerObservation {
     PeerObservation {
         member: "a".into(),
         incarnation: 1,
-        last_heard_ms: Some(last_heard_ms),
+        last_seen_ms: Some(last_seen_ms),
         refused,
     }
 }
 
-/// `a` refuses from 10 s on; `b` is heard, and reports what it observes of `a`.
+/// `a` refuses from 10 s on; `b` responds, and reports what it observes of `a`.
 fn health_of_refusing(heard_ms: u64, refuses: bool, own: LocalHealth, wrote: bool) -> PeerHealth {
     let mut detector = new_detector(&["a", "b"]);
     detector.record_response(9.9, heartbeat("a", 1, &[]));
@@ -82,7 +82,7 @@
         health_of_refusing(9000, true, LOCAL, false),
         PeerHealth::Failed
     );
-    // The other has heard it since.
+    // The other has seen it since.
     assert_eq!(
         health_of_refusing(10, false, LOCAL, false),
         PeerHealth::Suspected
@@ -136,7 +136,10 @@
         PeerHealth::Failed,
         "no other controller was heard"
     );
-    assert!(!detector.is_doubtful("b"), "it is assigned work as before");
+    assert!(
+        !detector.is_suspicion_confirmed("b"),
+        "it is assigned work as before"
+    );
 }
 
 #[test]
--- a/crates/failure-detector/src/lib.rs
+++ b/crates/failure-detector/src/lib.rs
@@ -3,7 +3,7 @@
 //! No input or output and no clock of its own: every call names the observer's
 //! time, in seconds of its steady clock. Health decides only who should do a piece of
 //! work; that only one controller does it is enforced by the consensus-backed store, on
-//! which every commit is conditioned. So a wrong verdict costs time, never safety.
+//! which every commit is conditioned. So a false positive costs time, never safety.
 
 #![deny(missing_docs)]
 
--- a/crates/failure-detector/src/reachability.rs
+++ b/crates/failure-detector/src/reachability.rs
@@ -1,9 +1,9 @@
 //! Whether a shard's owner still receives the heartbeats of its workers.
 //!
 //! Two things together show a network partition that another controller can help with:
-//! the owner hears none of a shard's machines though some are overdue, and workers of
-//! that shard turn up at another controller. Silence alone may be the machines' own
-//! fault; workers that turn up alone may have lost a single response.
+//! the owner receives no heartbeat of a shard's machines though some are overdue, and workers
+//! of that shard send theirs to another controller. The first alone may be the machines' own
+//! fault; the second alone may come from a single lost response.
 
 use rushwalk_protocol::peers::MisroutedCount;
 use std::collections::BTreeMap;
@@ -11,45 +11,46 @@
 /// A worker's heartbeat comes at most so many intervals after the one before.
 const LATEST_INTERVALS: f64 = 1.25;
 
-/// Intervals that a worker is given to find a new owner of its shard.
+/// Heartbeat intervals within which a worker finds a new owner of its shard.
 const DISCOVERY_INTERVALS: f64 = 0.5;
 
-/// A shard must have been silent for this fraction of an interval.
+/// No heartbeat of a shard must have arrived for this fraction of an interval.
 const MIN_SILENCE_INTERVALS: f64 = 1.0 / 8.0;
 
-/// When a worker should have been heard again, in seconds of the same clock. It was last
-/// heard at `last_heard_s`, or never since its shard came to this owner at
-/// `owned_since_s`. One that is new to an owner is given half an interval to find it.
+/// When the next heartbeat of a worker is due at the latest, in seconds of the same clock.
+/// The last one came at `last_heartbeat_s`, if any since this owner has the shard, which is
+/// since `owned_since_s`. A worker that is new to an owner has half an interval more to
+/// find it.
 ///
-/// This is not the time since anybody was heard: workers that started together, or came
-/// together after a crash, send heartbeats together, and nobody is heard in between.
-/// With that time shards were taken from owners that heard all of their machines, one
-/// each three seconds.
+/// The time since the last heartbeat of any worker is no substitute: workers that started
+/// together, or moved together after a crash, send their heartbeats together, and none
+/// arrives in between. Judged by that time, owners that received all heartbeats lost a
+/// shard every three seconds.
 pub fn next_heartbeat_due_s(
-    last_heard_s: Option<f64>,
+    last_heartbeat_s: Option<f64>,
     owned_since_s: f64,
     heartbeat_s: f64,
 ) -> f64 {
-    match last_heard_s.filter(|at| *at > owned_since_s) {
+    match last_heartbeat_s.filter(|at| *at > owned_since_s) {
         Some(at) => at + LATEST_INTERVALS * heartbeat_s,
         None => owned_since_s + (LATEST_INTERVALS + DISCOVERY_INTERVALS) * heartbeat_s,
     }
 }
 
-/// What a shard's owner hears from the shard's machines.
+/// What a shard's owner receives from the shard's machines.
 #[derive(Debug, Clone, Copy)]
 pub struct ShardReception {
-    /// Machines that should be heard.
+    /// Machines that should send heartbeats.
     pub machines: usize,
     /// Those of them whose next heartbeat is overdue.
     pub overdue: usize,
-    /// How long none of them was heard, in seconds.
+    /// Seconds since the last heartbeat of any of them.
     pub silent_s: f64,
 }
 
 impl ShardReception {
-    /// Whether the owner hears nothing of the shard: enough of its machines are overdue,
-    /// and none at all was heard for an eighth of a heartbeat interval.
+    /// Whether heartbeats of the shard do not reach the owner: enough of its machines are
+    /// overdue, and none at all sent one for an eighth of a heartbeat interval.
     pub fn has_inbound_loss(&self, heartbeat_s: f64) -> bool {
         self.machines > 0
             && self.overdue >= evidence_threshold(self.machines)
@@ -57,8 +58,9 @@
     }
 }
 
-/// Machines of a shard that must be overdue, or turn up elsewhere: one in sixteen, three
-/// at least, but not more than half of a small shard.
+/// Machines of a shard that must be overdue, or misrouted to another controller: one in
+/// sixteen, at least three, at most one more than half of a small
+/// shard.
 pub fn evidence_threshold(machines: usize) -> usize {
     (machines / 16).max(3).min(machines / 2 + 1)
 }
--- a/crates/failure-detector/src/reachability/tests.rs
+++ b/crates/failure-detector/src/reachability/tests.rs
@@ -14,14 +14,14 @@
 #[test]
 fn silence_between_simultaneous_heartbeats_is_no_loss() {
     let heartbeat = 8.0;
-    // All heard at 0; by 9 s none is due, though all have been silent that long.
+    // All send at 0.5 s; by 9 s none is due, though none has sent in between.
     let due: Vec<f64> = (0..20)
         .map(|_| next_heartbeat_due_s(Some(0.5), 0.0, heartbeat))
         .collect();
     let overdue = |now: f64| due.iter().filter(|at| **at < now).count();
     assert!(!lost(20, overdue(9.0), 8.5, heartbeat));
     assert!(lost(20, overdue(11.0), 10.5, heartbeat));
-    // Some are cut off, the others are heard.
+    // Heartbeats of some are lost, those of the others arrive.
     assert!(!lost(200, 60, 0.1, heartbeat));
     assert!(lost(200, 12, 1.5, heartbeat));
     // A new owner is given time.
--- a/crates/failure-detector/src/succession.rs
+++ b/crates/failure-detector/src/succession.rs
@@ -7,7 +7,7 @@
 pub struct LeaderCandidate<'a> {
     /// Its name as a member.
     pub name: &'a str,
-    /// Neither suspected nor failed, and heard from lately.
+    /// Neither suspected nor failed, and a heartbeat of it came lately.
     pub trusted: bool,
     /// The delay after its latest departure is over.
     pub eligible: bool,
@@ -27,7 +27,8 @@
 }
 
 /// What puts one candidate before another; fields in the order of their weight, the
-/// smaller the better. The name comes last, so that all who see alike rank alike.
+/// smaller the better. The name comes last, so that controllers with the same observations
+/// agree on the order.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Rank<'a> {
     ineligible: bool,
@@ -47,8 +48,8 @@
     }
 }
 
-/// How many trusted candidates rank before `me`. Nothing relies on all controllers
-/// ranking alike: the store lets one of them win.
+/// How many trusted candidates rank before `me`. Nothing relies on all controllers agreeing
+/// on it: the store lets only one of them win.
 pub fn election_rank(
     me: &LeaderCandidate,
     others: &[LeaderCandidate],
@@ -66,8 +67,8 @@
 }
 
 impl SlownessTracker {
-    /// Records the mean event-loop lag. Slow is what lags for `rounds` rounds: a single
-    /// long turn of the loop is not.
+    /// Records the mean event-loop lag, in seconds. A controller is slow once it has lagged for
+    /// `rounds` rounds; a single long iteration of its loop does not count.
     pub fn observe(&mut self, now_s: f64, lag_s: f64, timing: DetectorTiming, rounds: f64) -> bool {
         if lag_s < timing.slow_threshold_s() {
             self.slow_since_s = None;
--- a/crates/failure-detector/src/succession/tests.rs
+++ b/crates/failure-detector/src/succession/tests.rs
@@ -42,7 +42,7 @@
     assert_eq!(preferred_successor(&others, TIMING), Some("b"));
     others[0].trusted = false;
     assert_eq!(preferred_successor(&others, TIMING), Some("c"));
-    // After an outage of all controllers everybody lags: nobody steps down.
+    // After an outage of all controllers all lag: none steps down.
     others.iter_mut().for_each(|c| c.mean_lag_s = 0.1);
     assert_eq!(preferred_successor(&others, TIMING), None);
     // Nor under a load that takes half of everybody's time.
--- a/crates/protocol/src/peers.rs
+++ b/crates/protocol/src/peers.rs
@@ -61,7 +61,7 @@
     pub incarnation: u64,
     /// Milliseconds since the last message from that process; none if there was none.
     #[serde(rename = "heard_ms")]
-    pub last_heard_ms: Option<u64>,
+    pub last_seen_ms: Option<u64>,
     /// Whether its port refused the latest heartbeats.
     pub refused: bool,
 }
--- a/crates/rushwalk/src/peers.rs
+++ b/crates/rushwalk/src/peers.rs
@@ -126,6 +126,7 @@
         let Some(lease) = state.shard_leases.get(shard) else {
             return false;
         };
-        state.is_owner_registered(&lease.value) && !self.detector().is_doubtful(&lease.value.owner)
+        state.is_owner_registered(&lease.value)
+            && !self.detector().is_suspicion_confirmed(&lease.value.owner)
     }
 }
--- a/crates/rushwalk/src/shards/assignment.rs
+++ b/crates/rushwalk/src/shards/assignment.rs
@@ -274,7 +274,7 @@
             zone: &member.zone,
             eligible_for_moves: self.is_eligible_for_moves(detector, name, member),
             extra_load: if is_self { leader_load } else { 0 },
-            trusted: !detector.is_doubtful(name) && !is_slow,
+            trusted: !detector.is_suspicion_confirmed(name) && !is_slow,
             slow: is_slow,
             has_headroom: timing.has_headroom(mean_lag_s, f64::from(busy_permille) / 1000.0),
         }
@@ -326,8 +326,9 @@
             let is_registered = state.is_owner_registered(lease);
             // One whose member lease has expired may still live and own its shards, by its
             // last read: if it says so to us it is given the time to come back.
-            let lingers =
-                || detector.lingers_after_expiry(&lease.owner, lease.incarnation, now_s, grace_s);
+            let lingers = || {
+                detector.is_responsive_after_expiry(&lease.owner, lease.incarnation, now_s, grace_s)
+            };
             // One that ended is mostly back before its lease expires.
             let returns =
                 || !has_headroom && detector.failed_by_refusal(&lease.owner, lease.incarnation);
--- a/crates/scheduler/src/arrivals.rs
+++ b/crates/scheduler/src/arrivals.rs
@@ -4,7 +4,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Of a burst's rate, the part that is believed at once.
+/// The share of the latest bucket's rate that the estimate has at least.
 const BURST_WEIGHT: f64 = 0.8;
 /// The rate is at most this many times that of the latest two buckets.
 const RECENT_LIMIT: f64 = 1.5;
--- a/crates/scheduler/src/boot_times.rs
+++ b/crates/scheduler/src/boot_times.rs
@@ -18,7 +18,7 @@
 pub struct BootSample {
     /// When it was rented, in seconds since the Unix epoch.
     pub rented_s: f64,
-    /// Seconds that it took to boot or, if it has not, for which it was waited for.
+    /// Seconds that it took to boot or, if it has not booted, since it was rented.
     pub elapsed_s: f64,
     /// Whether it has booted.
     pub booted: bool,
@@ -40,7 +40,7 @@
     }
 }
 
-/// The boots of one group.
+/// The observed boots of one group.
 #[derive(Debug, Clone, Default)]
 struct BootHistory {
     nominal_s: f64,
@@ -75,7 +75,7 @@
 const MIN_REMAINING_RATIO: f64 = 0.2;
 /// An estimate is made from this many of the machines that were rented around a moment.
 const COHORT: usize = 16;
-/// After this many boot times an observation says nothing of machines rented now.
+/// After this many boot times an observation is no evidence for machines rented now.
 const STALE_RATIO: f64 = 6.0;
 /// A machine is replaced if it should still take this many times as long as a new one.
 const REPLACE_FACTOR: f64 = 2.0;
@@ -87,7 +87,7 @@
 /// Whether a machine that has not booted is late, and what to do about it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BootLateness {
-    /// It is waited for.
+    /// It is not late yet.
     OnTime,
     /// It is late, but so are machines rented now, as far as is known: one of many may be
     /// replaced as a trial.
--- a/crates/scheduler/src/boot_times/tests.rs
+++ b/crates/scheduler/src/boot_times/tests.rs
@@ -10,7 +10,7 @@
     zone: 1,
 };
 
-/// An estimator as of 1000 s, of machines given by how many seconds ago they were rented and
+/// An estimator as of 1000 s, of machines, by how many seconds ago they were rented and
 /// how many they took to boot, if they have.
 fn estimator(samples: &[(f64, Option<f64>)]) -> BootTimeEstimator {
     let mut estimator = BootTimeEstimator::new(1000.0, 0.0);
--- a/crates/scheduler/src/capacity.rs
+++ b/crates/scheduler/src/capacity.rs
@@ -61,7 +61,7 @@
 const MAX_DOUBLINGS: u32 = 3;
 
 impl CapacityEstimator {
-    /// Records that a rental call was answered at `now_s`: it asked for `requested` machines
+    /// Records the response to a rental call at `now_s`: it asked for `requested` machines
     /// and got `granted`, beside the `owned` that we had. `pause_s` is how long to wait
     /// before the first probe.
     pub fn record_response(
--- a/crates/scheduler/src/quota.rs
+++ b/crates/scheduler/src/quota.rs
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Whether one more task may go to a zone, by what the job says of one zone for all
+    /// Whether one more task may go to a zone, by what the job requires of one zone for all
     /// tasks and of spreading them.
     pub fn allows(&self, spec: &JobSpec, zone: &str) -> bool {
         if spec.one_zone && self.0.iter().any(|entry| *entry.zone != *zone) {
--- a/crates/scheduler/src/round.rs
+++ b/crates/scheduler/src/round.rs
@@ -2,7 +2,7 @@
 //! earliest; what finds no good machine shows what the fleet lacks.
 //!
 //! A job's machines are evaluated once; then they are kept in order, and only the machine
-//! that has just been given a task is evaluated again. That finds the same machines as
+//! to which a task has just been assigned is evaluated again. That finds the same machines as
 //! evaluating all of them for every task.
 
 mod candidates;
@@ -60,7 +60,7 @@
         self.evaluations.take()
     }
 
-    /// Plans the pending jobs in the order given.
+    /// Plans the pending jobs in their order.
     pub fn schedule(&mut self, jobs: &[PendingJob]) -> SchedulingDecisions {
         let mut decisions = SchedulingDecisions::default();
         for job in jobs {
--- a/crates/scheduler/src/shard_assignment.rs
+++ b/crates/scheduler/src/shard_assignment.rs
@@ -45,8 +45,8 @@
     /// Some of its machines are unreachable: a new owner would have to wait for their
     /// leases to run out once more, so it is moved only if it must be.
     pub has_unreachable: bool,
-    /// Its owner hears from few of its machines, for the first time within the time that
-    /// their leases last: another controller may reach them.
+    /// Its owner receives heartbeats from few of its machines, for the first time within a
+    /// worker lease: another controller may reach them.
     pub owner_cut_off: bool,
     /// Indices of the candidates to which its machines sent heartbeats.
     pub reachable_from: Vec<usize>,
--- a/crates/scheduler/src/shard_assignment/tests.rs
+++ b/crates/scheduler/src/shard_assignment/tests.rs
@@ -118,7 +118,7 @@
 }
 
 /// A controller eight times slower than the others kept its shards, and those that came
-/// back at once were given shards that had just been moved.
+/// back at once got shards that had just been moved.
 #[test]
 fn slow_controller_loses_its_shards_and_suspected_one_gets_none() {
     let mut candidates: Vec<_> = (0..3).map(candidate).collect();
--- a/crates/scheduler/src/timeline.rs
+++ b/crates/scheduler/src/timeline.rs
@@ -94,7 +94,7 @@
 }
 
 /// The uncertainty of a wait for other tasks counts at most this many boot times.
-const MAX_UNCERTAINTY_BOOTS: f64 = 1.0;
+const MAX_UNCERTAINTY_BOOT_TIMES: f64 = 1.0;
 
 /// When a task is predicted to start on a machine that is up and would be free for it at
 /// `start_s`. Only a machine with pending tasks has a pending error.
@@ -113,7 +113,7 @@
         return start_s;
     }
     let wait_s = start_s - now_s;
-    let uncertainty_s = wait_s.min(MAX_UNCERTAINTY_BOOTS * estimate.boot_s);
+    let uncertainty_s = wait_s.min(MAX_UNCERTAINTY_BOOT_TIMES * estimate.boot_s);
     now_s + (wait_s + uncertainty_s + pending_error_s).max(job.overhead_s)
 }
 
--- a/crates/simulator/src/cluster/requests.rs
+++ b/crates/simulator/src/cluster/requests.rs
@@ -35,7 +35,7 @@
         matches!(self.status, 200 | 201)
     }
 
-    /// Whether the user is asked to try again.
+    /// Whether the request is to be retried.
     fn is_retryable(&self) -> bool {
         matches!(self.status, 429 | 503)
     }
@@ -165,7 +165,7 @@
         self.jobs.insert(id.into(), spec);
     }
 
-    /// Asks one controller after the other until one doesn't ask to try again.
+    /// Sends a request to one controller after the other until one gives a final response.
     async fn request_until_answered(&self, kind: Request, job: &str, body: &str) -> JobResponse {
         for attempt in 0..MAX_ATTEMPTS {
             let controller = attempt % self.processes.len();
--- a/crates/simulator/src/failover/observer.rs
+++ b/crates/simulator/src/failover/observer.rs
@@ -13,7 +13,7 @@
 pub(super) struct FalsePositive {
     observer: usize,
     member: String,
-    /// Since when, in half seconds of the observer's uptime: tells one case from the next.
+    /// Since when, in half seconds of the observer's uptime: identifies the case.
     since_half_s: u64,
 }
 
--- a/crates/simulator/src/fault_search/users.rs
+++ b/crates/simulator/src/fault_search/users.rs
@@ -94,18 +94,19 @@
     }
 }
 
-/// The load balancer: sends requests to healthy controllers in turn.
+/// The load balancer: sends requests to the healthy controllers, round robin.
 struct LoadBalancer {
     platform: Arc<SimulatedPlatform>,
-    turn: usize,
+    /// Counts the health checks; selects the controller.
+    next: usize,
 }
 
 impl LoadBalancer {
     /// The next controller whose health check succeeds.
     async fn next_healthy(&mut self) -> Option<usize> {
         for _ in 0..CONTROLLERS {
-            self.turn += 1;
-            let controller = self.turn % CONTROLLERS;
+            self.next += 1;
+            let controller = self.next % CONTROLLERS;
             let health = self
                 .platform
                 .user_request(controller, "GET", "/healthz", Vec::new());
@@ -134,7 +135,7 @@
 pub(super) struct User {
     pub(super) platform: Arc<SimulatedPlatform>,
     pub(super) plan: UserPlan,
-    /// The user's number, from which its turns at the load balancer count.
+    /// The user's number, by which its first controller is chosen.
     pub(super) number: usize,
     pub(super) reported_phases: ReportedPhases,
     /// Changes when every second user is to cancel.
@@ -159,7 +160,7 @@
         plan.register(&self.platform, spec);
         let mut balancer = LoadBalancer {
             platform: self.platform.clone(),
-            turn: self.number,
+            next: self.number,
         };
         if !self.submit(&mut balancer, &body).await {
             return;
--- a/crates/simulator/tests/fault_combinations.rs
+++ b/crates/simulator/tests/fault_combinations.rs
@@ -77,8 +77,8 @@
     );
 }
 
-/// Users of a controller that had lost the store and the other controllers got no response
-/// for as long as that lasted: its health check succeeded.
+/// Users of a controller that was partitioned from the store and the other controllers got
+/// no response for as long as that lasted: its health check succeeded.
 #[tokio::test(start_paused = true)]
 async fn isolated_controller_fails_its_health_check() {
     let mut cluster = SimulatedCluster::new(31);
--- a/crates/state/src/cluster_state.rs
+++ b/crates/state/src/cluster_state.rs
@@ -68,7 +68,7 @@
     /// Its record.
     pub record: TaskRecord,
     /// Whether its image had to be fetched, if that fetch shared its machine with no other
-    /// and so tells something of the fetch rate.
+    /// and so measures the fetch rate.
     cold_start: Option<bool>,
 }
 
@@ -94,7 +94,7 @@
 pub struct ShardCounts {
     /// Machines that have booted.
     pub ready: usize,
-    /// Of these, the machines that the shard's owner hears nothing from.
+    /// Of these, the machines whose heartbeats do not reach the shard's owner.
     pub unreachable: usize,
 }
 
--- a/crates/state/src/cluster_state/queries.rs
+++ b/crates/state/src/cluster_state/queries.rs
@@ -1,4 +1,4 @@
-//! Questions about the state.
+//! Queries of the state.
 
 use super::{ClusterState, JobState, MachineState, ShardCounts, TaskState};
 use crate::Revision;
@@ -9,8 +9,8 @@
 use rushwalk_scheduler::timeline::ImageId;
 use std::collections::BTreeMap;
 
-/// A machine whose tasks take this many times as long as predicted is slow. Predictions
-/// err, so less says nothing.
+/// A machine whose tasks take this many times as long as predicted is slow. A lower ratio
+/// is within the error of the predictions.
 const SLOW_RATIO: f64 = 1.5;
 
 impl MachineState {
--- a/crates/state/src/cluster_state/replication.rs
+++ b/crates/state/src/cluster_state/replication.rs
@@ -98,12 +98,13 @@
         Ok(())
     }
 
-    /// Puts a newly listed state in this one's place; what this process has learnt stays.
+    /// Replaces this state by a newly listed one; what this process has learnt stays.
     ///
     /// # Errors
     ///
-    /// An older state is not taken but given back: a read that was sent meanwhile brings
-    /// only what is newer than this one, and what lies between would be in neither.
+    /// Returns a state that is older than this one instead of taking it: a read that was sent
+    /// meanwhile brings only what is newer than this one, and the changes in between would be
+    /// in neither.
     pub fn replace_with(&mut self, mut listed: ClusterState) -> Result<(), Box<ClusterState>> {
         if listed.revision < self.revision {
             return Err(Box::new(listed));
@@ -226,7 +227,7 @@
             KeyKind::SnapshotManifest => parse(value).map(|manifest| {
                 self.set_snapshot(manifest);
             }),
-            // A chunk says nothing that is not known already.
+            // A chunk holds nothing that was not applied already.
             KeyKind::SnapshotChunk => return,
             KeyKind::LogEntry { .. } | KeyKind::Unknown => None,
         };
--- a/crates/state/src/cluster_state/tasks.rs
+++ b/crates/state/src/cluster_state/tasks.rs
@@ -75,7 +75,7 @@
         self.jobs_with_tasks.insert(id);
     }
 
-    /// Removes an assigned task that is surely gone, or never was on a machine.
+    /// Removes an assigned task that has certainly ended, or never was on a machine.
     pub(super) fn remove_task(&mut self, id: &JobId, index: u32) -> Option<TaskRecord> {
         let job = self.jobs.get_mut(id)?;
         let state = job.tasks.remove(&index)?;
@@ -169,8 +169,8 @@
     }
 
     /// Whether a job's task that is placed on a machine now has to wait for its image;
-    /// `None` if its start would tell nothing of the fetch rate, because another task on
-    /// the machine may still be fetching: fetches side by side share the rate.
+    /// `None` if its start would be no measure of the fetch rate, because another task on the
+    /// machine may still be fetching: concurrent fetches share the rate.
     fn expected_cold_start(&self, id: &JobId, machine: &MachineId) -> Option<bool> {
         let image = &self.jobs.get(id)?.spec.image;
         let has_image = self.machines.get(machine)?.has_image(image);
@@ -223,7 +223,7 @@
         let Some(machine) = machine.and_then(|id| self.machines.get_mut(&id)) else {
             return;
         };
-        // A gang waits for its other tasks, which tells nothing of the fetch.
+        // The start of a gang includes the wait for its other tasks, not the fetch alone.
         if let Some(cold_start) = cold_start
             && spec.shape != Shape::Gang
         {
--- a/crates/state/src/cluster_state/tests.rs
+++ b/crates/state/src/cluster_state/tests.rs
@@ -261,7 +261,7 @@
     assert!(state.has_gap);
 }
 
-/// Old records, or nonsense, must neither be guessed at nor skipped.
+/// Records of an old or unknown form must be neither interpreted nor skipped.
 #[test]
 fn an_unreadable_record_is_named() {
     for (key, value) in [
--- a/crates/state/src/keys.rs
+++ b/crates/state/src/keys.rs
@@ -39,7 +39,7 @@
 }
 
 impl KeyKind<'_> {
-    /// Tells what a key below [`ROOT`] holds; `None` for a key that is not.
+    /// What a key below [`ROOT`] holds; `None` for any other key.
     pub fn of(key: &str) -> Option<KeyKind<'_>> {
         let path = key.strip_prefix(ROOT)?;
         let kind = match path.split_once('/') {
@@ -78,7 +78,7 @@
     format!("w/l/{member}/")
 }
 
-/// The key of a snapshot's chunk. Two generations take turns, so that a snapshot being
+/// The key of a snapshot's chunk. Two generations alternate, so that a snapshot being
 /// written never replaces the one that counts.
 pub fn snapshot_chunk(generation: Revision, index: usize) -> String {
     format!("w/s/{}/{index:05}", generation % 2)
--- a/crates/state/src/log_keys.rs
+++ b/crates/state/src/log_keys.rs
@@ -30,7 +30,7 @@
 }
 
 impl EntryKeyAllocator {
-    /// Takes a key of `member`'s series that is free as far as `state` tells.
+    /// Takes a key of `member`'s series that is free according to `state`.
     pub fn allocate(&mut self, state: &ClusterState, member: &str) -> EntryKey {
         if self.snapshot != Some(state.snapshot.revision) {
             self.reclaim(state, member);
--- a/crates/state/src/log_keys/tests.rs
+++ b/crates/state/src/log_keys/tests.rs
@@ -2,7 +2,7 @@
 use crate::keys::log_entry;
 use rushwalk_scheduler::durations::DurationEstimator;
 
-/// A key in use, or of unknown outcome, must not be given out again.
+/// A key in use, or of unknown outcome, must not be allocated again.
 #[test]
 fn a_key_is_used_again_only_behind_a_snapshot() {
     let mut state = ClusterState::new(DurationEstimator::new(1, 0.0));
@@ -22,7 +22,7 @@
     allocator.release(2);
     assert_eq!(take(&mut allocator, &state), (2, 0));
     // A commit of the previous process arrived late, in a key that looked free: the entry
-    // was overwritten, and a replica that listed then never heard of a job accepted in it.
+    // was overwritten, and a replica that listed then missed a job accepted in it.
     allocator.release(2);
     state.log_versions.insert(log_entry("a", 2), 14);
     state.log_versions.insert(log_entry("a", 3), 15);
--- a/crates/state/src/mutation.rs
+++ b/crates/state/src/mutation.rs
@@ -66,10 +66,10 @@
     /// The cloud will reclaim a spot instance.
     #[serde(rename = "T")]
     ReclaimNotice(ReclaimNotice),
-    /// The owner of their shard hears nothing from machines.
+    /// The owner of their shard receives no heartbeats of machines.
     #[serde(rename = "Q")]
     MachinesUnreachable(MachinesUnreachable),
-    /// The owner of their shard hears machines again.
+    /// The owner of their shard receives heartbeats of machines again.
     #[serde(rename = "H")]
     MachinesReachable(Vec<MachineId>),
     /// In snapshots: jobs that are finished and have no task left.
@@ -209,7 +209,7 @@
 /// See [`Mutation::RequestRental`].
 #[derive(Debug, Clone, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct RequestRental {
-    /// The name under which the cloud is asked.
+    /// The idempotency key of the request to the cloud.
     pub rental: RentalId,
     /// What is requested.
     pub request: RentalRequest,
@@ -319,7 +319,7 @@
 pub struct RestoreCompleted {
     /// The job.
     pub job: JobId,
-    /// The first task of which the digits tell.
+    /// Index of the first task that the digits describe.
     pub first_task: u32,
     /// Hexadecimal digits, of four tasks each; see [`TaskBitmap`](crate::TaskBitmap).
     pub bitmap_hex: String,
--- a/crates/state/src/records.rs
+++ b/crates/state/src/records.rs
@@ -57,7 +57,7 @@
     /// The snapshot holds everything up to this revision.
     #[serde(rename = "at")]
     pub revision: Revision,
-    /// Rises with every snapshot; its parity tells which keys hold the chunks.
+    /// Rises with every snapshot; its parity selects the keys of the chunks.
     pub generation: u64,
     /// The number of chunks.
     pub chunks: usize,
@@ -196,7 +196,7 @@
     /// When the cloud reclaims it, by its notice.
     #[serde(rename = "t", default, skip_serializing_if = "Option::is_none")]
     pub reclaim_ms: Option<UnixMillis>,
-    /// Since when its shard's owner has heard nothing from it.
+    /// Since when its shard's owner has received no heartbeat of it.
     #[serde(rename = "q", default, skip_serializing_if = "Option::is_none")]
     pub unreachable_since_ms: Option<UnixMillis>,
 }
--- a/crates/testkit/src/invariants.rs
+++ b/crates/testkit/src/invariants.rs
@@ -132,7 +132,7 @@
     done_tasks: BTreeSet<TaskId>,
     /// Run times that differ from the job's estimate, in seconds.
     run_times_s: HashMap<TaskId, f64>,
-    /// When a user was first told that a job is cancelled.
+    /// When a user first got the response that a job is cancelled.
     cancelled_at: HashMap<String, Instant>,
     histories: BTreeMap<String, JobHistory>,
     /// Logical clock of requests and responses: two may fall on one instant.
@@ -169,7 +169,8 @@
         fails
     }
 
-    /// A user sends a request. Returns its logical time, to be given with the response.
+    /// Records that a user sends a request. Returns its logical time, which
+    /// [`InvariantChecker::response_received`] takes with the response.
     pub fn request_sent(&mut self, request: Request, job: &str) -> u64 {
         if request == Request::Cancel {
             self.cancellation_requested(job);
@@ -217,7 +218,7 @@
         }
     }
 
-    /// Checks a phase that a user was told.
+    /// Checks a phase that was reported to a user.
     fn check_phase(&mut self, job: &str, phase: StatusPhase) {
         if !self.jobs.contains_key(job) {
             self.violations.push(format!("invented: {job}"));
@@ -234,7 +235,7 @@
         }
     }
 
-    /// Whether the job's constraints forbid a placement, given where its other tasks run.
+    /// Whether the job's constraints forbid a placement, because of where its other tasks run.
     fn violates_constraints(&self, job: &str, index: u32, placement: &Placement) -> bool {
         let Some(spec) = self.jobs.get(job) else {
             return false;
--- a/crates/testkit/src/platform.rs
+++ b/crates/testkit/src/platform.rs
@@ -51,7 +51,7 @@
     /// Most machines of a zone, where that is limited.
     zone_limits: Mutex<HashMap<String, usize>>,
     rental_counts: Mutex<RentalCounts>,
-    /// When controllers asked workers for their status.
+    /// When controllers queried the status of workers.
     status_requests: Mutex<Vec<Instant>>,
     commit_delays: Mutex<Vec<CommitDelay>>,
     recorded_heartbeats: Mutex<Vec<Vec<u8>>>,
@@ -152,7 +152,7 @@
         lock(&self.store).retained_changes = changes;
     }
 
-    /// Puts and deletions that the store has been asked for so far.
+    /// Puts and deletions that were sent to the store so far.
     pub fn write_count(&self) -> usize {
         lock(&self.store).write_count
     }
--- a/crates/testkit/src/platform/cloud_service.rs
+++ b/crates/testkit/src/platform/cloud_service.rs
@@ -79,7 +79,7 @@
         HttpResponse::json(200, &json!({ "rigs": names }))
     }
 
-    /// Starts as many of the requested machines as the zone has room for.
+    /// Starts as many of the requested machines as the zone has capacity for.
     fn start_machines(self: &Arc<Self>, request: &RentRequest) -> Vec<String> {
         let mut workers = self.workers();
         let boot_time = *lock(&self.boot_time);
--- a/crates/testkit/src/platform/network.rs
+++ b/crates/testkit/src/platform/network.rs
@@ -39,7 +39,7 @@
 const HEARTBEAT_PATH: &str = "/agent/beat";
 /// How long a worker waits for a response.
 const WORKER_TIMEOUT: Duration = Duration::from_secs(4);
-/// Time until a client is told that there was no response; longer than any timeout.
+/// Time until a client gets the error that there was no response; longer than any timeout.
 const NO_RESPONSE: Duration = Duration::from_secs(60);
 
 impl SimulatedPlatform {
--- a/crates/testkit/src/platform/store_service.rs
+++ b/crates/testkit/src/platform/store_service.rs
@@ -136,7 +136,8 @@
         }
     }
 
-    /// How long a commit is delayed: as a test asked for it, or as the active faults draw it.
+    /// How long a commit is delayed, by request of a test or by a random draw of the active
+    /// faults.
     fn commit_delay(&self, body: &[u8]) -> Option<Duration> {
         let drawn = self.is_active(Fault::FewCommitsDelayed) && self.one_in(12)
             || self.is_active(Fault::ManyCommitsDelayed) && self.one_in(4);
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -27,7 +27,7 @@
     pub machine_type: MachineType,
     /// Whether it is a spot instance.
     pub spot: bool,
-    /// When the cloud reclaims it, if notice was given.
+    /// When the cloud reclaims it, if it has sent a notice.
     pub reclaim_at: Option<Instant>,
     /// Where the worker takes direct requests.
     pub address: String,
--- a/crates/testkit/src/worker/heartbeat_loop.rs
+++ b/crates/testkit/src/worker/heartbeat_loop.rs
@@ -22,7 +22,7 @@
 }
 
 impl NextHeartbeat {
-    /// After a failure: the next controller in turn.
+    /// After a failure: the next controller.
     fn retry(platform: &SimulatedPlatform, controller: usize) -> NextHeartbeat {
         NextHeartbeat {
             controller: (controller + 1) % platform.controller_count(),
@@ -30,7 +30,7 @@
         }
     }
 
-    /// After a redirect: the named controller, or the next in turn if that is no other.
+    /// After a redirect: the named controller, or the next one if that is the same or unknown.
     fn redirected(platform: &SimulatedPlatform, controller: usize, body: &[u8]) -> NextHeartbeat {
         let redirect: Option<Redirect> = serde_json::from_slice(body).ok();
         let target = redirect
