--- a/crates/failure-detector/src/detector/evaluation.rs
+++ b/crates/failure-detector/src/detector/evaluation.rs
@@ -26,17 +26,9 @@
         let peer = self.peers.get(&member)?;
         let suspicion = self.suspicion(peer, now_s, local);
         let assessment = self.assess(&member, peer, now_s, local);
-        let to = next_health(
-            peer,
-            suspicion,
-            &assessment,
-            self.has_recovered(peer, now_s),
-        );
-        let to = match to {
-            Next::Health(health) => health,
-            Next::FailedIfAllowed if self.may_declare_failed(now_s) => PeerHealth::Failed,
-            Next::FailedIfAllowed => PeerHealth::Suspected,
-        };
+        let has_recovered = self.has_recovered(peer, now_s);
+        let next = next_health(peer, suspicion, &assessment, has_recovered);
+        let to = self.permitted_health(next, now_s);
         let peer = self.peers.get_mut(&member)?;
         peer.majority_agrees = assessment.majority_agrees;
         let from = peer.health;
@@ -61,6 +53,15 @@
         Some(transition)
     }
 
+    /// The health that the evidence leads to, within the bound on declared failures.
+    fn permitted_health(&mut self, next: Next, now_s: f64) -> PeerHealth {
+        match next {
+            Next::Health(health) => health,
+            Next::FailedIfAllowed if self.may_declare_failed(now_s) => PeerHealth::Failed,
+            Next::FailedIfAllowed => PeerHealth::Suspected,
+        }
+    }
+
     /// Whether a peer that was declared failed responds for the length of a member lease.
     fn has_recovered(&self, peer: &PeerState, now_s: f64) -> bool {
         peer.responding_since_s
--- a/crates/rushwalk/src/capacity/scale_in.rs
+++ b/crates/rushwalk/src/capacity/scale_in.rs
@@ -7,7 +7,7 @@
 use rushwalk_scheduler::timeline::MachineTimeline;
 use rushwalk_state::mutation::{SetLifecycle, in_batches};
 use rushwalk_state::records::{JobPhase, MachineLifecycle, MachineTypes};
-use rushwalk_state::{ClusterState, MachineState, Mutation, UnixMillis};
+use rushwalk_state::{AssignedTask, ClusterState, MachineState, Mutation, UnixMillis};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 use tokio::time::Instant;
@@ -230,7 +230,7 @@
 ) -> Option<Vec<PendingJob>> {
     let mut services = Vec::new();
     for id in &machine.tasks {
-        let (job, task) = state.task(id)?;
+        let AssignedTask { job, task } = state.task(id)?;
         let record = &task.record;
         let is_service = job.spec.shape == Shape::Service;
         let started_ms = record.started_ms;
--- a/crates/rushwalk/src/scheduler_inputs.rs
+++ b/crates/rushwalk/src/scheduler_inputs.rs
@@ -10,7 +10,7 @@
 use rushwalk_scheduler::timeline::{MachineImage, MachineTimeline};
 use rushwalk_scheduler::timeline_index::TimelineIndex;
 use rushwalk_state::records::{JobPhase, MachineTypes};
-use rushwalk_state::{ClusterState, JobState, MachineState, TaskState, UnixMillis};
+use rushwalk_state::{AssignedTask, ClusterState, JobState, MachineState, TaskState, UnixMillis};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
@@ -116,7 +116,7 @@
             .map(|id| MachineImage::present(*id))
             .collect();
         for task in &machine.tasks {
-            if let Some((job, task)) = self.state.task(task) {
+            if let Some(AssignedTask { job, task }) = self.state.task(task) {
                 self.add_task(&mut timeline, machine, job, task);
             }
         }
--- a/crates/rushwalk/src/scheduling/assignment.rs
+++ b/crates/rushwalk/src/scheduling/assignment.rs
@@ -11,7 +11,7 @@
 use rushwalk_scheduler::round::{PendingJob, Placement, SchedulingDecisions, SchedulingRound};
 use rushwalk_state::mutation::{AssignTasks, MAX_BATCH, ShardTasks, TaskOnMachine};
 use rushwalk_state::records::MachineTypes;
-use rushwalk_state::{ClusterState, Mutation, UnixMillis};
+use rushwalk_state::{AssignedTask, ClusterState, Mutation, UnixMillis};
 use std::collections::BTreeMap;
 
 /// So many tasks with their machines fit the smallest value of the store. A larger gang,
@@ -36,7 +36,7 @@
     }
     let mut last: Option<(&JobId, PendingJob)> = None;
     for id in &state.unplaced {
-        let Some((job, task)) = state.task(id) else {
+        let Some(AssignedTask { job, task }) = state.task(id) else {
             continue;
         };
         let Some(hint) = &task.record.placement_hint else {
--- a/crates/rushwalk/src/scheduling/maintenance.rs
+++ b/crates/rushwalk/src/scheduling/maintenance.rs
@@ -8,7 +8,7 @@
 use rushwalk_state::mutation::{SetLifecycle, StopTasks, UnassignTasks, in_batches};
 use rushwalk_state::records::{JobPhase, MachineLifecycle, MachineRecord, StopReason};
 use rushwalk_state::{
-    ClusterState, JobState, MachineState, Mutation, Revision, TaskState, UnixMillis,
+    AssignedTask, ClusterState, JobState, MachineState, Mutation, Revision, TaskState, UnixMillis,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -92,7 +92,7 @@
     let stuck_s = STUCK_ROUNDS * context.timing.round.as_secs_f64();
     let stuck_ms = (stuck_s * 1000.0) as UnixMillis;
     for id in &state.unplaced {
-        if let Some((_, task)) = state.task(id)
+        if let Some(AssignedTask { task, .. }) = state.task(id)
             && now_ms > task.record.scheduled_ms + stuck_ms
         {
             let key = (id.job.clone(), task.record.attempt);
@@ -130,7 +130,7 @@
     changes: &mut Changes,
 ) {
     for id in &machine.tasks {
-        let Some((job, task)) = state.task(id) else {
+        let Some(AssignedTask { job, task }) = state.task(id) else {
             continue;
         };
         let is_open = task.record.stop_reason.is_none() && job.phase == JobPhase::Active;
--- a/crates/rushwalk/src/shards/outcomes.rs
+++ b/crates/rushwalk/src/shards/outcomes.rs
@@ -8,7 +8,9 @@
 use rushwalk_protocol::ids::{AttemptId, MachineId, ShardId};
 use rushwalk_protocol::worker::{ExitCause, TaskPhase, TaskStatus};
 use rushwalk_state::records::{AttemptOutcome, JobPhase};
-use rushwalk_state::{ClusterState, JobState, MachineState, Mutation, Revision, TaskState};
+use rushwalk_state::{
+    AssignedTask, ClusterState, JobState, MachineState, Mutation, Revision, TaskState,
+};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Compares the sessions of some machines with the state, and tells what must be committed.
@@ -120,7 +122,7 @@
         let is_unreachable = self.machine.record.unreachable_since_ms.is_some();
         let is_lost = is_unreachable && session.lease_surely_expired(self.token, self.timing);
         for id in &self.machine.tasks {
-            let Some((job, task)) = self.state.task(id) else {
+            let Some(AssignedTask { job, task }) = self.state.task(id) else {
                 continue;
             };
             let attempt = AttemptId {
@@ -142,7 +144,7 @@
     fn forget_ended_attempts(&self, session: &mut WorkerSession) {
         session.ended_attempts.retain(|ended| {
             let task = self.state.task(&ended.task);
-            task.is_some_and(|(_, task)| task.record.attempt == ended.attempt)
+            task.is_some_and(|assigned| assigned.task.record.attempt == ended.attempt)
         });
     }
 
--- a/crates/rushwalk/src/shards/placement.rs
+++ b/crates/rushwalk/src/shards/placement.rs
@@ -8,7 +8,7 @@
 use rushwalk_scheduler::round::SchedulingRound;
 use rushwalk_state::mutation::{PlaceTasks, TaskOnMachine, in_batches};
 use rushwalk_state::records::{MachineLifecycle, MachineTypes};
-use rushwalk_state::{ClusterState, Mutation, Revision, UnixMillis};
+use rushwalk_state::{AssignedTask, ClusterState, Mutation, Revision, UnixMillis};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -71,7 +71,7 @@
 ) -> BTreeMap<&'a ShardId, Vec<WaitingTask>> {
     let mut by_shard: BTreeMap<&ShardId, Vec<WaitingTask>> = BTreeMap::new();
     for id in &state.unplaced {
-        let Some((job, task)) = state.task(id) else {
+        let Some(AssignedTask { job, task }) = state.task(id) else {
             continue;
         };
         let is_whole = job.spec.shape != Shape::Gang || job.tasks.len() == job.spec.tasks as usize;
--- a/crates/rushwalk/src/workers/commands.rs
+++ b/crates/rushwalk/src/workers/commands.rs
@@ -4,7 +4,7 @@
 use rushwalk_protocol::ids::{AttemptId, MachineId, TaskId};
 use rushwalk_protocol::worker::{Command, TaskPhase, TaskStatus};
 use rushwalk_state::records::JobPhase;
-use rushwalk_state::{ClusterState, JobState, Revision, TaskState};
+use rushwalk_state::{AssignedTask, ClusterState, JobState, Revision, TaskState};
 
 /// What a task gets beyond its time to save a checkpoint before it is killed, in seconds.
 const CHECKPOINT_MARGIN_S: f64 = 1.0;
@@ -21,7 +21,7 @@
     };
     let mut commands = Vec::new();
     for id in &machine_state.tasks {
-        if let Some((job, task)) = state.task(id) {
+        if let Some(AssignedTask { job, task }) = state.task(id) {
             commands.extend(command_for_task(session, token, id, job, task));
         }
     }
@@ -91,7 +91,7 @@
 
 /// Whether a reported attempt is placed on the machine.
 fn is_wanted(state: &ClusterState, machine: &MachineId, reported: &ReportedTask) -> bool {
-    let Some((_, task)) = state.task(&reported.task) else {
+    let Some(AssignedTask { task, .. }) = state.task(&reported.task) else {
         return false;
     };
     task.record.attempt == reported.status.attempt && task.record.machine.as_ref() == Some(machine)
--- a/crates/state/src/cluster_state.rs
+++ b/crates/state/src/cluster_state.rs
@@ -17,6 +17,8 @@
 #[cfg(test)]
 mod tests;
 
+pub use queries::AssignedTask;
+
 use crate::records::{
     FailureHistory, JobPhase, LeaderRecord, MachineRecord, MachineTypes, MemberRecord,
     RentalRequest, ShardLease, SnapshotManifest, TaskRecord,
--- a/crates/state/src/cluster_state/queries.rs
+++ b/crates/state/src/cluster_state/queries.rs
@@ -13,6 +13,15 @@
 /// is within the error of the predictions.
 const SLOW_RATIO: f64 = 1.5;
 
+/// An assigned task, with its job.
+#[derive(Debug, Clone, Copy)]
+pub struct AssignedTask<'a> {
+    /// The job.
+    pub job: &'a JobState,
+    /// The task.
+    pub task: &'a TaskState,
+}
+
 impl MachineState {
     /// Whether an image is in the machine's cache, as far as is known.
     pub fn has_image(&self, name: &str) -> bool {
@@ -55,9 +64,10 @@
     }
 
     /// An assigned task, with its job.
-    pub fn task(&self, id: &TaskId) -> Option<(&JobState, &TaskState)> {
+    pub fn task(&self, id: &TaskId) -> Option<AssignedTask<'_>> {
         let job = self.jobs.get(&id.job)?;
-        Some((job, job.tasks.get(&id.index)?))
+        let task = job.tasks.get(&id.index)?;
+        Some(AssignedTask { job, task })
     }
 
     /// An assigned task, if `attempt` is the one under way.
--- a/crates/state/src/cluster_state/tasks.rs
+++ b/crates/state/src/cluster_state/tasks.rs
@@ -187,8 +187,8 @@
             return true;
         };
         machine.tasks.iter().all(|id| {
-            let task = self.task(id);
-            task.is_none_or(|(_, task)| task.record.started_ms.is_some())
+            let assigned = self.task(id);
+            assigned.is_none_or(|assigned| assigned.task.record.started_ms.is_some())
         })
     }
 
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -23,7 +23,7 @@
 pub mod service_counts;
 mod task_bitmap;
 
-pub use cluster_state::{ClusterState, JobState, MachineState, TaskState, Versioned};
+pub use cluster_state::{AssignedTask, ClusterState, JobState, MachineState, TaskState, Versioned};
 pub use log_keys::{EntryKey, EntryKeyAllocator};
 pub use mutation::Mutation;
 pub use task_bitmap::TaskBitmap;
