--- a/crates/failure-detector/src/detector/status.rs
+++ b/crates/failure-detector/src/detector/status.rs
@@ -13,14 +13,14 @@
     /// Its health, as this controller sees it.
     #[serde(rename = "standing")]
     pub health: PeerHealth,
-    /// What speaks against it.
+    /// Why it is suspected or was declared failed, if it is.
     #[serde(rename = "why")]
     pub reason: Option<SuspicionReason>,
     /// When its health or the reason for it last changed.
     pub since_s: f64,
-    /// The φ of its silence.
+    /// φ for the time since its last heartbeat.
     pub phi: f64,
-    /// Seconds since the last contact with it.
+    /// When its last heartbeat came.
     #[serde(rename = "heard_s")]
     pub contact_age_s: Option<f64>,
     /// Heartbeats that its port refused in a row.
--- a/crates/failure-detector/src/detector/tests.rs
+++ b/crates/failure-detector/src/detector/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the failure detector's verdicts.
+//! Tests of the failure detector.
 
 use super::*;
 use crate::damping::MembershipTerm;
@@ -37,30 +37,37 @@
     detector
 }
 
-fn heartbeat(member: &str, incarnation: u64, of: &[(&str, u64, u64, bool)]) -> PeerHeartbeat {
-    let observation = |(m, incarnation, heard, refused): &(&str, u64, u64, bool)| PeerObservation {
-        member: m.to_string(),
-        incarnation: *incarnation,
-        contact_age_ms: Some(*heard),
-        refused: *refused,
-    };
+fn heartbeat(member: &str, incarnation: u64, observations: &[PeerObservation]) -> PeerHeartbeat {
     PeerHeartbeat {
         member: member.into(),
         incarnation,
         revision: 100,
-        observations: of.iter().map(observation).collect(),
+        observations: observations.to_vec(),
         ..PeerHeartbeat::default()
     }
 }
 
-/// `a` refuses from 10 s on; `b` is heard, and reports what it observes of `a`.
+/// What another controller reports of `a`.
+fn observation_of_a(contact_age_ms: u64, refused: bool) -> PeerObservation {
+    PeerObservation {
+        member: "a".into(),
+        incarnation: 1,
+        contact_age_ms: Some(contact_age_ms),
+        refused,
+    }
+}
+
+/// `a` refuses from 10 s on; `b` responds, and reports what it observes of `a`.
 fn health_of_refusing(heard_ms: u64, refuses: bool, own: LocalHealth, wrote: bool) -> PeerHealth {
     let mut detector = new_detector(&["a", "b"]);
     detector.record_response(9.9, heartbeat("a", 1, &[]));
     for step in 0..10u32 {
         let now = 10.0 + 0.3 * f64::from(step);
         detector.record_probe_failure("a", ProbeFailure::Refused);
-        detector.record_response(now, heartbeat("b", 2, &[("a", 1, heard_ms, refuses)]));
+        detector.record_response(
+            now,
+            heartbeat("b", 2, &[observation_of_a(heard_ms, refuses)]),
+        );
         if wrote {
             detector.record_write(now, "a");
         }
@@ -75,7 +82,7 @@
         health_of_refusing(9000, true, LOCAL, false),
         PeerHealth::Failed
     );
-    // The other has heard it since.
+    // The other has seen it since.
     assert_eq!(
         health_of_refusing(10, false, LOCAL, false),
         PeerHealth::Suspected
@@ -111,7 +118,7 @@
     for step in 0..10u32 {
         let now = 10.0 + 0.3 * f64::from(step);
         detector.record_probe_failure("a", ProbeFailure::Refused);
-        detector.record_response(now, heartbeat("b", 2, &[("a", 1, 9000, true)]));
+        detector.record_response(now, heartbeat("b", 2, &[observation_of_a(9000, true)]));
         detector.evaluate(now, LOCAL);
     }
     assert_eq!(
@@ -143,7 +150,7 @@
         for step in 0..steps {
             let now = from + 0.3 * f64::from(step);
             detector.record_probe_failure("a", ProbeFailure::Refused);
-            detector.record_response(now, heartbeat("b", 2, &[("a", 1, 9000, true)]));
+            detector.record_response(now, heartbeat("b", 2, &[observation_of_a(9000, true)]));
             detector.evaluate(now, LOCAL);
         }
     };
--- a/crates/simulator/src/cluster/requests.rs
+++ b/crates/simulator/src/cluster/requests.rs
@@ -35,7 +35,7 @@
         matches!(self.status, 200 | 201)
     }
 
-    /// Whether the user is asked to try again.
+    /// Whether the request is to be retried.
     fn is_retryable(&self) -> bool {
         matches!(self.status, 429 | 503)
     }
@@ -62,10 +62,10 @@
     let sent = platform.checker().request_sent(request, job);
     let call = platform.user_request(controller, method, &path, body.as_bytes().to_vec());
     let response = timeout(patience, call).await.ok().flatten();
-    let response = response.map(|(status, body)| JobResponse {
-        status,
-        job: (status < 300)
-            .then(|| serde_json::from_slice(&body).ok())
+    let response = response.map(|response| JobResponse {
+        status: response.status,
+        job: (response.status < 300)
+            .then(|| serde_json::from_slice(&response.body).ok())
             .flatten(),
     });
     let status = response.as_ref().map(|response| response.status);
@@ -108,10 +108,10 @@
             let call = self
                 .platform
                 .user_request(controller, method, path, body.to_vec());
-            if let Ok(Some((status, body))) = timeout(CHANGE_TIMEOUT, call).await
-                && !matches!(status, 429 | 503)
+            if let Ok(Some(response)) = timeout(CHANGE_TIMEOUT, call).await
+                && !matches!(response.status, 429 | 503)
             {
-                return Some((status, body));
+                return Some(response);
             }
             sleep(RETRY_DELAY).await;
         }
@@ -165,7 +165,7 @@
         self.jobs.insert(id.into(), spec);
     }
 
-    /// Asks one controller after the other until one doesn't ask to try again.
+    /// Sends a request to one controller after the other until one gives a final response.
     async fn request_until_answered(&self, kind: Request, job: &str, body: &str) -> JobResponse {
         for attempt in 0..MAX_ATTEMPTS {
             let controller = attempt % self.processes.len();
--- a/crates/simulator/src/commands/detector_sweep.rs
+++ b/crates/simulator/src/commands/detector_sweep.rs
@@ -96,7 +96,7 @@
     /// Times to detection of a controller whose host refuses connections, in seconds.
     refuses_s: Vec<f64>,
     /// Times to detection of one whose host does not respond, in seconds.
-    silent_s: Vec<f64>,
+    contact_age_s: Vec<f64>,
 }
 
 /// Runs the subcommand.
@@ -173,7 +173,7 @@
             thresholds,
             errors,
             refuses_s: detection_times_s(FailureMode::Refuses),
-            silent_s: detection_times_s(FailureMode::Silent),
+            contact_age_s: detection_times_s(FailureMode::Silent),
         }
     }
 }
@@ -187,7 +187,7 @@
             self.errors.suspicions_per_hour(),
             format!("{:.4} ({:.4} to {:.4})", rate.per_hour, rate.low, rate.high),
             format_quantiles(self.refuses_s.iter().copied()),
-            format_quantiles(self.silent_s.iter().copied()),
+            format_quantiles(self.contact_age_s.iter().copied()),
         )
     }
 
@@ -199,7 +199,7 @@
             },
             Series {
                 name: self.thresholds.label("silent"),
-                values: self.silent_s,
+                values: self.contact_age_s,
             },
         ]
     }
--- a/crates/state/src/cluster_state/queries.rs
+++ b/crates/state/src/cluster_state/queries.rs
@@ -1,4 +1,4 @@
-//! Questions about the state.
+//! Queries of the state.
 
 use super::{ClusterState, JobState, MachineState, ShardCounts, TaskState};
 use crate::Revision;
@@ -9,10 +9,19 @@
 use rushwalk_scheduler::timeline::ImageId;
 use std::collections::BTreeMap;
 
-/// A machine whose tasks take this many times as long as predicted is slow. Predictions
-/// err, so less says nothing.
+/// A machine whose tasks take this many times as long as predicted is slow. A lower ratio
+/// is within the error of the predictions.
 const SLOW_RATIO: f64 = 1.5;
 
+/// An assigned task, with its job.
+#[derive(Debug, Clone, Copy)]
+pub struct AssignedTask<'a> {
+    /// The job.
+    pub job: &'a JobState,
+    /// The task.
+    pub task: &'a TaskState,
+}
+
 impl MachineState {
     /// Whether an image is in the machine's cache, as far as is known.
     pub fn has_image(&self, name: &str) -> bool {
@@ -55,9 +64,10 @@
     }
 
     /// An assigned task, with its job.
-    pub fn task(&self, id: &TaskId) -> Option<(&JobState, &TaskState)> {
+    pub fn task(&self, id: &TaskId) -> Option<AssignedTask<'_>> {
         let job = self.jobs.get(&id.job)?;
-        Some((job, job.tasks.get(&id.index)?))
+        let task = job.tasks.get(&id.index)?;
+        Some(AssignedTask { job, task })
     }
 
     /// An assigned task, if `attempt` is the one under way.
--- a/crates/testkit/src/platform.rs
+++ b/crates/testkit/src/platform.rs
@@ -5,11 +5,13 @@
 
 mod cloud_service;
 mod event_log;
+mod http_response;
 mod network;
 mod store_service;
 
 pub use cloud_service::RentalCounts;
-pub use network::{ControllerTransport, Endpoint, HttpResponse};
+pub use http_response::HttpResponse;
+pub use network::{ControllerTransport, Endpoint};
 
 use crate::fault::Fault;
 use crate::invariants::InvariantChecker;
@@ -49,7 +51,7 @@
     /// Most machines of a zone, where that is limited.
     zone_limits: Mutex<HashMap<String, usize>>,
     rental_counts: Mutex<RentalCounts>,
-    /// When controllers asked workers for their status.
+    /// When controllers queried the status of workers.
     status_requests: Mutex<Vec<Instant>>,
     commit_delays: Mutex<Vec<CommitDelay>>,
     recorded_heartbeats: Mutex<Vec<Vec<u8>>>,
@@ -150,7 +152,7 @@
         lock(&self.store).retained_changes = changes;
     }
 
-    /// Puts and deletions that the store has been asked for so far.
+    /// Puts and deletions that were sent to the store so far.
     pub fn write_count(&self) -> usize {
         lock(&self.store).write_count
     }
@@ -235,14 +237,14 @@
 
     /// Whether a machine is ready, stays, and exchanges messages with controllers.
     fn is_usable(&self, index: usize, worker: &Worker) -> bool {
-        const FAULTS: [fn(usize) -> Fault; 4] = [
-            Fault::MachineFrozen,
-            Fault::MachineOutboundLoss,
-            Fault::MachinePartitioned,
-            Fault::MachineInboundLoss,
+        let faults = [
+            Fault::MachineFrozen(index),
+            Fault::MachineOutboundLoss(index),
+            Fault::MachinePartitioned(index),
+            Fault::MachineInboundLoss(index),
         ];
         let ready = !worker.deleted && worker.sequence > 0 && worker.reclaim_at.is_none();
-        ready && !FAULTS.iter().any(|fault| self.is_active(fault(index)))
+        ready && !faults.into_iter().any(|fault| self.is_active(fault))
     }
 
     /// The most status requests that workers received within a span of time.
--- a/crates/testkit/src/platform/network.rs
+++ b/crates/testkit/src/platform/network.rs
@@ -1,9 +1,10 @@
 //! The network: messages between users, controllers and workers, and the faults on the way.
 
-use super::{SimulatedPlatform, ZONES};
+use super::{HttpResponse, SimulatedPlatform, ZONES};
 use crate::fault::Fault;
 use crate::lock;
-use rushwalk_clients::http::{Exchange, Transport, TransportResponse};
+use crate::worker::DirectResponse;
+use rushwalk_clients::http::{Exchange, Transport};
 use rushwalk_clients::{Error, Method};
 use rushwalk_protocol::worker::{CommandBatch, Heartbeat};
 use std::future::Future;
@@ -15,9 +16,6 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, sleep};
 
-/// Status and body of an HTTP response.
-pub type HttpResponse = (u16, Vec<u8>);
-
 /// An HTTP interface of a controller: takes method, path and body.
 pub type Endpoint = Arc<
     dyn Fn(String, String, Vec<u8>) -> Pin<Box<dyn Future<Output = HttpResponse> + Send>>
@@ -41,7 +39,7 @@
 const HEARTBEAT_PATH: &str = "/agent/beat";
 /// How long a worker waits for a response.
 const WORKER_TIMEOUT: Duration = Duration::from_secs(4);
-/// Time until a client is told that there was no response; longer than any timeout.
+/// Time until a client gets the error that there was no response; longer than any timeout.
 const NO_RESPONSE: Duration = Duration::from_secs(60);
 
 impl SimulatedPlatform {
@@ -117,7 +115,7 @@
         let response = self.call_controller(controller, method, path, body).await;
         self.record_event(|| {
             let shown = response.as_ref();
-            let shown = shown.map(|(status, body)| (status, String::from_utf8_lossy(body)));
+            let shown = shown.map(|shown| (shown.status, String::from_utf8_lossy(&shown.body)));
             format!("{controller} {method} {path}: {shown:?}")
         });
         response
@@ -256,9 +254,9 @@
         while self.is_active(Fault::MachineFrozen(machine)) {
             sleep(Duration::from_millis(50)).await;
         }
-        let (status, heartbeat) = self.serve_worker(machine, path, body)?;
+        let response = self.serve_worker(machine, path, body)?;
         self.wait_while_delayed(controller).await;
-        Some((status, serde_json::to_vec(&heartbeat).ok()?))
+        Some(HttpResponse::json(response.status, &response.heartbeat))
     }
 
     /// The machine at an address, unless the network keeps the controller from it.
@@ -275,12 +273,12 @@
     }
 
     /// A worker's response to a direct request.
-    fn serve_worker(&self, machine: usize, path: &str, body: &[u8]) -> Option<(u16, Heartbeat)> {
+    fn serve_worker(&self, machine: usize, path: &str, body: &[u8]) -> Option<DirectResponse> {
         let mut workers = self.workers();
         let worker = workers.get_mut(machine).filter(|worker| !worker.deleted)?;
         worker.advance(self, self.worker_lease);
         if path == "/status" {
-            return Some((200, worker.next_heartbeat()));
+            return Some(worker.report_status());
         }
         let commands = serde_json::from_slice::<CommandBatch>(body).ok()?;
         Some(worker.handle_commands(self, &commands))
@@ -346,7 +344,7 @@
         });
         Box::pin(async move {
             match response.await {
-                Ok(response) => response.map(|(status, body)| TransportResponse { status, body }),
+                Ok(response) => response.map(HttpResponse::into),
                 Err(_) => {
                     sleep(NO_RESPONSE).await;
                     Err(Error::Unanswered("no answer".into()))
--- a/crates/testkit/src/worker/heartbeat_loop.rs
+++ b/crates/testkit/src/worker/heartbeat_loop.rs
@@ -22,7 +22,7 @@
 }
 
 impl NextHeartbeat {
-    /// After a failure: the next controller in turn.
+    /// After a failure: the next controller.
     fn retry(platform: &SimulatedPlatform, controller: usize) -> NextHeartbeat {
         NextHeartbeat {
             controller: (controller + 1) % platform.controller_count(),
@@ -30,7 +30,7 @@
         }
     }
 
-    /// After a redirect: the named controller, or the next in turn if that is no other.
+    /// After a redirect: the named controller, or the next one if that is the same or unknown.
     fn redirected(platform: &SimulatedPlatform, controller: usize, body: &[u8]) -> NextHeartbeat {
         let redirect: Option<Redirect> = serde_json::from_slice(body).ok();
         let target = redirect
@@ -69,7 +69,7 @@
         let sent = Instant::now();
         let response = exchange(&platform, machine, next.controller, &heartbeat).await;
         next = match response {
-            Some((200, body)) if sent.elapsed() < RESPONSE_TIMEOUT => {
+            Some(HttpResponse { status: 200, body }) if sent.elapsed() < RESPONSE_TIMEOUT => {
                 let worker = &mut platform.workers()[machine];
                 worker.accept_response(&platform, &heartbeat, &body, sent);
                 NextHeartbeat {
@@ -77,7 +77,9 @@
                     delay: interval,
                 }
             }
-            Some((421, body)) => NextHeartbeat::redirected(&platform, next.controller, &body),
+            Some(HttpResponse { status: 421, body }) => {
+                NextHeartbeat::redirected(&platform, next.controller, &body)
+            }
             _ => NextHeartbeat::retry(&platform, next.controller),
         };
     }
