--- a/crates/clients/src/idle_connections.rs
+++ b/crates/clients/src/idle_connections.rs
@@ -21,7 +21,7 @@
 
 /// The pool. A controller calls thousands of workers, each of them rarely, and a
 /// connection holds some 25 KB: the least recently used are dropped.
-pub struct IdleConnections<T> {
+pub(crate) struct IdleConnections<T> {
     capacity: usize,
     by_address: HashMap<SocketAddr, Vec<IdleConnection<T>>>,
     /// In the order of their arrival; those taken meanwhile are still in it.
@@ -32,7 +32,7 @@
 
 impl<T> IdleConnections<T> {
     /// An empty pool of at most so many connections.
-    pub fn new(capacity: usize) -> IdleConnections<T> {
+    pub(crate) fn new(capacity: usize) -> IdleConnections<T> {
         IdleConnections {
             capacity,
             by_address: HashMap::new(),
@@ -43,7 +43,7 @@
     }
 
     /// Takes the connection to an address that was used last.
-    pub fn take(&mut self, address: SocketAddr) -> Option<T> {
+    pub(crate) fn take(&mut self, address: SocketAddr) -> Option<T> {
         let connections = self.by_address.get_mut(&address)?;
         let idle = connections.pop()?;
         self.len -= 1;
@@ -54,7 +54,7 @@
     }
 
     /// Keeps a connection, unless there are enough to that address.
-    pub fn put(&mut self, address: SocketAddr, connection: T) {
+    pub(crate) fn put(&mut self, address: SocketAddr, connection: T) {
         let connections = self.by_address.entry(address).or_default();
         if connections.len() >= MAX_PER_ADDRESS {
             return;
@@ -102,7 +102,7 @@
     }
 
     /// Drops all connections to an address.
-    pub fn remove_all(&mut self, address: SocketAddr) {
+    pub(crate) fn remove_all(&mut self, address: SocketAddr) {
         let removed = self.by_address.remove(&address);
         self.len -= removed.map_or(0, |connections| connections.len());
     }
--- a/crates/failure-detector/src/detector/peer.rs
+++ b/crates/failure-detector/src/detector/peer.rs
@@ -9,8 +9,8 @@
 #[derive(Debug, Clone)]
 pub(super) struct ReceivedHeartbeat {
     /// In seconds of the observer's clock.
-    pub at_s: f64,
-    pub heartbeat: PeerHeartbeat,
+    pub(super) at_s: f64,
+    pub(super) heartbeat: PeerHeartbeat,
 }
 
 /// Evidence about a peer, and the health that was derived from it. Times are in seconds
@@ -18,37 +18,37 @@
 #[derive(Debug, Clone)]
 pub(super) struct PeerState {
     /// Its present process, as far as is known; 0 if it never was a member.
-    pub incarnation: u64,
+    pub(super) incarnation: u64,
     /// Its present term as a member.
-    pub term: Option<MembershipTerm>,
+    pub(super) term: Option<MembershipTerm>,
     /// Whether its term was seen to end and none has begun since.
-    pub membership_ended: bool,
-    pub arrivals: HeartbeatHistory,
-    pub last_heartbeat: Option<ReceivedHeartbeat>,
+    pub(super) membership_ended: bool,
+    pub(super) arrivals: HeartbeatHistory,
+    pub(super) last_heartbeat: Option<ReceivedHeartbeat>,
     /// Heartbeats that its port refused in a row.
-    pub consecutive_refusals: u32,
+    pub(super) consecutive_refusals: u32,
     /// Whether a heartbeat to it has timed out since the last one from it.
-    pub probe_timed_out: bool,
+    pub(super) probe_timed_out: bool,
     /// When an entry of its in the log was last seen.
-    pub last_write_s: Option<f64>,
+    pub(super) last_write_s: Option<f64>,
     /// Since when it reports that its event loop lags.
-    pub lagging_since_s: Option<f64>,
-    pub health: PeerHealth,
-    pub reason: Option<SuspicionReason>,
+    pub(super) lagging_since_s: Option<f64>,
+    pub(super) health: PeerHealth,
+    pub(super) reason: Option<SuspicionReason>,
     /// Whether most witnesses have the same suspicion.
-    pub majority_agrees: bool,
+    pub(super) majority_agrees: bool,
     /// When its present health or the reason for it began.
-    pub health_since_s: f64,
+    pub(super) health_since_s: f64,
     /// The term that it had at that time.
-    pub term_at_change: Option<MembershipTerm>,
+    pub(super) term_at_change: Option<MembershipTerm>,
     /// The newest revision that the observer had seen at that time.
-    pub revision_at_change: u64,
+    pub(super) revision_at_change: u64,
     /// Since when it responds again after it was declared failed.
-    pub responding_since_s: Option<f64>,
+    pub(super) responding_since_s: Option<f64>,
 }
 
 impl PeerState {
-    pub fn new(heartbeat_s: f64, now_s: f64) -> PeerState {
+    pub(super) fn new(heartbeat_s: f64, now_s: f64) -> PeerState {
         PeerState {
             incarnation: 0,
             term: None,
@@ -70,31 +70,31 @@
     }
 
     /// Whether its port refused so many heartbeats in a row, one at least.
-    pub fn refuses(&self, threshold: u32) -> bool {
+    pub(super) fn refuses(&self, threshold: u32) -> bool {
         self.consecutive_refusals >= threshold.max(1)
     }
 
     /// Clears refused and timed-out heartbeats.
-    pub fn clear_probe_failures(&mut self) {
+    pub(super) fn clear_probe_failures(&mut self) {
         self.consecutive_refusals = 0;
         self.probe_timed_out = false;
     }
 
     /// Replaces the process, and clears what was measured of the one before.
-    pub fn begin_incarnation(&mut self, incarnation: u64) {
+    pub(super) fn begin_incarnation(&mut self, incarnation: u64) {
         self.incarnation = incarnation;
         self.arrivals.reset();
         self.lagging_since_s = None;
     }
 
     /// How long ago its last heartbeat came, in seconds.
-    pub fn silent_s(&self, now_s: f64) -> Option<f64> {
+    pub(super) fn silent_s(&self, now_s: f64) -> Option<f64> {
         self.arrivals.last_s().map(|at| now_s - at)
     }
 
     /// How long ago an entry of its in the log was last seen, in seconds; infinite if
     /// none was.
-    pub fn since_last_write_s(&self, now_s: f64) -> f64 {
+    pub(super) fn since_last_write_s(&self, now_s: f64) -> f64 {
         self.last_write_s.map_or(f64::INFINITY, |at| now_s - at)
     }
 }
--- a/crates/simulator/src/commands.rs
+++ b/crates/simulator/src/commands.rs
@@ -1,14 +1,14 @@
 //! The program's subcommands, and what they share.
 
-pub mod detector_sweep;
-pub mod failover;
-pub mod search;
+pub(crate) mod detector_sweep;
+pub(crate) mod failover;
+pub(crate) mod search;
 
 use std::num::ParseFloatError;
 
 /// Result of checking the invariants over all runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CheckResult {
+pub(crate) enum CheckResult {
     /// All hold.
     Passed,
     /// Some were violated.
@@ -27,7 +27,7 @@
 
 /// Why a number on the command line is refused.
 #[derive(Debug, thiserror::Error)]
-pub enum NumberError {
+pub(crate) enum NumberError {
     /// It is no number.
     #[error("not a number")]
     NotANumber(#[from] ParseFloatError),
--- a/crates/simulator/src/commands/detector_sweep.rs
+++ b/crates/simulator/src/commands/detector_sweep.rs
@@ -14,7 +14,7 @@
 
 /// Options of `detector-sweep`.
 #[derive(Args, Clone)]
-pub struct DetectorSweepArgs {
+pub(crate) struct DetectorSweepArgs {
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u16).range(2..=16))]
     controllers: u16,
     /// Controller-hours for each setting.
@@ -103,7 +103,7 @@
 ///
 /// # Errors
 /// If the plot can't be written.
-pub fn run(args: &DetectorSweepArgs) -> Result<CheckResult, SimulatorError> {
+pub(crate) fn run(args: &DetectorSweepArgs) -> Result<CheckResult, SimulatorError> {
     let network = args.network();
     print_header(args, &network);
     let mut series = Vec::new();
--- a/crates/simulator/src/commands/failover.rs
+++ b/crates/simulator/src/commands/failover.rs
@@ -13,7 +13,7 @@
 
 /// Options of `failover`.
 #[derive(Args, Clone)]
-pub struct FailoverArgs {
+pub(crate) struct FailoverArgs {
     /// What fails; may be given several times.
     #[arg(long = "failure", value_name = "FAILURE", value_enum, default_values = ["crash"])]
     scenarios: Vec<FailoverScenario>,
@@ -70,7 +70,7 @@
 
 impl FailoverArgs {
     /// The options' default values.
-    pub fn defaults() -> FailoverArgs {
+    pub(crate) fn defaults() -> FailoverArgs {
         #[derive(Parser)]
         struct Defaults {
             #[command(flatten)]
@@ -104,7 +104,7 @@
 ///
 /// # Errors
 /// If no runtime can be created, or a result not be written.
-pub fn run(args: &FailoverArgs) -> Result<CheckResult, SimulatorError> {
+pub(crate) fn run(args: &FailoverArgs) -> Result<CheckResult, SimulatorError> {
     let controllers = usize::from(args.controllers);
     let cases = args.cases();
     if args.log {
--- a/crates/simulator/src/commands/search.rs
+++ b/crates/simulator/src/commands/search.rs
@@ -11,7 +11,7 @@
 
 /// Options of `search`.
 #[derive(Args, Clone)]
-pub struct SearchArgs {
+pub(crate) struct SearchArgs {
     /// Faults a day.
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u16).range(1..=8))]
     faults: u16,
@@ -63,7 +63,7 @@
 ///
 /// # Errors
 /// If no runtime can be created, or an outcome not be written as JSON.
-pub fn run(args: &SearchArgs) -> Result<CheckResult, SimulatorError> {
+pub(crate) fn run(args: &SearchArgs) -> Result<CheckResult, SimulatorError> {
     if args.log {
         init_controller_log();
     }
--- a/crates/simulator/src/detector_model/model.rs
+++ b/crates/simulator/src/detector_model/model.rs
@@ -60,6 +60,13 @@
     (seconds * 1e6).ceil() as Micros
 }
 
+/// An event's place in the queue: by time, and in the order of scheduling at the same time.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct QueuedEvent {
+    at: Micros,
+    id: u64,
+}
+
 /// A controller's latest pause.
 #[derive(Debug, Clone, Copy, Default)]
 struct PauseEnd {
@@ -79,8 +86,8 @@
     /// Until when each controller is paused.
     paused_until_s: Vec<f64>,
     latest_pauses: Vec<PauseEnd>,
-    /// Events' times and ids, the earliest first.
-    queue: BinaryHeap<Reverse<(Micros, u64)>>,
+    /// The earliest event comes first.
+    queue: BinaryHeap<Reverse<QueuedEvent>>,
     events: HashMap<u64, Event>,
     next_event_id: u64,
 }
@@ -120,14 +127,16 @@
     }
 
     fn schedule(&mut self, at_s: f64, event: Event) {
-        self.events.insert(self.next_event_id, event);
-        self.queue.push(Reverse((micros(at_s), self.next_event_id)));
+        let id = self.next_event_id;
+        let at = micros(at_s);
+        self.events.insert(id, event);
+        self.queue.push(Reverse(QueuedEvent { at, id }));
         self.next_event_id += 1;
     }
 
     /// Runs until a time, or until a failure is detected.
     pub(super) fn run(&mut self, until_s: f64) {
-        while let Some(Reverse((at, id))) = self.queue.pop() {
+        while let Some(Reverse(QueuedEvent { at, id })) = self.queue.pop() {
             let now_s = at as f64 / 1e6;
             if now_s >= until_s || self.detected_after_s.is_some() {
                 return;
--- a/crates/simulator/src/parallel.rs
+++ b/crates/simulator/src/parallel.rs
@@ -12,7 +12,7 @@
 }
 
 /// Applies `work` to each item, on at most so many threads. Results are in the items' order.
-pub fn map<T: Send, I: Sync>(
+pub(crate) fn map<T: Send, I: Sync>(
     max_threads: usize,
     items: &[I],
     work: impl Fn(&I) -> T + Sync,
--- a/crates/simulator/src/quantiles.rs
+++ b/crates/simulator/src/quantiles.rs
@@ -6,7 +6,7 @@
 const MAX_MS: u64 = 3_600_000;
 
 /// Median, 95% quantile and maximum of some times in seconds, as columns of a table.
-pub fn format_quantiles(seconds: impl Iterator<Item = f64>) -> String {
+pub(crate) fn format_quantiles(seconds: impl Iterator<Item = f64>) -> String {
     let Ok(mut histogram) = Histogram::<u64>::new(3) else {
         return String::new();
     };
