--- a/crates/rushwalk/src/admin_cli.rs
+++ b/crates/rushwalk/src/admin_cli.rs
@@ -24,7 +24,7 @@
 
 #[derive(Subcommand)]
 enum AdminCommand {
-    /// Leader, grants, machines by zone and type, and why jobs wait.
+    /// Leader, shard leases, machines by zone and type, and why jobs wait.
     Status,
     /// Machines one by one, a page at a time.
     Machines {
--- a/crates/rushwalk/src/failure_detection/observation.rs
+++ b/crates/rushwalk/src/failure_detection/observation.rs
@@ -171,21 +171,28 @@
     }
 
     fn handle(&self, transition: &HealthTransition) {
-        let member = &transition.member;
+        let controller = &transition.member;
         let reason = transition.reason;
         let phi = tenths(transition.phi);
         let after_s = tenths(transition.previous_lasted_s);
         let (agreeing, witnesses) = (transition.agreeing, transition.witnesses);
         match transition.to {
-            PeerHealth::Healthy => tracing::info!(member, after_s, "peer healthy again"),
+            PeerHealth::Healthy => tracing::info!(controller, after_s, "peer healthy again"),
             PeerHealth::Suspected => {
-                // A verdict needs a read made since; the watch may be waiting.
+                // Declaring it failed needs a read made since; the watch may be waiting.
                 self.replica.request_read();
-                tracing::info!(member, ?reason, phi, agreeing, witnesses, "peer suspected");
+                tracing::info!(
+                    controller,
+                    ?reason,
+                    phi,
+                    agreeing,
+                    witnesses,
+                    "peer suspected"
+                );
             }
             PeerHealth::Failed => {
                 tracing::info!(
-                    member,
+                    controller,
                     ?reason,
                     phi,
                     after_s,
--- a/crates/rushwalk/src/main.rs
+++ b/crates/rushwalk/src/main.rs
@@ -153,7 +153,7 @@
     ));
     let (controller, loops) = Controller::new(settings, http)?;
     tracing::info!(
-        member = controller.context.member(),
+        controller = controller.context.member(),
         incarnation = controller.context.incarnation,
         "started"
     );
--- a/crates/simulator/src/commands/detector_sweep.rs
+++ b/crates/simulator/src/commands/detector_sweep.rs
@@ -113,14 +113,14 @@
         series.extend(result.into_series());
     }
     if let Some(path) = &args.plot {
-        cumulative_distributions(path, "Time to the first verdict", &series)?;
+        cumulative_distributions(path, "Time until declared failed", &series)?;
     }
     Ok(CheckResult::Passed)
 }
 
 fn print_header(args: &DetectorSweepArgs, network: &Network) {
     println!(
-        "{} controllers, {:.1}% of greetings lost, a pause of up to {} s each {} s; {} \
+        "{} controllers, {:.1}% of heartbeats lost, a pause of up to {} s each {} s; {} \
          controller-hours a setting\n",
         network.controllers,
         network.loss_share * 100.0,
@@ -133,9 +133,9 @@
         "phi",
         "refusals",
         "suspicions an hour",
-        "false verdicts an hour (95%)",
-        "refuses: judged",
-        "silent: judged"
+        "false failures an hour (95%)",
+        "refuses: failed",
+        "silent: failed"
     );
 }
 
--- a/crates/simulator/src/commands/failover.rs
+++ b/crates/simulator/src/commands/failover.rs
@@ -141,15 +141,15 @@
         args.runs
     );
     println!(
-        "{:18} {:>5} {:18} {:18} {:18} {:18} {:>8} {:>11} {:>7} {:>7}",
+        "{:18} {:>5} {:18} {:18} {:18} {:18} {:>8} {:>12} {:>7} {:>7}",
         "failure",
         "back",
         "without a round",
         "until suspected",
-        "until judged",
-        "machines heard",
+        "declared failed",
+        "machines owned",
         "leaders",
-        "blocks moved",
+        "shards moved",
         "false",
         "broken"
     );
