--- a/crates/failure-detector/src/detector/assessment.rs
+++ b/crates/failure-detector/src/detector/assessment.rs
@@ -76,7 +76,7 @@
     ) -> bool {
         let config = &self.config;
         let suspected_s = now_s - peer.health_since_s;
-        // The observer must be can_observe to observe.
+        // Only an observer that is well itself can judge others.
         let can_observe = local.recent_lag_s < config.round_s && local.staleness_s < suspected_s;
         let agreed = reports.majority_agrees();
         let only_peer = self.peers.len() == 1;
--- a/crates/rushwalk/src/shards/dispatch.rs
+++ b/crates/rushwalk/src/shards/dispatch.rs
@@ -10,7 +10,7 @@
 use crate::timing::Timing;
 use crate::workers::commands::commands;
 use crate::workers::registry::{Ownership, Sessions};
-use crate::workers::session::{CallInFlight, HeartbeatSource, UnresolvedStart};
+use crate::workers::session::{CallInFlight, HeartbeatOrigin, UnresolvedStart};
 use crate::workers::{WorkerRegistry, WorkerSession};
 use rushwalk_clients::Error;
 use rushwalk_clients::workers::WorkerClient;
@@ -177,7 +177,7 @@
         let machine = &*call.machine;
         match result {
             Ok(response) => {
-                session.apply_heartbeat(&response.heartbeat, HeartbeatSource::Call);
+                session.apply_heartbeat(&response.heartbeat, HeartbeatOrigin::Call);
                 sessions.record_contact(&call.shard);
             }
             Err(Error::Unanswered(error)) => {
@@ -212,7 +212,7 @@
         let mut sessions = self.workers.sessions();
         let session = finish_call(&mut sessions, &call);
         if let Ok(heartbeat) = result {
-            session.apply_heartbeat(&heartbeat, HeartbeatSource::Call);
+            session.apply_heartbeat(&heartbeat, HeartbeatOrigin::Call);
             sessions.record_contact(&call.shard);
         }
     }
--- a/crates/rushwalk/src/shards/fencing.rs
+++ b/crates/rushwalk/src/shards/fencing.rs
@@ -77,8 +77,9 @@
     }
 }
 
-/// Whether it needs_fencing what is on a machine. Not if there is nothing to be proved gone, or
-/// the machine goes with all on it; an unreachable machine's starts end with its lease.
+/// Whether an unresolved start on a machine must be fenced. Not if no task there has to be
+/// proved gone, or the machine is deleted with all on it; an unreachable machine's starts end
+/// with its lease.
 fn needs_fencing(machine: &MachineState) -> bool {
     let record = &machine.record;
     !machine.tasks.is_empty()
--- a/crates/rushwalk/src/workers/heartbeats.rs
+++ b/crates/rushwalk/src/workers/heartbeats.rs
@@ -2,7 +2,7 @@
 
 use super::commands::{commands, start_in};
 use super::registry::WorkerRegistry;
-use super::session::HeartbeatSource;
+use super::session::HeartbeatOrigin;
 use crate::clock::now_ms;
 use crate::context::Context;
 use crate::peers::PeerMonitor;
@@ -86,7 +86,7 @@
             if let Some((machine, _)) = state.machines.get_key_value(heartbeat.machine.as_str()) {
                 let mut sessions = self.workers.sessions();
                 let session = sessions.session_mut(machine);
-                session.apply_heartbeat(heartbeat, HeartbeatSource::Worker);
+                session.apply_heartbeat(heartbeat, HeartbeatOrigin::Worker);
             }
             return HeartbeatReply::Unavailable;
         };
--- a/crates/rushwalk/src/workers/session.rs
+++ b/crates/rushwalk/src/workers/session.rs
@@ -73,7 +73,7 @@
 
 /// How a heartbeat came.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum HeartbeatSource {
+pub enum HeartbeatOrigin {
     /// The worker sent it to us by itself.
     Worker,
     /// It is the answer to a call to the worker's own address.
@@ -135,19 +135,19 @@
 
 impl WorkerSession {
     /// Takes in a heartbeat unless it is older than the newest; whether it is newer.
-    pub fn apply_heartbeat(&mut self, heartbeat: &Heartbeat, source: HeartbeatSource) -> bool {
+    pub fn apply_heartbeat(&mut self, heartbeat: &Heartbeat, origin: HeartbeatOrigin) -> bool {
         if (heartbeat.session, heartbeat.sequence) <= (self.session, self.sequence) {
             return false;
         }
-        match source {
-            HeartbeatSource::Worker => {
+        match origin {
+            HeartbeatOrigin::Worker => {
                 self.last_heartbeat = Some(Instant::now());
                 self.check_unconfirmed(heartbeat);
                 if self.shows_effect_of_starts(heartbeat) {
                     self.starts_sent_in = None;
                 }
             }
-            HeartbeatSource::Call => self.undelivered_since = None,
+            HeartbeatOrigin::Call => self.undelivered_since = None,
         }
         self.session = heartbeat.session;
         self.sequence = heartbeat.sequence;
@@ -242,7 +242,7 @@
     /// the newest. A copy of one that was answered before shows nothing of that response,
     /// which may have renewed the lease.
     pub fn receive(&mut self, heartbeat: &Heartbeat, token: Revision, timing: &Timing) -> bool {
-        let is_newer = self.apply_heartbeat(heartbeat, HeartbeatSource::Worker);
+        let is_newer = self.apply_heartbeat(heartbeat, HeartbeatOrigin::Worker);
         if is_newer {
             self.check_lease_expiry(token, timing);
         }
--- a/crates/rushwalk/src/workers/session/tests.rs
+++ b/crates/rushwalk/src/workers/session/tests.rs
@@ -115,7 +115,7 @@
 async fn what_was_known_under_an_earlier_token_shows_no_outbound_loss() {
     let timing = timing();
     let mut session = owned_session(7);
-    session.apply_heartbeat(&heartbeat(5, 7), HeartbeatSource::Worker);
+    session.apply_heartbeat(&heartbeat(5, 7), HeartbeatOrigin::Worker);
     advance(timing.worker_lease + SECOND).await;
     assert!(
         session.has_outbound_loss(7, &timing),
@@ -123,14 +123,14 @@
     );
     assert!(!session.has_outbound_loss(9, &timing), "just come back");
     session.owned = owned_since(9, Instant::now());
-    session.apply_heartbeat(&heartbeat(6, 7), HeartbeatSource::Call);
+    session.apply_heartbeat(&heartbeat(6, 7), HeartbeatOrigin::Call);
     assert!(
         !session.has_outbound_loss(9, &timing),
         "answers when asked, and has time to report"
     );
     advance(timing.worker_lease + SECOND).await;
     assert!(session.has_outbound_loss(9, &timing));
-    session.apply_heartbeat(&heartbeat(7, 9), HeartbeatSource::Worker);
+    session.apply_heartbeat(&heartbeat(7, 9), HeartbeatOrigin::Worker);
     assert!(
         !session.has_outbound_loss(9, &timing),
         "it sends heartbeats again"
