--- a/crates/protocol/src/peers.rs
+++ b/crates/protocol/src/peers.rs
@@ -51,6 +51,13 @@
     pub misrouted_workers: Vec<MisroutedCount>,
 }
 
+impl PeerHeartbeat {
+    /// Whether its sender receives nothing from the machines of a shard that it owns.
+    pub fn reports_unreachable(&self, shard: &str) -> bool {
+        self.unreachable_shards.iter().any(|name| name == shard)
+    }
+}
+
 /// What one controller has observed of another.
 #[derive(Debug, Clone, Default, Serialize, Deserialize, PartialEq)]
 pub struct PeerObservation {
--- a/crates/rushwalk/src/capacity/boot_supervision.rs
+++ b/crates/rushwalk/src/capacity/boot_supervision.rs
@@ -67,8 +67,7 @@
     zones: &[Arc<str>],
 ) -> Option<BootClass<'a>> {
     let zone = zones.iter().position(|zone| *zone == machine.zone)?;
-    let mut all_types = types.types.iter();
-    let group = all_types.position(|t| *t.name == *machine.machine_type)?;
+    let group = types.position(&machine.machine_type)?;
     Some(BootClass {
         group: BootGroup::new(group, zone),
         machine_type: &types.types[group],
--- a/crates/rushwalk/src/capacity/deletion.rs
+++ b/crates/rushwalk/src/capacity/deletion.rs
@@ -1,31 +1,18 @@
 //! Returns machines to the cloud.
 
-use crate::context::Context;
-use crate::leadership::Leadership;
-use crate::store::{Replica, WritePriority};
-use rushwalk_clients::cloud::CloudClient;
+use super::CloudLoopParts;
+use crate::store::WritePriority;
 use rushwalk_protocol::cloud::MAX_DELETE;
 use rushwalk_protocol::ids::MachineId;
 use rushwalk_state::records::MachineLifecycle;
 use rushwalk_state::{ClusterState, Mutation};
 use std::cmp::Reverse;
-use std::sync::Arc;
 use tokio::time::{Instant, sleep};
 
-use super::rentals::RentalTracker;
-
 /// Deletes machines while this process leads.
 pub(crate) struct Deletion {
-    /// This process's context.
-    pub context: Arc<Context>,
-    /// Shows what is to be deleted.
-    pub replica: Arc<Replica>,
-    /// Only the leader deletes.
-    pub leadership: Arc<Leadership>,
-    /// Calls the cloud.
-    pub cloud: Arc<CloudClient>,
-    /// Remembers what was deleted.
-    pub tracker: Arc<RentalTracker>,
+    /// The parts it uses.
+    pub parts: CloudLoopParts,
 }
 
 /// A machine that is to be deleted.
@@ -48,12 +35,12 @@
     pub(crate) async fn run(self) {
         let mut last_call: Option<Instant> = None;
         loop {
-            sleep(self.context.timing.round / 4).await;
-            if !self.leadership.is_leader() {
+            sleep(self.parts.context.timing.round / 4).await;
+            if !self.parts.leadership.is_leader() {
                 continue;
             }
             let batch = self.next_batch();
-            let waits = last_call.is_some_and(|at| at.elapsed() < self.context.timing.round)
+            let waits = last_call.is_some_and(|at| at.elapsed() < self.parts.context.timing.round)
                 && !batch.is_urgent
                 && batch.machines.len() < MAX_DELETE;
             if batch.machines.is_empty() || waits {
@@ -65,7 +52,7 @@
     }
 
     fn next_batch(&self) -> DeletionBatch {
-        let state = self.replica.state();
+        let state = self.parts.replica.state();
         let deleting = state
             .machines
             .iter()
@@ -91,20 +78,21 @@
     /// Deletes machines; once the cloud has confirmed it, all on them is surely gone.
     async fn delete(&self, machines: Vec<MachineId>) {
         let names = machines.iter().map(|id| id.to_string()).collect();
-        if let Err(error) = self.cloud.delete(names).await {
+        if let Err(error) = self.parts.cloud.delete(names).await {
             tracing::info!(%error, "deletion not confirmed");
             return;
         }
         let version = {
-            let state = self.replica.state();
-            let Some(version) = self.leadership.version(&state) else {
+            let state = self.parts.replica.state();
+            let Some(version) = self.parts.leadership.version(&state) else {
                 return;
             };
             self.record(&state, &machines);
             version
         };
         let deleted = [Mutation::MachinesDeleted(machines)];
-        self.leadership
+        self.parts
+            .leadership
             .append(version, &deleted, WritePriority::Scheduling)
             .await;
     }
@@ -112,7 +100,7 @@
     fn record(&self, state: &ClusterState, machines: &[MachineId]) {
         let now = Instant::now();
         let deleted = machines.iter().map(|id| (id.clone(), now));
-        self.tracker.state().deleted.extend(deleted);
+        self.parts.tracker.state().deleted.extend(deleted);
         let known = machines.iter().filter_map(|id| state.machines.get(id));
         let tasks: usize = known.map(|machine| machine.tasks.len()).sum();
         tracing::info!(?machines, tasks, "machines deleted");
--- a/crates/rushwalk/src/capacity/inventory.rs
+++ b/crates/rushwalk/src/capacity/inventory.rs
@@ -1,20 +1,17 @@
 //! Reconciliation with the cloud: which machine types it offers, and which machines it
 //! lists as ours.
 
-use super::rentals::RentalTracker;
+use super::CloudLoopParts;
 use super::shard_allocation::ShardAllocator;
 use crate::clock::now_ms;
-use crate::context::Context;
-use crate::leadership::{LeaderVersion, Leadership};
-use crate::store::{Replica, WritePriority};
+use crate::leadership::LeaderVersion;
+use crate::store::WritePriority;
 use rushwalk_clients::Error;
-use rushwalk_clients::cloud::CloudClient;
 use rushwalk_protocol::cloud::{ListedMachine, ListedState, MAX_LIST};
 use rushwalk_protocol::ids::{MachineId, ShardId};
 use rushwalk_state::mutation::{MachineAdopted, SetLifecycle, in_batches};
 use rushwalk_state::records::{MachineLifecycle, MachineRecord, MachineTypes};
 use rushwalk_state::{ClusterState, Mutation, UnixMillis, keys};
-use std::sync::Arc;
 use tokio::time::{Instant, sleep};
 
 /// Worker leases after which the machine types are read again.
@@ -29,16 +26,8 @@
 
 /// Reads machine types and the machine list while this process leads.
 pub(crate) struct Inventory {
-    /// This process's context.
-    pub context: Arc<Context>,
-    /// Shows the machines that are known.
-    pub replica: Arc<Replica>,
-    /// Only the leader reconciles.
-    pub leadership: Arc<Leadership>,
-    /// Calls the cloud.
-    pub cloud: Arc<CloudClient>,
-    /// Shows what was deleted lately.
-    pub tracker: Arc<RentalTracker>,
+    /// The parts it uses.
+    pub parts: CloudLoopParts,
 }
 
 /// What a comparison of the cloud's list with the state leads to.
@@ -53,10 +42,10 @@
     pub(crate) async fn run(self) {
         let mut types_read: Option<Instant> = None;
         let mut list_read: Option<Instant> = None;
-        let timing = &self.context.timing;
+        let timing = &self.parts.context.timing;
         loop {
             sleep(timing.round / 4).await;
-            if !self.leadership.is_leader() {
+            if !self.parts.leadership.is_leader() {
                 continue;
             }
             let types_interval = timing.worker_lease * TYPES_LEASES;
@@ -75,14 +64,14 @@
 
     /// A large fleet takes many pages.
     fn list_interval_s(&self) -> f64 {
-        let pages = (self.replica.state().machines.len() / MAX_LIST + 1) as f64;
-        let lag_s = self.context.settings.site.cloud.list_lag_s.max(1.0);
-        (4.0 * lag_s).max(LIST_CALL_SHARE * pages / self.cloud.rate())
+        let pages = (self.parts.replica.state().machines.len() / MAX_LIST + 1) as f64;
+        let lag_s = self.parts.context.settings.site.cloud.list_lag_s.max(1.0);
+        (4.0 * lag_s).max(LIST_CALL_SHARE * pages / self.parts.cloud.rate())
     }
 
     /// Reads the machine types and commits them if they have changed; whether that is done.
     async fn update_types(&self) -> bool {
-        let types = match self.cloud.machine_types().await {
+        let types = match self.parts.cloud.machine_types().await {
             Ok(response) => MachineTypes {
                 types: response.types,
             },
@@ -92,8 +81,8 @@
             }
         };
         let transaction = {
-            let state = self.replica.state();
-            let Some(version) = self.leadership.version(&state) else {
+            let state = self.parts.replica.state();
+            let Some(version) = self.parts.leadership.version(&state) else {
                 return false;
             };
             if state.machine_types.as_deref() == Some(&types) {
@@ -101,7 +90,8 @@
             }
             version.transaction().put(keys::MACHINE_TYPES, &types)
         };
-        self.leadership
+        self.parts
+            .leadership
             .commit(transaction, WritePriority::Scheduling)
             .await
     }
@@ -117,7 +107,8 @@
             }
         };
         if let Some(Reconciliation { leader, mutations }) = self.compare(&listed) {
-            self.leadership
+            self.parts
+                .leadership
                 .append(leader, &mutations, WritePriority::Maintenance)
                 .await;
         }
@@ -127,7 +118,7 @@
         let mut all: Vec<ListedMachine> = Vec::new();
         let mut after = String::new();
         loop {
-            let page = self.cloud.list(&after).await?;
+            let page = self.parts.cloud.list(&after).await?;
             let has_more = page.more && !page.machines.is_empty();
             all.extend(page.machines);
             if let Some(last) = all.last() {
@@ -140,15 +131,15 @@
     }
 
     fn compare(&self, listed: &[ListedMachine]) -> Option<Reconciliation> {
-        let state = self.replica.state();
-        let leader = self.leadership.version(&state)?;
-        let lag_s = self.context.settings.site.cloud.list_lag_s;
-        let mut tracked = self.tracker.state();
+        let state = self.parts.replica.state();
+        let leader = self.parts.leadership.version(&state)?;
+        let lag_s = self.parts.context.settings.site.cloud.list_lag_s;
+        let mut tracked = self.parts.tracker.state();
         // The list lags: a machine just deleted may still be on it.
         tracked
             .deleted
             .retain(|_, at| at.elapsed().as_secs_f64() < 4.0 * lag_s + 10.0);
-        let mut allocator = ShardAllocator::new(&state, self.context.controllers());
+        let mut allocator = ShardAllocator::new(&state, self.parts.context.controllers());
         let mut mutations = Vec::new();
         let mut failed: Vec<MachineId> = Vec::new();
         for machine in listed {
@@ -181,7 +172,7 @@
 
     /// Whether no rental that is open may have brought a machine.
     fn is_unexpected(&self, state: &ClusterState, machine: &ListedMachine) -> bool {
-        let site = &self.context.settings.site;
+        let site = &self.parts.context.settings.site;
         if machine.age_s <= 2.0 * site.cloud.list_lag_s {
             return false;
         }
--- a/crates/rushwalk/src/capacity/machines.rs
+++ b/crates/rushwalk/src/capacity/machines.rs
@@ -94,8 +94,7 @@
 
     /// Adds the machines that a rental should bring.
     fn add_rental(&self, round: &mut SchedulingRound, request: &RentalRequest) {
-        let mut types = self.types.types.iter();
-        let Some(group) = types.position(|t| t.name == request.machine_type) else {
+        let Some(group) = self.types.position(&request.machine_type) else {
             return;
         };
         let Some(zone) = self.zones.iter().position(|z| **z == *request.zone) else {
--- a/crates/rushwalk/src/capacity/rentals.rs
+++ b/crates/rushwalk/src/capacity/rentals.rs
@@ -1,11 +1,11 @@
 //! Requests the rentals that were committed, and commits their outcomes.
 
+use super::CloudLoopParts;
 use super::shard_allocation::ShardAllocator;
-use crate::context::Context;
-use crate::leadership::{LeaderVersion, Leadership};
-use crate::store::{Replica, WritePriority};
+use crate::leadership::LeaderVersion;
+use crate::store::WritePriority;
 use parking_lot::{Mutex, MutexGuard};
-use rushwalk_clients::cloud::{CloudClient, RentOutcome};
+use rushwalk_clients::cloud::RentOutcome;
 use rushwalk_protocol::cloud::RentRequest;
 use rushwalk_protocol::ids::{MachineId, RentalId};
 use rushwalk_scheduler::capacity::{CapacityEstimator, InstanceKind};
@@ -13,7 +13,6 @@
 use rushwalk_state::mutation::{RentalFulfilled, RentedMachine};
 use rushwalk_state::records::RentalRequest;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
-use std::sync::Arc;
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep};
 
@@ -74,16 +73,8 @@
 /// Requests rentals while this process leads.
 #[derive(Clone)]
 pub(crate) struct Rentals {
-    /// This process's context.
-    pub context: Arc<Context>,
-    /// Shows the rentals to be requested.
-    pub replica: Arc<Replica>,
-    /// Only the leader requests.
-    pub leadership: Arc<Leadership>,
-    /// Calls the cloud.
-    pub cloud: Arc<CloudClient>,
-    /// What is in flight.
-    pub tracker: Arc<RentalTracker>,
+    /// The parts it uses.
+    pub parts: CloudLoopParts,
 }
 
 impl Rentals {
@@ -91,8 +82,8 @@
     pub(crate) async fn run(self) {
         let (responses, mut received) = mpsc::unbounded_channel::<RentalResponse>();
         loop {
-            sleep(self.context.timing.round / 8).await;
-            let version = self.leadership.current_version();
+            sleep(self.parts.context.timing.round / 8).await;
+            let version = self.parts.leadership.current_version();
             let mut answered = Vec::new();
             while let Ok(response) = received.try_recv() {
                 answered.push(response);
@@ -101,14 +92,19 @@
                 && !answered.is_empty()
             {
                 let mutations = self.outcomes(&answered);
-                self.leadership
+                self.parts
+                    .leadership
                     .append(version, &mutations, WritePriority::Scheduling)
                     .await;
             }
             // Rentals that are still open are requested again under the same name: the
             // request is idempotent.
             for response in &answered {
-                self.tracker.state().in_flight.remove(&response.rental);
+                self.parts
+                    .tracker
+                    .state()
+                    .in_flight
+                    .remove(&response.rental);
             }
             if let Some(version) = version {
                 self.request_open(version, &responses);
@@ -122,8 +118,8 @@
         version: LeaderVersion,
         responses: &mpsc::UnboundedSender<RentalResponse>,
     ) {
-        let state = self.replica.state();
-        let mut tracked = self.tracker.state();
+        let state = self.parts.replica.state();
+        let mut tracked = self.parts.tracker.state();
         tracked.unsent.retain(|_, unsent| unsent.leader == version);
         for (rental, request) in &state.rentals {
             if tracked.in_flight.insert(rental.clone()) {
@@ -145,10 +141,10 @@
         rental: RentalId,
         request: RentalRequest,
     ) -> RentalResponse {
-        self.cloud.wait_for_slot().await;
+        self.parts.cloud.wait_for_slot().await;
         let kind = kind_of(&request);
         let is_exhausted = {
-            let mut tracked = self.tracker.state();
+            let mut tracked = self.parts.tracker.state();
             let unsent = tracked.unsent.remove(&rental);
             // Its kind ran out since: never requested, it can simply be dropped.
             unsent.is_some_and(|unsent| {
@@ -162,7 +158,7 @@
             self.ask_cloud(&rental, &request, &kind).await
         };
         if outcome.is_none() {
-            sleep(self.context.timing.round).await;
+            sleep(self.parts.context.timing.round).await;
         }
         RentalResponse {
             rental,
@@ -184,7 +180,7 @@
             spot: request.spot,
             count: request.count,
         };
-        let outcome = match self.cloud.rent(&rent).await {
+        let outcome = match self.parts.cloud.rent(&rent).await {
             Ok(outcome) => outcome,
             Err(error) => {
                 // It may have been carried out: requested again under the same name.
@@ -210,10 +206,11 @@
 
     /// Records how many machines of a kind the cloud had, for the estimate of its capacity.
     fn record_response(&self, kind: &InstanceKind, requested: u32, rented: u32) {
-        let owned = self.replica.state().count_of_kind(kind);
-        let pause_s = PROBE_PAUSE_ROUNDS * self.context.timing.round.as_secs_f64();
-        let now_s = self.context.uptime_s();
-        self.tracker
+        let owned = self.parts.replica.state().count_of_kind(kind);
+        let pause_s = PROBE_PAUSE_ROUNDS * self.parts.context.timing.round.as_secs_f64();
+        let now_s = self.parts.context.uptime_s();
+        self.parts
+            .tracker
             .state()
             .capacity
             .record_response(kind, requested, rented, owned, now_s, pause_s);
@@ -221,8 +218,8 @@
 
     /// The outcomes of rentals, with shards for the rented machines.
     fn outcomes(&self, responses: &[RentalResponse]) -> Vec<Mutation> {
-        let state = self.replica.state();
-        let mut allocator = ShardAllocator::new(&state, self.context.controllers());
+        let state = self.parts.replica.state();
+        let mut allocator = ShardAllocator::new(&state, self.parts.context.controllers());
         let mut mutations = Vec::new();
         for response in responses {
             let rental = response.rental.clone();
--- a/crates/rushwalk/src/capacity/scale_in.rs
+++ b/crates/rushwalk/src/capacity/scale_in.rs
@@ -3,8 +3,7 @@
 use crate::scheduler_inputs;
 use rushwalk_protocol::ids::MachineId;
 use rushwalk_protocol::jobs::Shape;
-use rushwalk_scheduler::round::{PendingJob, SchedulingRound};
-use rushwalk_scheduler::timeline::MachineTimeline;
+use rushwalk_scheduler::round::{MachineSnapshot, PendingJob, SchedulingRound};
 use rushwalk_state::mutation::{SetLifecycle, in_batches};
 use rushwalk_state::records::{JobPhase, MachineLifecycle, MachineTypes};
 use rushwalk_state::{AssignedTask, ClusterState, MachineState, Mutation, UnixMillis};
@@ -52,13 +51,6 @@
     machine: usize,
 }
 
-/// A machine's timeline before services were planned on it.
-struct SavedTimeline {
-    /// The machine's index in the round.
-    index: usize,
-    timeline: MachineTimeline,
-}
-
 impl ScaleIn {
     /// Drains machines that nothing needs, and deletes drained ones.
     pub(crate) fn remove_idle(
@@ -169,9 +161,9 @@
 }
 
 fn max_idle_s(state: &ClusterState, machine: &MachineState) -> f64 {
-    let types = state.machine_types.iter().flat_map(|types| &types.types);
-    let mut same = types.filter(|t| *t.name == *machine.record.machine_type);
-    same.next()
+    let types = state.machine_types.as_deref();
+    types
+        .and_then(|types| types.get(&machine.record.machine_type))
         .map_or(DEFAULT_IDLE_S, |t| IDLE_BOOT_SHARE * t.boot_s)
 }
 
@@ -207,34 +199,25 @@
 /// Plans services on other machines that are in use and have their images; false, and
 /// nothing is planned, if not all find such a place.
 fn move_services(round: &mut SchedulingRound, services: &[PendingJob]) -> bool {
-    let mut before: Vec<SavedTimeline> = Vec::new();
+    let mut before: Vec<MachineSnapshot> = Vec::new();
     for job in services {
         let Some(choice) = round.best_machine(job, true) else {
-            restore(round, before);
+            round.restore_snapshots(before);
             return false;
         };
         let is_warm = choice.finish.running_s <= round.planned_time_s + job.overhead_s + 0.1;
         let machine = &round.machines[choice.machine];
         let is_in_use = machine.tasks > 0;
-        before.push(SavedTimeline {
-            index: choice.machine,
-            timeline: machine.clone(),
-        });
+        before.push(round.snapshot(choice.machine));
         round.machines.place(choice.machine, job, &choice.finish);
         if !(is_in_use && is_warm) {
-            restore(round, before);
+            round.restore_snapshots(before);
             return false;
         }
     }
     true
 }
 
-fn restore(round: &mut SchedulingRound, before: Vec<SavedTimeline>) {
-    for saved in before.into_iter().rev() {
-        round.machines.restore(saved.index, saved.timeline);
-    }
-}
-
 /// A machine's services as pending jobs; `None` if the machine should stay as it is:
 /// gangs keep what they have, and what has just started is not disturbed.
 fn services_to_move(
--- a/crates/rushwalk/src/controller/background_loops.rs
+++ b/crates/rushwalk/src/controller/background_loops.rs
@@ -1,7 +1,7 @@
 //! The loops of a controller, each given just the parts that it uses.
 
 use super::Controller;
-use crate::capacity::{Deletion, Inventory, RentalTracker, Rentals};
+use crate::capacity::{CloudLoopParts, Deletion, Inventory, RentalTracker, Rentals};
 use crate::failure_detection::FailureDetection;
 use crate::failure_detection::heartbeats::heartbeat_loop;
 use crate::leadership::snapshot_writer::SnapshotWriter;
@@ -120,30 +120,26 @@
     }
 
     fn rentals(&self) -> Rentals {
-        let controller = &self.controller;
         Rentals {
-            context: controller.context.clone(),
-            replica: controller.replica.clone(),
-            leadership: controller.leadership.clone(),
-            cloud: self.cloud.clone(),
-            tracker: self.tracker.clone(),
+            parts: self.cloud_loop_parts(),
         }
     }
 
     fn deletion(&self) -> Deletion {
-        let controller = &self.controller;
         Deletion {
-            context: controller.context.clone(),
-            replica: controller.replica.clone(),
-            leadership: controller.leadership.clone(),
-            cloud: self.cloud.clone(),
-            tracker: self.tracker.clone(),
+            parts: self.cloud_loop_parts(),
         }
     }
 
     fn inventory(&self) -> Inventory {
-        let controller = &self.controller;
         Inventory {
+            parts: self.cloud_loop_parts(),
+        }
+    }
+
+    fn cloud_loop_parts(&self) -> CloudLoopParts {
+        let controller = &self.controller;
+        CloudLoopParts {
             context: controller.context.clone(),
             replica: controller.replica.clone(),
             leadership: controller.leadership.clone(),
--- a/crates/rushwalk/src/http/user_requests.rs
+++ b/crates/rushwalk/src/http/user_requests.rs
@@ -19,6 +19,7 @@
 use rushwalk_scheduler::quota::check_satisfiable;
 use rushwalk_state::Mutation;
 use rushwalk_state::mutation::SubmitJob;
+use std::fmt::Display;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::timeout;
@@ -30,8 +31,8 @@
 /// longer than the pause between two reads of an idle controller.
 const STORE_UNREACHABLE_ROUNDS: u32 = 4;
 
-/// HTTP 429: too many requests.
-const TOO_MANY_REQUESTS: u16 = 429;
+/// Why users are asked to come back.
+const STORE_UNAVAILABLE: &str = "the state service does not answer";
 
 /// Carries out users' requests.
 #[derive(Clone)]
@@ -60,12 +61,22 @@
     reason: String,
 }
 
-/// Whether a job can ever run.
-enum Satisfiability {
-    /// It can.
-    Satisfiable,
-    /// Not known yet: the machine types were not read.
-    Unknown,
+/// Why a submission is not accepted.
+enum SubmissionError {
+    /// It never will be.
+    Rejected(Rejection),
+    /// Whether the job can ever run is not known yet: the machine types were not read.
+    TypesUnknown,
+}
+
+/// Makes rejections with a status, each with what is wrong as its reason.
+fn rejection<E: Display>(status: StatusCode) -> impl Fn(E) -> SubmissionError {
+    move |error| {
+        SubmissionError::Rejected(Rejection {
+            status,
+            reason: error.to_string(),
+        })
+    }
 }
 
 impl UserRequests {
@@ -122,7 +133,7 @@
         {
             return self.status_response(reply.status);
         }
-        self.rejected_for_now("the state service does not answer")
+        self.rejected_for_now(STORE_UNAVAILABLE)
     }
 
     fn status_response(&self, status: Option<JobStatus>) -> Response {
@@ -171,9 +182,9 @@
     /// A peer's response in place of ours, which would be 503.
     async fn forwarded(&self, request: &ForwardedRequest) -> Response {
         let Some(response) = self.forwarder.forward(request).await else {
-            return self.rejected_for_now("the state service does not answer");
+            return self.rejected_for_now(STORE_UNAVAILABLE);
         };
-        if response.status == TOO_MANY_REQUESTS {
+        if response.status == StatusCode::TOO_MANY_REQUESTS {
             return self.too_many_requests();
         }
         let status = StatusCode::from_u16(response.status).unwrap_or(StatusCode::BAD_GATEWAY);
@@ -196,22 +207,25 @@
         }
         let parsed = JobSpec::parse(body);
         drop(timer);
-        let checked = match parsed {
-            Ok(spec) => match self.check(&spec) {
-                Ok(Satisfiability::Satisfiable) => Ok(spec),
-                Ok(Satisfiability::Unknown) => {
-                    return self.unavailable("the machine types are not known yet");
-                }
-                Err(rejection) => Err(rejection),
-            },
-            Err(malformed) => Err(Rejection {
-                status: StatusCode::BAD_REQUEST,
-                reason: malformed.to_string(),
-            }),
-        };
-        match checked {
+        let checked = parsed.map_err(rejection(StatusCode::BAD_REQUEST));
+        match checked.and_then(|spec| self.check(spec)) {
             Ok(spec) => self.accept(spec).await,
-            Err(rejection) => self.reject(named_job.as_deref(), rejection).await,
+            Err(SubmissionError::TypesUnknown) => {
+                self.unavailable("the machine types are not known yet")
+            }
+            Err(SubmissionError::Rejected(rejection)) => {
+                self.reject(named_job.as_deref(), rejection).await
+            }
+        }
+    }
+
+    /// Reads the store before a request is denied; the response to the user if it does not
+    /// answer.
+    async fn linearizable_read(&self) -> Result<(), Response> {
+        if self.replica.linearizable_read(MAX_READ_WAIT).await {
+            Ok(())
+        } else {
+            Err(self.unavailable(STORE_UNAVAILABLE))
         }
     }
 
@@ -219,34 +233,30 @@
         self.replica.state().knows_job(job)
     }
 
-    /// Checks that a job can ever run, and be stored.
+    /// Returns a job if it can ever run, and be stored.
     ///
     /// # Errors
     ///
     /// A rejection with status 422 if it can't.
-    fn check(&self, spec: &JobSpec) -> Result<Satisfiability, Rejection> {
+    fn check(&self, spec: JobSpec) -> Result<JobSpec, SubmissionError> {
         let Some(types) = self.replica.state().machine_types.clone() else {
-            return Ok(Satisfiability::Unknown);
+            return Err(SubmissionError::TypesUnknown);
         };
         let site = &self.context.settings.site;
-        let unsatisfiable = |reason: String| Rejection {
-            status: StatusCode::UNPROCESSABLE_ENTITY,
-            reason,
-        };
-        check_satisfiable(spec, &site.teams, &types.types, &site.zones)
-            .map_err(|reason| unsatisfiable(reason.to_string()))?;
+        check_satisfiable(&spec, &site.teams, &types.types, &site.zones)
+            .map_err(rejection(StatusCode::UNPROCESSABLE_ENTITY))?;
         self.log
-            .check_size(spec)
-            .map_err(|reason| unsatisfiable(reason.to_string()))?;
-        Ok(Satisfiability::Satisfiable)
+            .check_size(&spec)
+            .map_err(rejection(StatusCode::UNPROCESSABLE_ENTITY))?;
+        Ok(spec)
     }
 
     /// Rejects a submission, unless it was accepted by another controller, with another
     /// body.
     async fn reject(&self, job: Option<&str>, rejection: Rejection) -> Response {
         if let Some(job) = job {
-            if !self.replica.linearizable_read(MAX_READ_WAIT).await {
-                return self.unavailable("the state service does not answer");
+            if let Err(response) = self.linearizable_read().await {
+                return response;
             }
             let status = self.replica.state().job_status(job);
             if let Some(status) = status {
@@ -283,8 +293,8 @@
     /// A cancellation, carried out locally or not at all.
     pub(super) async fn cancel_locally(&self, job: &str) -> Response {
         if !self.knows_job(job) {
-            if !self.replica.linearizable_read(MAX_READ_WAIT).await {
-                return self.unavailable("the state service does not answer");
+            if let Err(response) = self.linearizable_read().await {
+                return response;
             }
             if !self.knows_job(job) {
                 return error(StatusCode::NOT_FOUND, "no such job");
@@ -306,11 +316,13 @@
     async fn write(&self, mutation: Mutation) -> Result<(), Response> {
         match self.writes.write(mutation).await {
             Ok(CommitOutcome::Committed(_)) => Ok(()),
-            Ok(CommitOutcome::Rejected(error)) if error.status() == Some(TOO_MANY_REQUESTS) => {
+            Ok(CommitOutcome::Rejected(error))
+                if error.status() == Some(StatusCode::TOO_MANY_REQUESTS.as_u16()) =>
+            {
                 Err(self.too_many_requests())
             }
             Err(_) => Err(self.too_many_requests()),
-            Ok(_) => Err(self.unavailable("the state service does not answer")),
+            Ok(_) => Err(self.unavailable(STORE_UNAVAILABLE)),
         }
     }
 
--- a/crates/rushwalk/src/peers.rs
+++ b/crates/rushwalk/src/peers.rs
@@ -114,8 +114,7 @@
         let max_age_s = detector.config().round_s * 2.0;
         let heartbeat = detector.last_heartbeat(&lease.owner, self.context.uptime_s());
         let is_unreachable = heartbeat.is_some_and(|last| {
-            let mut unreachable = last.heartbeat.unreachable_shards.iter();
-            last.age_s < max_age_s && unreachable.any(|s| s == shard)
+            last.age_s < max_age_s && last.heartbeat.reports_unreachable(shard)
         });
         (!is_unreachable).then(|| lease.owner.clone())
     }
--- a/crates/rushwalk/src/scheduler_inputs.rs
+++ b/crates/rushwalk/src/scheduler_inputs.rs
@@ -117,8 +117,7 @@
     ) -> Option<MachineTimeline> {
         let record = &machine.record;
         let zone = self.zones.iter().position(|zone| *zone == record.zone)?;
-        let mut types = self.types.types.iter();
-        let group = types.position(|t| *t.name == *record.machine_type)?;
+        let group = self.types.position(&record.machine_type)?;
         let machine_type = &self.types.types[group];
         let name: Arc<str> = id.clone().into();
         let mut timeline =
--- a/crates/rushwalk/src/shards/reachability.rs
+++ b/crates/rushwalk/src/shards/reachability.rs
@@ -47,7 +47,7 @@
         machines: usize,
     ) -> Vec<&str> {
         let owner_heartbeat = self.heartbeats.get(owner);
-        if !owner_heartbeat.is_some_and(|heartbeat| reports_unreachable(heartbeat, shard)) {
+        if !owner_heartbeat.is_some_and(|heartbeat| heartbeat.reports_unreachable(shard)) {
             return Vec::new();
         }
         let others = self.heartbeats.values().filter(|h| h.member != owner);
@@ -67,11 +67,6 @@
     }
 }
 
-fn reports_unreachable(heartbeat: &PeerHeartbeat, shard: &ShardId) -> bool {
-    let mut shards = heartbeat.unreachable_shards.iter();
-    shards.any(|unreachable| **unreachable == **shard)
-}
-
 fn misrouted_of(heartbeat: &PeerHeartbeat, shard: &ShardId) -> Option<u32> {
     let mut counts = heartbeat.misrouted_workers.iter();
     let misrouted = counts.find(|misrouted| *misrouted.shard == **shard)?;
--- a/crates/scheduler/src/round.rs
+++ b/crates/scheduler/src/round.rs
@@ -26,6 +26,7 @@
 use rushwalk_protocol::settings::Team;
 use std::cell::Cell;
 use std::sync::Arc;
+pub use trial::MachineSnapshot;
 use trial::PlanScope;
 
 /// The state of a round: the machines with what is planned on them, and what may be rented.
--- a/crates/scheduler/src/round/trial.rs
+++ b/crates/scheduler/src/round/trial.rs
@@ -14,8 +14,8 @@
     pub(super) free_now: bool,
 }
 
-/// A machine as it was before a task was planned on it.
-struct MachineSnapshot {
+/// A machine as it was before a task was planned on it (see [`SchedulingRound::snapshot`]).
+pub struct MachineSnapshot {
     index: usize,
     machine: MachineTimeline,
 }
@@ -97,8 +97,7 @@
             };
             let index = choice.machine;
             if keep_snapshots {
-                let machine = self.machines[index].clone();
-                plan.snapshots.push(MachineSnapshot { index, machine });
+                plan.snapshots.push(self.snapshot(index));
             }
             let mut finish = choice.finish;
             if side_by_side {
@@ -155,7 +154,17 @@
         plan.choices
     }
 
-    fn restore_snapshots(&mut self, snapshots: Vec<MachineSnapshot>) {
+    /// A machine as it is now, by its index.
+    pub fn snapshot(&self, index: usize) -> MachineSnapshot {
+        MachineSnapshot {
+            index,
+            machine: self.machines[index].clone(),
+        }
+    }
+
+    /// Undoes what was planned since snapshots were taken, which are in the order of the
+    /// changes.
+    pub fn restore_snapshots(&mut self, snapshots: Vec<MachineSnapshot>) {
         for snapshot in snapshots.into_iter().rev() {
             self.machines.restore(snapshot.index, snapshot.machine);
         }
--- a/crates/state/src/records.rs
+++ b/crates/state/src/records.rs
@@ -51,6 +51,18 @@
     pub types: Vec<MachineType>,
 }
 
+impl MachineTypes {
+    /// The index of a type, by its name.
+    pub fn position(&self, name: &str) -> Option<usize> {
+        self.types.iter().position(|t| t.name == name)
+    }
+
+    /// A type, by its name.
+    pub fn get(&self, name: &str) -> Option<&MachineType> {
+        self.types.iter().find(|t| t.name == name)
+    }
+}
+
 /// The manifest of a snapshot, written after all of its chunks: it makes them count.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotManifest {
