--- a/crates/state/src/keys.rs
+++ b/crates/state/src/keys.rs
@@ -1,4 +1,4 @@
-//! The keys of the records.
+//! The keys of rushwalk's records in the key-value store.
 
 use crate::Revision;
 
@@ -14,32 +14,32 @@
 /// The key of the [`SnapshotManifest`](crate::records::SnapshotManifest).
 pub const SNAPSHOT_MANIFEST: &str = "w/base";
 
-/// What a key holds.
+/// The kind of record that a key holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyKind<'a> {
-    /// The leader's record.
+    /// The record of the leader.
     Leader,
     /// The machine types that the cloud offers.
     MachineTypes,
-    /// The manifest of the snapshot that counts.
+    /// The manifest of the current snapshot.
     SnapshotManifest,
-    /// The record of a member, by its name.
+    /// The record of the member with this name.
     Member(&'a str),
-    /// The lease of a shard, by its name.
+    /// The lease of the shard with this name.
     ShardLease(&'a str),
     /// An entry of the log, written by a member.
     LogEntry {
-        /// The member's name.
+        /// The member's name; empty if the key lacks the entry's number.
         member: &'a str,
     },
     /// A chunk of a snapshot.
     SnapshotChunk,
-    /// Nothing that this version knows.
+    /// A record that is unknown to this version.
     Unknown,
 }
 
 impl KeyKind<'_> {
-    /// What a key below [`ROOT`] holds; `None` for any other key.
+    /// The kind of a key that begins with [`ROOT`]; `None` for any other key.
     pub fn of(key: &str) -> Option<KeyKind<'_>> {
         let path = key.strip_prefix(ROOT)?;
         let kind = match path.split_once('/') {
@@ -68,18 +68,18 @@
     format!("w/m/{member}")
 }
 
-/// The key of a log entry; every member has its own series, numbered from 0.
+/// The key of a log entry. Every member has its own series of keys, numbered from 0.
 pub fn log_entry(member: &str, number: u64) -> String {
     format!("w/l/{member}/{number}")
 }
 
-/// The prefix of a member's log entries.
+/// The prefix of the keys of a member's log entries.
 pub fn log_entries(member: &str) -> String {
     format!("w/l/{member}/")
 }
 
-/// The key of a snapshot's chunk. Two generations alternate, so that a snapshot being
-/// written never replaces the one that counts.
+/// The key of a chunk of a snapshot. Two sets of keys alternate between generations, so
+/// that a snapshot that is being written never overwrites chunks of the current one.
 pub fn snapshot_chunk(generation: Revision, index: usize) -> String {
     format!("w/s/{}/{index:05}", generation % 2)
 }
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -1,16 +1,17 @@
-//! The replicated state machine: what rushwalk keeps in its consensus-backed key-value
-//! store, and what a controller knows from it.
+//! The replicated state machine: the data that rushwalk keeps in its consensus-backed
+//! key-value store, and the replica that each controller builds from it.
 //!
-//! A few keys hold records of their own: the leader, the members, shard leases and machine
-//! types ([`records`]). All else is a log of [`Mutation`]s. A log entry is one key that
-//! holds the mutations of one round; the store's revisions put the entries of all
-//! controllers in one order, and every replica ([`ClusterState`]) applies them in that
-//! order by the same rules. So a change costs a few bytes instead of a key, and an entry
-//! that arrives late or twice changes nothing that has moved on. From time to time the
-//! leader writes a snapshot, after which the keys of the entries before it are reused
-//! ([`EntryKeyAllocator`]).
+//! The leader, the members, the shard leases and the machine types are stored as one record
+//! per key ([`records`]). All other state is a log of [`Mutation`]s. A log entry is one key
+//! that holds a batch of mutations. The store's revisions give the entries of all
+//! controllers one total order, and every replica ([`ClusterState`]) applies them in that
+//! order by the same rules. A change therefore costs a few bytes instead of a key of its
+//! own, and a mutation that is committed late or twice has no effect once its preconditions
+//! no longer hold. The leader regularly writes a snapshot; the keys of the log entries that
+//! it covers are then reused ([`EntryKeyAllocator`]).
 //!
-//! No loops, no network and nothing of the service itself: time is an argument.
+//! This crate does no I/O, spawns no tasks and reads no clock: the time is passed as an
+//! argument.
 
 #![deny(missing_docs)]
 
@@ -28,7 +29,7 @@
 pub use mutation::Mutation;
 pub use task_bitmap::TaskBitmap;
 
-/// A revision of the key-value store. It rises with every change of any key.
+/// A revision of the key-value store. Every change of any key increases it.
 pub type Revision = u64;
 
 /// A time of day in milliseconds since the Unix epoch.
--- a/crates/state/src/log_keys.rs
+++ b/crates/state/src/log_keys.rs
@@ -1,4 +1,4 @@
-//! Which keys a controller may write its log entries to.
+//! Allocation of the keys that a controller writes its log entries to.
 
 #[cfg(test)]
 mod tests;
@@ -12,38 +12,43 @@
 pub struct EntryKey {
     /// The number of the key in its member's series.
     pub number: u64,
-    /// The version that the key has; 0 if it was never written. Every write is conditioned
-    /// on it, so that a commit that arrives late can't replace an entry that still counts.
+    /// The current version of the key; 0 if it was never written. Every write is conditioned
+    /// on it, so that a commit that arrives late can't overwrite an entry that no snapshot
+    /// covers yet.
     pub version: Revision,
 }
 
-/// Hands out the keys of one member's log entries. A key whose entry is in the snapshot is
-/// used again.
+/// Allocates the keys of one member's log entries. A key is reused once a snapshot covers
+/// its entry.
 #[derive(Debug, Default)]
 pub struct EntryKeyAllocator {
+    /// Numbers of keys that can be reused, in the order of their reuse.
     free: VecDeque<u64>,
-    next: u64,
-    /// Keys of commits in flight or of unknown outcome, with the version they had.
+    /// The number that is allocated next if no key is free.
+    next_number: u64,
+    /// Keys of commits in flight or of unknown outcome, with the version they had when
+    /// they were allocated.
     in_use: HashMap<u64, Revision>,
-    /// The snapshot for which `free` was made.
-    snapshot: Option<Revision>,
+    /// The revision of the snapshot from which `free` was computed; `None` at first.
+    snapshot_revision: Option<Revision>,
 }
 
 impl EntryKeyAllocator {
-    /// Takes a key of `member`'s series that is free according to `state`.
+    /// Allocates a key of `member`'s series that is free according to `state`.
     pub fn allocate(&mut self, state: &ClusterState, member: &str) -> EntryKey {
-        if self.snapshot != Some(state.snapshot.revision) {
+        if self.snapshot_revision != Some(state.snapshot.revision) {
             self.reclaim(state, member);
         }
         loop {
             let number = self.free.pop_front().unwrap_or_else(|| {
-                self.next += 1;
-                self.next - 1
+                self.next_number += 1;
+                self.next_number - 1
             });
             let key = keys::log_entry(member, number);
             let version = state.log_versions.get(&key).copied().unwrap_or(0);
-            // Written since, by a commit of the previous process that arrived late: its
-            // entry is in no snapshot, and would be lost to a replica that lists anew.
+            // A late commit of the previous process wrote this key after the snapshot.
+            // Reusing the key would overwrite that entry, and a replica that lists the
+            // store afterwards would miss it.
             if version > state.snapshot.revision {
                 continue;
             }
@@ -52,9 +57,10 @@
         }
     }
 
-    /// Finds the keys whose entries a new snapshot covers.
+    /// Frees the keys whose entries a new snapshot covers, except keys of commits that may
+    /// still arrive.
     fn reclaim(&mut self, state: &ClusterState, member: &str) {
-        self.snapshot = Some(state.snapshot.revision);
+        self.snapshot_revision = Some(state.snapshot.revision);
         let prefix = keys::log_entries(member);
         let mut written: Vec<EntryKey> = state
             .log_versions
@@ -67,13 +73,13 @@
             })
             .collect();
         written.sort_unstable_by_key(|key| key.number);
-        self.next = written
+        self.next_number = written
             .last()
             .map_or(0, |key| key.number + 1)
-            .max(self.next);
+            .max(self.next_number);
         for key in &written {
-            let used = self.in_use.get(&key.number);
-            if used.is_some_and(|before| key.version > *before) {
+            let allocated = self.in_use.get(&key.number);
+            if allocated.is_some_and(|allocated_version| key.version > *allocated_version) {
                 self.in_use.remove(&key.number);
             }
         }
@@ -83,7 +89,7 @@
         self.free = covered.map(|key| key.number).collect();
     }
 
-    /// Returns a key to which nothing was written.
+    /// Returns an allocated key that was certainly not written.
     pub fn release(&mut self, number: u64) {
         if self.in_use.remove(&number).is_some() {
             self.free.push_back(number);
--- a/crates/state/src/mutation.rs
+++ b/crates/state/src/mutation.rs
@@ -1,8 +1,9 @@
-//! Mutations: the changes of which the log and the snapshots are made.
+//! Mutations: the changes that log entries and snapshots consist of.
 //!
-//! Each takes effect only if what it rests on still holds; the rules are in
-//! [`ClusterState::apply`](crate::ClusterState::apply). In JSON a mutation is an object
-//! with one short key, whose value lists the fields in their order here.
+//! A mutation takes effect only if its preconditions still hold when it is applied; see
+//! [`ClusterState::apply`](crate::ClusterState::apply). In JSON a mutation is an object with
+//! one short key for its kind. The value of a kind with several fields is an array of them,
+//! in the order in which they are declared here.
 
 use crate::records::{
     AttemptOutcome, FailureHistory, JobPhase, MachineLifecycle, MachineRecord, RentalRequest,
@@ -18,64 +19,65 @@
 /// One change of the cluster's state.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Mutation {
-    /// Accepts a user's job, unless it is known.
+    /// Accepts a user's job, unless a job with the same ID was accepted before.
     #[serde(rename = "j")]
     Submit(SubmitJob),
-    /// Cancels a job, unless it is done.
+    /// Cancels a job, unless it is already finished.
     #[serde(rename = "c")]
     Cancel(JobId),
-    /// Assigns tasks to shards; the tasks of a gang all or none.
+    /// Assigns tasks to shards. The tasks of a gang are assigned all together or not at all.
     #[serde(rename = "a")]
     Assign(AssignTasks),
-    /// Places assigned tasks on machines, by the owner of their shard.
+    /// Places assigned tasks on machines; written by the owner of their shard.
     #[serde(rename = "p")]
     Place(PlaceTasks),
-    /// Tasks were seen running.
+    /// Records that tasks were observed running.
     #[serde(rename = "r")]
     Started(TasksStarted),
-    /// Tasks are surely off their machines.
+    /// Records that attempts have ended and certainly no longer run on their machines.
     #[serde(rename = "e")]
     Ended(TasksEnded),
-    /// Tasks are to be stopped.
+    /// Requests that placed tasks be stopped; tasks that are not placed become unassigned.
     #[serde(rename = "x")]
     Stop(StopTasks),
-    /// Tasks that their shard's owner has not placed become unassigned.
+    /// Makes tasks unassigned that the owner of their shard has not placed.
     #[serde(rename = "b")]
     Unassign(UnassignTasks),
-    /// A rental is intended.
+    /// Records the intent to rent machines, before the request is sent to the cloud.
     #[serde(rename = "R")]
     RequestRental(RequestRental),
-    /// The cloud has no machine for a rental.
+    /// Closes a rental for which the cloud has no machine.
     #[serde(rename = "N")]
     RentalRefused(RentalId),
-    /// The cloud has rented machines.
+    /// Closes a rental and adds the machines that the cloud has provided for it.
     #[serde(rename = "M")]
     RentalFulfilled(RentalFulfilled),
-    /// A machine becomes known that no rental announced; in a snapshot, any machine.
+    /// In the log, adds a machine that belongs to no known rental; in a snapshot, any machine.
     #[serde(rename = "F")]
     MachineAdopted(MachineAdopted),
-    /// Machines move forward in their lifecycle.
+    /// Moves machines forward in their lifecycle.
     #[serde(rename = "S")]
     SetLifecycle(SetLifecycle),
-    /// The cloud has confirmed the deletion of machines, and of all on them.
+    /// Removes machines whose deletion the cloud has confirmed, with all tasks placed on them.
     #[serde(rename = "G")]
     MachinesDeleted(Vec<MachineId>),
-    /// Machines sent their first heartbeat, or one from another address.
+    /// Records that machines sent their first heartbeat, or one from a new address.
     #[serde(rename = "U")]
     MachinesReady(MachinesReady),
-    /// The cloud will reclaim a spot instance.
+    /// Records the cloud's notice that it will reclaim a spot instance, and drains it.
     #[serde(rename = "T")]
     ReclaimNotice(ReclaimNotice),
-    /// The owner of their shard receives no heartbeats of machines.
+    /// Records that the owner of the machines' shard no longer receives their heartbeats.
     #[serde(rename = "Q")]
     MachinesUnreachable(MachinesUnreachable),
-    /// The owner of their shard receives heartbeats of machines again.
+    /// Records that the owner of the machines' shard receives their heartbeats again.
     #[serde(rename = "H")]
     MachinesReachable(Vec<MachineId>),
-    /// In snapshots: jobs that are finished and have no task left.
+    /// In snapshots: finished jobs of which no task may still run.
     #[serde(rename = "O")]
     RestoreFinished(RestoreFinished),
-    /// In snapshots: a job that is finished while tasks of it are still terminating.
+    /// In snapshots: a finished job of which some tasks still terminate; the mutation
+    /// follows the job's [`Mutation::Submit`].
     #[serde(rename = "L")]
     RestoreTerminating(RestoreTerminating),
     /// In snapshots: completed tasks of a job.
@@ -84,16 +86,16 @@
     /// In snapshots: assigned tasks of a job.
     #[serde(rename = "V")]
     RestoreTasks(RestoreTasks),
-    /// In snapshots: the failures of a job.
+    /// In snapshots: the failed attempts of a job.
     #[serde(rename = "W")]
     RestoreFailures(RestoreFailures),
 }
 
-/// The most items of a list in one mutation, so that every mutation fits a value of the
-/// store. A longer list becomes several mutations (see [`in_batches`]).
+/// The maximum length of a list in one mutation, so that every mutation fits in one value
+/// of the store. A longer list is split into several mutations (see [`in_batches`]).
 pub const MAX_BATCH: usize = 100;
 
-/// Makes mutations of a list, each of at most [`MAX_BATCH`] items.
+/// Splits a list into mutations of at most [`MAX_BATCH`] items each.
 pub fn in_batches<T: Clone>(
     items: &[T],
     mutation: impl Fn(Vec<T>) -> Mutation,
@@ -106,9 +108,9 @@
 /// See [`Mutation::Submit`].
 #[derive(Debug, Clone, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct SubmitJob {
-    /// The job as its user describes it.
+    /// The job as submitted by its user.
     pub spec: Arc<JobSpec>,
-    /// When it was accepted.
+    /// When the job was accepted.
     pub accepted_ms: UnixMillis,
 }
 
@@ -117,9 +119,9 @@
 pub struct AssignTasks {
     /// The job.
     pub job: JobId,
-    /// When they are assigned.
+    /// When the leader assigned the tasks.
     pub assigned_ms: UnixMillis,
-    /// The shards, with the tasks that each gets.
+    /// The tasks assigned to each shard.
     pub shards: Vec<ShardTasks>,
 }
 
@@ -128,7 +130,8 @@
 pub struct ShardTasks {
     /// The shard.
     pub shard: ShardId,
-    /// The tasks, each with the machine for which the leader planned it (empty for none).
+    /// The tasks, each with the machine for which the leader planned it; the machine's name
+    /// is empty if the leader planned none.
     pub tasks: Vec<TaskOnMachine>,
 }
 
@@ -146,9 +149,9 @@
 pub struct PlaceTasks {
     /// The job.
     pub job: JobId,
-    /// The attempt.
+    /// The attempt; tasks whose current attempt is another one are skipped.
     pub attempt: Revision,
-    /// When they are placed.
+    /// When the shard's owner placed the tasks.
     pub placed_ms: UnixMillis,
     /// The tasks with their machines.
     pub tasks: Vec<TaskOnMachine>,
@@ -159,11 +162,11 @@
 pub struct TasksStarted {
     /// The job.
     pub job: JobId,
-    /// The attempt.
+    /// The attempt; tasks whose current attempt is another one are skipped.
     pub attempt: Revision,
-    /// When they were seen running.
+    /// When the tasks were first observed running.
     pub started_ms: UnixMillis,
-    /// The tasks.
+    /// The indexes of the tasks in the job.
     pub tasks: Vec<u32>,
 }
 
@@ -172,13 +175,13 @@
 pub struct TasksEnded {
     /// The job.
     pub job: JobId,
-    /// The attempt.
+    /// The attempt; tasks whose current attempt is another one are skipped.
     pub attempt: Revision,
-    /// When their end was noticed.
+    /// When the end of the tasks was detected.
     pub ended_ms: UnixMillis,
-    /// How they ended.
+    /// The outcome, the same for all tasks of the list.
     pub outcome: AttemptOutcome,
-    /// The tasks.
+    /// The indexes of the tasks in the job.
     pub tasks: Vec<u32>,
 }
 
@@ -187,11 +190,11 @@
 pub struct StopTasks {
     /// The job.
     pub job: JobId,
-    /// The attempt.
+    /// The attempt; tasks whose current attempt is another one are skipped.
     pub attempt: Revision,
-    /// Why.
+    /// Why the tasks are stopped.
     pub reason: StopReason,
-    /// The tasks.
+    /// The indexes of the tasks in the job.
     pub tasks: Vec<u32>,
 }
 
@@ -200,9 +203,9 @@
 pub struct UnassignTasks {
     /// The job.
     pub job: JobId,
-    /// The attempt.
+    /// The attempt; tasks whose current attempt is another one are skipped.
     pub attempt: Revision,
-    /// The tasks.
+    /// The indexes of the tasks in the job.
     pub tasks: Vec<u32>,
 }
 
@@ -211,16 +214,16 @@
 pub struct RequestRental {
     /// The idempotency key of the request to the cloud.
     pub rental: RentalId,
-    /// What is requested.
+    /// The request that is sent to the cloud.
     pub request: RentalRequest,
 }
 
 /// See [`Mutation::RentalFulfilled`].
 #[derive(Debug, Clone, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct RentalFulfilled {
-    /// The rental.
+    /// The rental; it must be open.
     pub rental: RentalId,
-    /// The machines, each with the shard that it joins.
+    /// The rented machines, each with the shard that it joins.
     pub machines: Vec<RentedMachine>,
 }
 
@@ -238,14 +241,14 @@
 pub struct MachineAdopted {
     /// The machine.
     pub machine: MachineId,
-    /// Its record.
+    /// The record that the machine starts with.
     pub record: MachineRecord,
 }
 
 /// See [`Mutation::SetLifecycle`].
 #[derive(Debug, Clone, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct SetLifecycle {
-    /// Where they move to; machines that are further stay there.
+    /// The new lifecycle stage; machines at a later stage keep theirs.
     pub lifecycle: MachineLifecycle,
     /// The machines.
     pub machines: Vec<MachineId>,
@@ -254,13 +257,13 @@
 /// See [`Mutation::MachinesReady`].
 #[derive(Debug, Clone, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct MachinesReady {
-    /// When their heartbeats came.
+    /// When the heartbeats were received.
     pub ready_ms: UnixMillis,
-    /// The machines with their addresses.
+    /// The machines with their current addresses.
     pub machines: Vec<MachineAddress>,
 }
 
-/// A machine with the address at which its worker takes commands.
+/// A machine with the address at which its worker accepts commands.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
 pub struct MachineAddress {
     /// The machine.
@@ -274,14 +277,14 @@
 pub struct ReclaimNotice {
     /// The machine.
     pub machine: MachineId,
-    /// When the cloud reclaims it.
+    /// When the cloud reclaims the machine.
     pub reclaim_ms: UnixMillis,
 }
 
 /// See [`Mutation::MachinesUnreachable`].
 #[derive(Debug, Clone, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct MachinesUnreachable {
-    /// When that was noticed.
+    /// When the loss of the heartbeats was detected.
     pub since_ms: UnixMillis,
     /// The machines.
     pub machines: Vec<MachineId>,
@@ -290,7 +293,7 @@
 /// See [`Mutation::RestoreFinished`].
 #[derive(Debug, Clone, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct RestoreFinished {
-    /// How they finished.
+    /// Whether the jobs are done or cancelled.
     pub phase: JobPhase,
     /// The jobs.
     pub jobs: Vec<FinishedJob>,
@@ -301,7 +304,7 @@
 pub struct FinishedJob {
     /// The job.
     pub job: JobId,
-    /// How many tasks it has.
+    /// The job's number of tasks.
     pub tasks: u32,
 }
 
@@ -310,7 +313,7 @@
 pub struct RestoreTerminating {
     /// The job.
     pub job: JobId,
-    /// How it finished.
+    /// Whether the job is done or cancelled.
     pub phase: JobPhase,
 }
 
@@ -321,7 +324,8 @@
     pub job: JobId,
     /// Index of the first task that the digits describe.
     pub first_task: u32,
-    /// Hexadecimal digits, of four tasks each; see [`TaskBitmap`](crate::TaskBitmap).
+    /// Hexadecimal digits that stand for four tasks each, as written by
+    /// [`TaskBitmap::to_hex_parts`](crate::TaskBitmap::to_hex_parts).
     pub bitmap_hex: String,
 }
 
@@ -330,7 +334,7 @@
 pub struct RestoreTasks {
     /// The job.
     pub job: JobId,
-    /// Its tasks.
+    /// The assigned tasks with their records.
     pub tasks: Vec<RestoredTask>,
 }
 
@@ -339,7 +343,7 @@
 pub struct RestoredTask {
     /// The task's index in its job.
     pub task: u32,
-    /// Its record.
+    /// The task's record.
     pub record: TaskRecord,
 }
 
@@ -348,6 +352,6 @@
 pub struct RestoreFailures {
     /// The job.
     pub job: JobId,
-    /// Its failures.
+    /// The failed attempts of the job's tasks.
     pub failures: FailureHistory,
 }
--- a/crates/state/src/records.rs
+++ b/crates/state/src/records.rs
@@ -1,5 +1,5 @@
-//! The records as they are stored. Stored field names are short and stay as they are for
-//! good: data of earlier versions must stay readable (`tests/stored_data.rs`).
+//! The records as they are stored. The stored field names are short and must never change:
+//! data of earlier versions must stay readable (`tests/stored_data.rs`).
 
 use crate::mutation::Mutation;
 use crate::{Revision, UnixMillis};
@@ -9,37 +9,42 @@
 use serde_tuple::{Deserialize_tuple, Serialize_tuple};
 use std::sync::Arc;
 
-/// The leader's key, attached to its member lease.
+/// The record of the leader. Its key is attached to the leader's member lease and disappears
+/// when that lease expires.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderRecord {
-    /// The leading member.
+    /// The name of the member that leads.
     pub member: String,
-    /// Rewritten to fence the leader's own commits whose outcome is unknown.
+    /// Random number of the election. A leader with commits of unknown outcome writes the
+    /// record again with a new number: commits conditioned on the old version then fail.
     #[serde(rename = "nonce")]
     pub election_id: u64,
 }
 
-/// A running controller, attached to its member lease.
+/// The record of a running controller. Its key is attached to the controller's member lease
+/// and disappears when that lease expires.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// The zone in which it runs.
+    /// The zone in which the controller runs.
     pub zone: String,
-    /// Drawn once per process, so that a restart is noticed even within the lease.
+    /// Random number of the process, so that a restart is detected even if the lease of the
+    /// previous process has not expired.
     #[serde(rename = "nonce")]
     pub incarnation: u64,
-    /// When it registered.
+    /// When the process registered.
     #[serde(rename = "since_ms")]
     pub registered_ms: UnixMillis,
 }
 
-/// A shard assigned to a controller. The version of this key is the fencing token of every
-/// command that the owner sends.
+/// The assignment of a shard to a controller. The version of its key is the fencing token
+/// of every command that the owner sends to the shard's workers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardLease {
     /// The member that owns the shard.
     #[serde(rename = "holder")]
     pub owner: String,
-    /// The process of that member; a restarted one inherits nothing by its name.
+    /// The incarnation of the owning process: a restarted process of the same name does not
+    /// inherit the lease.
     #[serde(rename = "nonce")]
     pub incarnation: u64,
 }
@@ -47,29 +52,30 @@
 /// The machine types that the cloud offers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineTypes {
-    /// In the cloud's order.
+    /// The types, in the cloud's order.
     pub types: Vec<MachineType>,
 }
 
 impl MachineTypes {
-    /// The index of a type, by its name.
+    /// The index of the type called `name`; `None` if the cloud does not offer it.
     pub fn position(&self, name: &str) -> Option<usize> {
         self.types.iter().position(|t| t.name == name)
     }
 
-    /// A type, by its name.
+    /// The type called `name`; `None` if the cloud does not offer it.
     pub fn get(&self, name: &str) -> Option<&MachineType> {
         self.types.iter().find(|t| t.name == name)
     }
 }
 
-/// The manifest of a snapshot, written after all of its chunks: it makes them count.
+/// The manifest of a snapshot. It is written after all chunks; only this makes the snapshot
+/// the current one.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotManifest {
-    /// The snapshot holds everything up to this revision.
+    /// The snapshot covers all changes up to this revision.
     #[serde(rename = "at")]
     pub revision: Revision,
-    /// Rises with every snapshot; its parity selects the keys of the chunks.
+    /// Increases by 1 with every snapshot; its parity selects the keys of the chunks.
     pub generation: u64,
     /// The number of chunks.
     pub chunks: usize,
@@ -78,8 +84,8 @@
 /// An entry of the log, or a chunk of a snapshot.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct LogEntry {
-    /// Of a log entry, the version that its key had before: a replica that knows another
-    /// one has missed an entry. Of a chunk, the revision of its snapshot.
+    /// In a log entry, the version that its key had before the write: a replica that knows
+    /// a different version has missed an entry. In a chunk, the revision of its snapshot.
     #[serde(rename = "p")]
     pub previous_version: Revision,
     /// The mutations, in the order in which they are applied.
@@ -93,10 +99,10 @@
     /// Neither done nor cancelled.
     #[serde(rename = "a")]
     Active,
-    /// All of its tasks have completed.
+    /// All tasks of the job have completed. A gang is done when its first task completes.
     #[serde(rename = "d")]
     Done,
-    /// Its user has cancelled it.
+    /// Cancelled by the user.
     #[serde(rename = "c")]
     Cancelled,
 }
@@ -104,16 +110,17 @@
 /// Why a task is to be stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum StopReason {
-    /// Another task of its gang is gone.
+    /// Another task of its gang has ended or is being stopped.
     #[serde(rename = "g")]
     GangBroken,
-    /// A more urgent job needs its place.
+    /// Its resources go to a job that may preempt it. This version never writes the reason,
+    /// but stored data may contain it.
     #[serde(rename = "p")]
     Preempted,
-    /// Its machine is drained.
+    /// Its machine is being drained.
     #[serde(rename = "d")]
     Evicted,
-    /// It runs much longer than predicted and would finish sooner elsewhere.
+    /// It runs much longer than predicted and would finish sooner on another machine.
     #[serde(rename = "o")]
     Straggler,
 }
@@ -121,13 +128,14 @@
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum AttemptOutcome {
-    /// It ran to its end.
+    /// The task completed.
     #[serde(rename = "d")]
     Completed,
-    /// It was stopped, was lost, or never started.
+    /// The attempt was stopped, never started, or was lost: its task lease expired or its
+    /// worker no longer has it. It does not count as a failure of the task.
     #[serde(rename = "g")]
     Lost,
-    /// It failed.
+    /// The task exited with an error or an unknown cause, or its machine had no room for it.
     #[serde(rename = "f")]
     Failed,
 }
@@ -135,18 +143,18 @@
 /// The lifecycle of a machine, which only moves forward.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MachineLifecycle {
-    /// It takes tasks, once it is ready.
+    /// Accepts tasks, once the machine is ready.
     #[serde(rename = "u")]
     Active,
-    /// It takes no new tasks.
+    /// Accepts no new tasks.
     #[serde(rename = "d")]
     Draining,
-    /// It is to be deleted; that is final.
+    /// Is to be deleted; this stage is final.
     #[serde(rename = "x")]
     Deleting,
 }
 
-/// A rental that was or will be requested from the cloud.
+/// A request to rent machines, which was or will be sent to the cloud.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RentalRequest {
     /// The name of the machine type.
@@ -161,7 +169,7 @@
     /// The number of machines.
     #[serde(rename = "n")]
     pub count: u32,
-    /// When the request was decided.
+    /// When the leader began the scheduling round that decided the request.
     #[serde(rename = "at")]
     pub requested_ms: UnixMillis,
 }
@@ -175,46 +183,48 @@
     pub size_gb: f64,
 }
 
-/// A machine.
+/// The replicated record of a machine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineRecord {
-    /// The name of its type.
+    /// The name of the machine's type.
     #[serde(rename = "k")]
     pub machine_type: Arc<str>,
-    /// Its zone.
+    /// The zone of the machine.
     #[serde(rename = "z")]
     pub zone: Arc<str>,
-    /// Whether it is a spot instance.
+    /// Whether the machine is a spot instance.
     #[serde(rename = "s")]
     pub spot: bool,
-    /// The shard to which it belongs, for good.
+    /// The shard of the machine; it never changes.
     #[serde(rename = "b")]
     pub shard: ShardId,
-    /// Whether it takes tasks.
+    /// Whether the machine accepts tasks, is drained or is to be deleted.
     #[serde(rename = "g")]
     pub lifecycle: MachineLifecycle,
-    /// When it was rented.
+    /// When the machine's rental was requested; of an adopted machine, when the cloud
+    /// created it.
     #[serde(rename = "r")]
     pub rented_ms: UnixMillis,
-    /// When its first heartbeat came; `None` while it boots.
+    /// When the first heartbeat was received; `None` while the machine boots.
     #[serde(rename = "u", default, skip_serializing_if = "Option::is_none")]
     pub ready_ms: Option<UnixMillis>,
-    /// The address at which its worker takes commands; empty while it is unknown.
+    /// The address at which its worker accepts commands, as `IP:port`; empty until known.
     #[serde(rename = "a", default, skip_serializing_if = "str::is_empty")]
     pub address: Arc<str>,
-    /// Images that ran on it, the latest last.
+    /// The images that the machine's cache should hold, the most recently used one last.
     #[serde(rename = "i", default, skip_serializing_if = "Vec::is_empty")]
     pub images: Vec<CachedImage>,
-    /// When the cloud reclaims it, by its notice.
+    /// When the cloud reclaims the machine; `None` unless it sent a reclaim notice.
     #[serde(rename = "t", default, skip_serializing_if = "Option::is_none")]
     pub reclaim_ms: Option<UnixMillis>,
-    /// Since when its shard's owner has received no heartbeat of it.
+    /// When the owner of the shard detected that the machine's heartbeats do not arrive;
+    /// `None` while they do.
     #[serde(rename = "q", default, skip_serializing_if = "Option::is_none")]
     pub unreachable_since_ms: Option<UnixMillis>,
 }
 
 impl MachineRecord {
-    /// A machine that has just been rented.
+    /// The record of a newly rented machine: active and booting.
     pub fn rented(
         machine_type: Arc<str>,
         zone: Arc<str>,
@@ -238,59 +248,63 @@
     }
 }
 
-/// A task that may be on a machine. It exists from its assignment to a shard until it is
-/// surely gone, and counts against its team's quota all that time.
+/// The replicated record of an assigned task. It exists from the assignment to a shard
+/// until it is certain that the task does not run, and counts against the team's quota all
+/// that time.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TaskRecord {
-    /// The shard to which it is assigned.
+    /// The shard to which the task is assigned.
     #[serde(rename = "b")]
     pub shard: ShardId,
-    /// The revision of its assignment, so that no attempt's number repeats.
+    /// The revision of the log entry that assigned the task. It identifies the attempt, since
+    /// every assignment of the task has another revision.
     #[serde(rename = "a")]
     pub attempt: Revision,
-    /// The machine on which the shard's owner has placed it.
+    /// The machine on which the shard's owner has placed the task; `None` before that.
     #[serde(rename = "m", default, skip_serializing_if = "Option::is_none")]
     pub machine: Option<MachineId>,
-    /// When it was assigned; once it is placed, when that was.
+    /// When the task was placed; before its placement, when it was assigned.
     #[serde(rename = "t")]
     pub scheduled_ms: UnixMillis,
-    /// When it was first seen running.
+    /// When the task was first observed running; `None` before that.
     #[serde(rename = "r", default, skip_serializing_if = "Option::is_none")]
     pub started_ms: Option<UnixMillis>,
-    /// Why it is to be stopped, if it is.
+    /// Why the task is to be stopped; `None` unless a stop was requested.
     #[serde(rename = "x", default, skip_serializing_if = "Option::is_none")]
     pub stop_reason: Option<StopReason>,
-    /// The machine for which the leader planned it; the owner may choose another.
+    /// The machine for which the leader planned the task; the shard's owner may place it on
+    /// another one. An empty name if the leader planned none, `None` if the record was read
+    /// from a snapshot.
     #[serde(skip)]
     pub placement_hint: Option<MachineId>,
 }
 
-/// The failures of a job's tasks so far.
+/// The failed attempts of a job's tasks.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FailureHistory {
-    /// How many attempts have failed.
+    /// The number of failed attempts.
     #[serde(rename = "n")]
     pub count: u32,
-    /// When the latest failed.
+    /// When the end of the latest failed attempt was detected; 0 before the first.
     #[serde(rename = "l")]
     pub last_ms: UnixMillis,
-    /// Where they failed, each machine once, the latest last.
+    /// The machines of the latest failures, each once, the most recent last; at most 8.
     #[serde(rename = "m")]
     pub machines: Vec<MachineId>,
 }
 
-/// Only so many machines are kept in a [`FailureHistory`].
+/// The maximum number of machines in a [`FailureHistory`].
 const MAX_FAILED_MACHINES: usize = 8;
 
 impl FailureHistory {
-    /// Counts a failed attempt.
+    /// Records a failed attempt and its machine, if the attempt was placed.
     pub fn record(&mut self, failed_ms: UnixMillis, machine: Option<&MachineId>) {
         self.count += 1;
         self.last_ms = failed_ms;
         let Some(machine) = machine else {
             return;
         };
-        self.machines.retain(|known| known != machine);
+        self.machines.retain(|earlier| earlier != machine);
         self.machines.push(machine.clone());
         let excess = self.machines.len().saturating_sub(MAX_FAILED_MACHINES);
         self.machines.drain(..excess);
