--- a/crates/state/src/cluster_state.rs
+++ b/crates/state/src/cluster_state.rs
@@ -1,10 +1,12 @@
-//! A controller's replica of what the key-value store holds.
+//! A controller's replica of the cluster's state in the key-value store.
 //!
-//! Mutations come in the order of their revisions and are applied by rules that depend on
-//! nothing else, so all replicas that have reached a revision agree. A mutation whose
-//! preconditions no longer hold (another attempt, a finished job, a machine further in its
-//! lifecycle) does nothing: that makes late and repeated entries harmless. Whoever commits
-//! a mutation must look here for what became of it.
+//! Mutations are applied in the order of their revisions, by rules that depend only on the
+//! mutations before them, so all replicas at the same revision agree on the replicated
+//! state. (Learnt durations, recent arrivals and job counts are local to each process.) A
+//! mutation whose preconditions no longer hold (a newer attempt, a finished job, a machine
+//! at a later stage of its lifecycle) has no effect, so late and repeated entries are
+//! harmless. A successful commit therefore does not mean that the mutation took effect: the
+//! committer must check the result in this state.
 
 mod apply;
 mod jobs;
@@ -39,96 +41,102 @@
 pub struct Versioned<T> {
     /// The revision at which the key was last written.
     pub version: Revision,
-    /// What it holds.
+    /// The record.
     pub value: T,
 }
 
-/// A job that is active, or of which tasks are still terminating.
+/// A job that is active, or that is finished while some of its tasks still terminate.
 #[derive(Debug)]
 pub struct JobState {
-    /// The job as its user describes it.
+    /// The job as submitted by its user.
     pub spec: Arc<JobSpec>,
-    /// Whether it is active.
+    /// Active, done or cancelled.
     pub phase: JobPhase,
-    /// When it was accepted.
+    /// When the job was accepted.
     pub accepted_ms: UnixMillis,
-    /// Its assigned tasks, by index, until they are surely gone.
+    /// The job's assigned tasks, by index. A task stays here until it is certain that it
+    /// no longer runs.
     pub tasks: BTreeMap<u32, TaskState>,
-    /// Its completed tasks.
+    /// The job's completed tasks.
     pub completed: TaskBitmap,
-    /// Its failed attempts.
+    /// The failed attempts of the job's tasks.
     pub failures: FailureHistory,
-    /// Whether a task of it was seen running.
+    /// Whether any task of the job has been observed running.
     pub started: bool,
-    /// All tasks below this index are assigned or completed.
+    /// All tasks below this index are assigned or completed: the search for unassigned
+    /// tasks begins here.
     first_unassigned: u32,
 }
 
 /// An assigned task.
 #[derive(Debug)]
 pub struct TaskState {
-    /// Its record.
+    /// The replicated record of the task.
     pub record: TaskRecord,
-    /// Whether its image had to be fetched, if that fetch shared its machine with no other
-    /// and so measures the fetch rate.
+    /// Whether the task had to wait for its image to be fetched. `None` if the time to its
+    /// start is not usable as a measurement: another task on the machine may have been
+    /// fetching at the same time, or the placement was read from a snapshot.
     cold_start: Option<bool>,
 }
 
-/// A machine.
+/// A machine, from its rental or adoption until its deletion is confirmed.
 #[derive(Debug)]
 pub struct MachineState {
-    /// Its record.
+    /// The replicated record of the machine.
     pub record: MachineRecord,
-    /// The tasks placed on it.
+    /// The tasks placed on the machine that may still run there.
     pub tasks: BTreeSet<TaskId>,
-    /// The run time of its latest completed task less the predicted one, in seconds.
+    /// Actual minus predicted run time of the machine's latest completed task, in seconds;
+    /// 0 before the first.
     pub prediction_error_s: f64,
-    /// Run times over predicted ones, of its latest completed tasks.
+    /// Ratios of actual to predicted run time of the machine's latest completed tasks.
     run_time_ratios: RollingMean,
-    /// Jobs of which an attempt failed on it since a task completed there.
+    /// Jobs with an attempt that failed on the machine since a task last completed there.
     pub failed_jobs: BTreeSet<JobId>,
-    /// The images of its record, by their numbers.
+    /// The IDs of the images in the machine's cache, in the order of the record's list.
     pub image_ids: Vec<ImageId>,
 }
 
-/// Machines of a shard.
+/// Numbers of machines of a shard.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ShardCounts {
-    /// Machines that have booted.
+    /// Machines that have sent their first heartbeat.
     pub ready: usize,
-    /// Of these, the machines whose heartbeats do not reach the shard's owner.
+    /// Ready machines whose heartbeats do not reach the shard's owner.
     pub unreachable: usize,
 }
 
 impl ShardCounts {
-    /// Whether most machines are unreachable: rather a network partition between them and
-    /// the owner than machines that failed one by one.
+    /// Whether more than two ready machines, and more than half of them, are unreachable.
+    /// This indicates a network partition between the owner and the machines rather than
+    /// independent machine failures.
     pub fn mostly_unreachable(&self) -> bool {
         self.unreachable > 2 && self.unreachable * 2 > self.ready
     }
 }
 
-/// The place of an active job in the queue: by priority, then by arrival.
+/// The position of an active job in the queue: ordered by priority, then by time of
+/// acceptance.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueueKey {
-    /// The job's priority, the most urgent first.
+    /// The job's priority; the highest orders first.
     pub priority: Priority,
-    /// When it was accepted.
+    /// When the job was accepted.
     pub accepted_ms: UnixMillis,
-    /// The job.
+    /// The job's ID, which orders jobs that were accepted in the same millisecond.
     pub job: JobId,
 }
 
-/// The arrival of a job.
+/// The arrival of a job, kept to estimate the arrival rate of its class.
 #[derive(Debug, Clone)]
 pub struct Arrival {
-    /// When it was accepted.
+    /// When the job was accepted.
     pub accepted_ms: UnixMillis,
-    /// The job.
+    /// The job as submitted by its user.
     pub spec: Arc<JobSpec>,
 }
 
-/// A finished job that has no task left.
+/// A finished job of which no task may still run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct FinishedJobState {
     phase: JobPhase,
@@ -138,62 +146,68 @@
 /// A replica of the cluster's state.
 #[derive(Debug)]
 pub struct ClusterState {
-    /// Everything up to this revision is applied.
+    /// All changes up to this revision are applied.
     pub revision: Revision,
-    /// The snapshot that counts.
+    /// The manifest of the current snapshot; all zero before the first one.
     pub snapshot: SnapshotManifest,
-    /// A change was missed: everything must be listed again.
+    /// Whether a log entry was missed: the state is incomplete and must be replaced by a
+    /// new listing of the store.
     pub has_gap: bool,
-    /// The key of a record that this version can't read. Nothing is decided on a state that
-    /// lacks a part: neither guessing nor deleting would be safe.
+    /// The first key whose record this version can't read. No decisions are made from an
+    /// incomplete state, since neither guessing nor deleting the record would be safe.
     pub unreadable: Option<String>,
-    /// Log entries since the snapshot.
+    /// The number of log entries after the current snapshot.
     pub entries_since_snapshot: usize,
-    /// Run times, fetch rates and start overhead, learnt from the log by this process.
+    /// Estimates of run times, fetch rates and start overhead, which this process learns
+    /// from the log entries that it applies.
     pub durations: DurationEstimator,
-    /// The leader, with the version that fences its commits.
+    /// The leader; the version of its key fences the leader's commits. `None` while no
+    /// leader is elected.
     pub leader: Option<Versioned<LeaderRecord>>,
     /// The registered controllers, by name.
     pub members: BTreeMap<String, MemberRecord>,
     /// The shard leases; a lease's version is its fencing token.
     pub shard_leases: BTreeMap<ShardId, Versioned<ShardLease>>,
-    /// The newest revision at which each member was seen to write a log entry or its record.
+    /// By member name, the revision of the last write of the member: a log entry received
+    /// by a watch, or its member record.
     pub last_writes: BTreeMap<String, Revision>,
-    /// Versions of the keys that are not in the log.
+    /// Versions of all keys outside the log, except snapshot chunks.
     key_versions: HashMap<String, Revision>,
-    /// Versions of the log's keys.
+    /// Versions of the keys of log entries.
     pub(crate) log_versions: HashMap<String, Revision>,
-    /// The machine types that the cloud offers, once they are known.
+    /// The machine types that the cloud offers; `None` until they are stored.
     pub machine_types: Option<Arc<MachineTypes>>,
-    /// All machines.
+    /// All machines whose deletion is not yet confirmed.
     pub machines: BTreeMap<MachineId, MachineState>,
-    /// The machines of each shard.
+    /// The machines of each shard. A shard whose machines are all deleted stays, empty.
     pub shards: BTreeMap<ShardId, BTreeSet<MachineId>>,
     shard_counts: HashMap<ShardId, ShardCounts>,
-    /// Rentals whose outcome is open.
+    /// Rentals that the cloud has neither fulfilled nor refused.
     pub rentals: BTreeMap<RentalId, RentalRequest>,
-    /// Jobs that are active or have tasks.
+    /// Jobs that are active or have assigned tasks.
     pub jobs: SeededMap<JobId, JobState>,
-    /// Finished jobs that have no task left.
+    /// Finished jobs without assigned tasks.
     finished: SeededMap<JobId, FinishedJobState>,
-    /// Active jobs in their order.
+    /// Active jobs in scheduling order.
     pub queue: BTreeSet<QueueKey>,
     /// Jobs that have assigned tasks.
     pub jobs_with_tasks: BTreeSet<JobId>,
-    /// Assigned tasks that their shard's owner has not placed.
+    /// Tasks that are assigned to a shard but not yet placed by its owner.
     pub unplaced: BTreeSet<TaskId>,
-    /// Machines whose tasks have changed since this was last emptied.
+    /// Machines whose tasks have changed and that the reader of this set has not yet taken
+    /// out of it.
     pub changed_machines: BTreeSet<MachineId>,
-    /// The latest arrivals of each class, in their order.
+    /// The latest arrivals of each class, ordered by time of acceptance.
     pub arrivals: SeededMap<String, VecDeque<Arrival>>,
-    /// Numbers of images, which are this process's own.
+    /// IDs of images by name. Each process numbers them on its own.
     image_ids: HashMap<Arc<str>, ImageId>,
-    /// Which jobs were served, since this process first listed everything.
+    /// Counts of accepted, started and finished jobs since this process first listed the
+    /// store.
     pub service_counts: ServiceCounts,
 }
 
 impl ClusterState {
-    /// An empty state.
+    /// An empty state at revision 0.
     pub fn new(durations: DurationEstimator) -> ClusterState {
         ClusterState {
             revision: 0,
--- a/crates/state/src/cluster_state/apply.rs
+++ b/crates/state/src/cluster_state/apply.rs
@@ -1,12 +1,16 @@
-//! The one place where mutations take effect.
+//! Dispatch of mutations to the methods that apply them. The replicated state changes
+//! nowhere else, except for the records that are stored under keys of their own.
 
 use super::ClusterState;
 use crate::mutation::Mutation;
 use crate::{Revision, UnixMillis};
 
 impl ClusterState {
-    /// Applies a mutation of the entry that was committed at `revision`. Anything whose
-    /// preconditions no longer hold is left out.
+    /// Applies a mutation of the log entry that was committed at `revision`. A mutation
+    /// whose preconditions no longer hold has no effect; of a list of tasks or machines,
+    /// those whose preconditions no longer hold are skipped.
+    ///
+    /// `now_ms` affects only statistics that are local to this process.
     pub fn apply(&mut self, mutation: Mutation, revision: Revision, now_ms: UnixMillis) {
         match mutation {
             Mutation::Submit(submit) => self.submit(submit, now_ms),
--- a/crates/state/src/cluster_state/jobs.rs
+++ b/crates/state/src/cluster_state/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs: accepted, cancelled, done.
+//! The lifecycle of jobs: accepted, then done or cancelled.
 
 use super::machines::intern_image;
 use super::{Arrival, ClusterState, FinishedJobState, JobState, QueueKey};
@@ -10,14 +10,15 @@
 use rushwalk_protocol::ids::JobId;
 use std::collections::BTreeMap;
 
-/// Arrivals kept per class.
-const MAX_ARRIVALS: usize = 512;
+/// The maximum number of arrivals that are kept per class.
+const MAX_ARRIVALS_PER_CLASS: usize = 512;
 
-/// Arrivals older than this say nothing about those to come.
+/// Arrivals that are older than this when they are applied are not recorded: they do not
+/// help to predict future arrivals.
 const MAX_ARRIVAL_AGE_MS: UnixMillis = 600_000;
 
 impl JobState {
-    /// The job's place in the queue.
+    /// The job's position in the queue.
     fn queue_key(&self, job: JobId) -> QueueKey {
         QueueKey {
             priority: self.spec.priority,
@@ -26,7 +27,8 @@
         }
     }
 
-    /// Notes that a task of the job was seen running.
+    /// Records that a task of the job was observed running, and counts the job as started
+    /// the first time.
     pub(super) fn mark_started(&mut self, counts: &mut ServiceCounts) {
         if !std::mem::replace(&mut self.started, true) {
             counts.update(&self.spec, |counts| counts.started += 1);
@@ -67,9 +69,9 @@
     fn record_arrival(&mut self, arrival: Arrival) {
         let class = arrival.spec.class.clone();
         let arrivals = self.arrivals.entry(class).or_default();
-        let after = arrivals.partition_point(|a| a.accepted_ms <= arrival.accepted_ms);
-        arrivals.insert(after, arrival);
-        if arrivals.len() > MAX_ARRIVALS {
+        let position = arrivals.partition_point(|a| a.accepted_ms <= arrival.accepted_ms);
+        arrivals.insert(position, arrival);
+        if arrivals.len() > MAX_ARRIVALS_PER_CLASS {
             arrivals.pop_front();
         }
     }
@@ -81,7 +83,8 @@
         }
     }
 
-    /// Ends a job as done or cancelled: tasks that were not placed never will be.
+    /// Finishes a job as done or cancelled. Tasks that are not placed are removed; placed
+    /// tasks stay until their end is confirmed.
     pub(super) fn finish_job(&mut self, id: &JobId, phase: JobPhase) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -91,7 +94,7 @@
         self.service_counts.update(&job.spec, |counts| match phase {
             JobPhase::Done => {
                 counts.completed += 1;
-                // The shortest jobs end before they are seen running.
+                // The tasks of a very short job can end before they are observed running.
                 counts.started += u32::from(!started);
             }
             _ => {
@@ -115,7 +118,7 @@
         self.retire_if_finished(id);
     }
 
-    /// Reduces a finished job that has no task left to what users are answered.
+    /// Reduces a finished job without assigned tasks to the data that a status query needs.
     pub(super) fn retire_if_finished(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else {
             return;
@@ -132,7 +135,7 @@
         }
     }
 
-    /// Takes a finished job out of the queue.
+    /// Removes a finished job from the queue.
     pub(super) fn dequeue(&mut self, id: JobId) {
         if let Some(job) = self.jobs.get(&id) {
             self.queue.remove(&job.queue_key(id));
--- a/crates/state/src/cluster_state/machines.rs
+++ b/crates/state/src/cluster_state/machines.rs
@@ -1,4 +1,4 @@
-//! Machines: rented, ready, unreachable, reclaimed, deleted.
+//! The lifecycle of machines: rented, ready, unreachable, reclaimed, deleted.
 
 use super::{ClusterState, MachineState, ShardCounts};
 use crate::mutation::{
@@ -11,18 +11,18 @@
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// The number of an image, the next one if it has none.
+/// The ID of an image; assigns the next free ID to a new image.
 pub(super) fn intern_image(image_ids: &mut HashMap<Arc<str>, ImageId>, name: &str) -> ImageId {
-    if let Some(known) = image_ids.get(name) {
-        return *known;
+    if let Some(id) = image_ids.get(name) {
+        return *id;
     }
-    let next = image_ids.len() as ImageId;
-    image_ids.insert(name.into(), next);
-    next
+    let next_id = image_ids.len() as ImageId;
+    image_ids.insert(name.into(), next_id);
+    next_id
 }
 
-/// What a machine adds to the counts of its shard.
-fn counts_of(machine: &MachineRecord) -> ShardCounts {
+/// The contribution of a machine to the counts of its shard.
+fn shard_counts_of(machine: &MachineRecord) -> ShardCounts {
     let ready = machine.ready_ms.is_some();
     let unreachable = ready && machine.unreachable_since_ms.is_some();
     ShardCounts {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Looks up the numbers of the images in the machine's cache.
+    /// Updates the IDs of the images in the machine's cache; new images get the next IDs.
     pub(super) fn intern_images(&mut self, image_ids: &mut HashMap<Arc<str>, ImageId>) {
         let images = self.record.images.iter();
         let ids = images.map(|image| intern_image(image_ids, &image.name));
@@ -74,7 +74,7 @@
         if self.machines.contains_key(&id) {
             return;
         }
-        let added = counts_of(&record);
+        let added = shard_counts_of(&record);
         let counts = self.shard_counts.entry(record.shard.clone()).or_default();
         counts.ready += added.ready;
         counts.unreachable += added.unreachable;
@@ -85,7 +85,8 @@
         self.machines.insert(id, machine);
     }
 
-    /// Removes a machine whose deletion was intended, with all tasks on it.
+    /// Removes a machine with all tasks on it, if its lifecycle stage is
+    /// [`MachineLifecycle::Deleting`].
     pub(super) fn remove_machine(&mut self, id: &MachineId) {
         let is_deleting =
             |machine: &MachineState| machine.record.lifecycle == MachineLifecycle::Deleting;
@@ -98,7 +99,7 @@
         if let Some(shard) = self.shards.get_mut(&machine.record.shard) {
             shard.remove(id);
         }
-        let removed = counts_of(&machine.record);
+        let removed = shard_counts_of(&machine.record);
         if let Some(counts) = self.shard_counts.get_mut(&machine.record.shard) {
             counts.ready -= removed.ready;
             counts.unreachable -= removed.unreachable;
@@ -110,14 +111,14 @@
         self.changed_machines.remove(id);
     }
 
-    /// Changes a machine's record, and the counts of its shard.
+    /// Changes a machine's record and updates the counts of its shard accordingly.
     fn update_machine(&mut self, id: &MachineId, change: impl FnOnce(&mut MachineRecord)) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        let before = counts_of(&machine.record);
+        let before = shard_counts_of(&machine.record);
         change(&mut machine.record);
-        let after = counts_of(&machine.record);
+        let after = shard_counts_of(&machine.record);
         let shard = machine.record.shard.clone();
         let counts = self.shard_counts.entry(shard).or_default();
         counts.ready = counts.ready + after.ready - before.ready;
--- a/crates/state/src/cluster_state/queries.rs
+++ b/crates/state/src/cluster_state/queries.rs
@@ -1,4 +1,4 @@
-//! Queries of the state.
+//! Read access to the state.
 
 use super::{ClusterState, JobState, MachineState, ShardCounts, TaskState};
 use crate::Revision;
@@ -9,68 +9,73 @@
 use rushwalk_scheduler::timeline::ImageId;
 use std::collections::BTreeMap;
 
-/// A machine whose tasks take this many times as long as predicted is slow. A lower ratio
-/// is within the error of the predictions.
-const SLOW_RATIO: f64 = 1.5;
+/// A machine is slow if the mean ratio of actual to predicted run time of its tasks exceeds
+/// this. A lower ratio is within the error of the predictions.
+const SLOW_MACHINE_RATIO: f64 = 1.5;
 
 /// An assigned task, with its job.
 #[derive(Debug, Clone, Copy)]
 pub struct AssignedTask<'a> {
-    /// The job.
+    /// The job to which the task belongs.
     pub job: &'a JobState,
-    /// The task.
+    /// The state of the task.
     pub task: &'a TaskState,
 }
 
 impl MachineState {
-    /// Whether an image is in the machine's cache, as far as is known.
+    /// Whether the machine's cache should hold an image, judging by the tasks that have run
+    /// there.
     pub fn has_image(&self, name: &str) -> bool {
         self.record.images.iter().any(|image| *image.name == *name)
     }
 
-    /// How many times as long its tasks take as on other machines of its type; 1 if it is
-    /// not known to be slow.
+    /// The mean ratio of actual to predicted run time of the machine's latest tasks, if the
+    /// machine is slow; otherwise 1. Predictions are per machine type.
     pub fn slowdown(&self) -> f64 {
         match self.run_time_ratios.mean() {
-            Some(ratio) if ratio > SLOW_RATIO => ratio,
+            Some(ratio) if ratio > SLOW_MACHINE_RATIO => ratio,
             _ => 1.0,
         }
     }
 }
 
 impl ClusterState {
-    /// The number of an image. All images of jobs and machines have one. One that is
-    /// unknown gets the next, since numbers index tables.
+    /// The ID of an image. All images of jobs and machines have one. For an unknown image,
+    /// the next free ID is returned but not assigned; IDs are used as table indexes, so they
+    /// have no gaps.
     pub fn image_id(&self, name: &str) -> ImageId {
-        let next = self.image_ids.len() as ImageId;
-        self.image_ids.get(name).copied().unwrap_or(next)
+        let next_id = self.image_ids.len() as ImageId;
+        self.image_ids.get(name).copied().unwrap_or(next_id)
     }
 
-    /// The version of a key that is not in the log; 0 if there is no such key.
+    /// The version of a key that is neither a log entry nor a snapshot chunk; 0 if the key
+    /// does not exist.
     pub fn key_version(&self, key: &str) -> Revision {
         self.key_versions.get(key).copied().unwrap_or(0)
     }
 
-    /// Whether the process that owns a lease is a registered member.
+    /// Whether the process that owns a shard lease is registered as a member: a lease of an
+    /// earlier process of the same name does not count.
     pub fn is_owner_registered(&self, lease: &ShardLease) -> bool {
         let member = self.members.get(&lease.owner);
         member.is_some_and(|member| member.incarnation == lease.incarnation)
     }
 
-    /// Whether a shard is still leased to an earlier process of a member.
+    /// Whether any shard is still leased to an earlier process of `member`, that is, to an
+    /// incarnation other than `incarnation`.
     pub fn has_stale_lease(&self, member: &str, incarnation: u64) -> bool {
         let mut leases = self.shard_leases.values().map(|lease| &lease.value);
         leases.any(|lease| lease.owner == member && lease.incarnation != incarnation)
     }
 
-    /// An assigned task, with its job.
+    /// An assigned task with its job; `None` if the task is not assigned.
     pub fn task(&self, id: &TaskId) -> Option<AssignedTask<'_>> {
         let job = self.jobs.get(&id.job)?;
         let task = job.tasks.get(&id.index)?;
         Some(AssignedTask { job, task })
     }
 
-    /// An assigned task, if `attempt` is the one under way.
+    /// An assigned task, if `attempt` is its current attempt.
     pub(super) fn current_attempt(
         &self,
         job: &str,
@@ -81,7 +86,7 @@
         (task.record.attempt == attempt).then_some(task)
     }
 
-    /// The number of machines of each kind.
+    /// The number of machines of each kind: type, zone, and spot or not.
     pub fn machines_by_kind(&self) -> BTreeMap<InstanceKind, u32> {
         let mut counts = BTreeMap::new();
         for machine in self.machines.values() {
@@ -99,31 +104,31 @@
     /// The number of machines of one kind.
     pub fn count_of_kind(&self, kind: &InstanceKind) -> u32 {
         let records = self.machines.values().map(|machine| &machine.record);
-        let same = records.filter(|record| {
+        let matching = records.filter(|record| {
             record.spot == kind.spot
                 && record.machine_type == kind.machine_type
                 && record.zone == kind.zone
         });
-        same.count() as u32
+        matching.count() as u32
     }
 
-    /// How many machines of a shard are ready, and how many of these unreachable.
+    /// The numbers of ready and of unreachable machines of a shard; 0 for an unknown shard.
     pub fn shard_counts(&self, shard: &str) -> ShardCounts {
         self.shard_counts.get(shard).copied().unwrap_or_default()
     }
 
     /// Whether a job is done or cancelled.
     pub fn is_finished(&self, job: &str) -> bool {
-        let terminating = |job: &JobState| job.phase != JobPhase::Active;
-        self.finished.contains_key(job) || self.jobs.get(job).is_some_and(terminating)
+        let is_finished = |job: &JobState| job.phase != JobPhase::Active;
+        self.finished.contains_key(job) || self.jobs.get(job).is_some_and(is_finished)
     }
 
-    /// Whether a job was accepted.
+    /// Whether a job was accepted, also if it is finished.
     pub fn knows_job(&self, job: &str) -> bool {
         self.finished.contains_key(job) || self.jobs.contains_key(job)
     }
 
-    /// What users are answered about a job; `None` if it was never accepted.
+    /// The status of a job as reported to users; `None` if the job was never accepted.
     pub fn job_status(&self, id: &str) -> Option<JobStatus> {
         if let Some(job) = self.jobs.get(id) {
             return Some(active_status(id, job));
@@ -132,7 +137,8 @@
         Some(finished_status(id, finished.phase, finished.tasks))
     }
 
-    /// Tasks of a job that are neither assigned nor completed, at most `max`.
+    /// The indexes of the first tasks of a job that are neither assigned nor completed, at
+    /// most `max`.
     pub fn unassigned_tasks(&mut self, id: &str, max: usize) -> Vec<u32> {
         let Some(job) = self.jobs.get_mut(id) else {
             return Vec::new();
--- a/crates/state/src/cluster_state/replication.rs
+++ b/crates/state/src/cluster_state/replication.rs
@@ -1,4 +1,5 @@
-//! How a replica follows the store: from a listing, then by watches.
+//! Replication from the store: the state is built from a listing of all keys, then updated
+//! by the responses of watches.
 
 use super::{ClusterState, Versioned};
 use crate::codec::unframe;
@@ -11,44 +12,46 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The snapshot in a listing is not whole, since a new one was written meanwhile.
+/// The snapshot in a listing is incomplete, because a newer snapshot overwrote its chunks
+/// while the pages of the listing were read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("the snapshot was replaced meanwhile")]
+#[error("the snapshot was replaced during the listing")]
 pub struct SnapshotReplaced;
 
-/// Changes that begin after the revision that a replica has reached: what lies between
-/// would be missing.
+/// A watch response begins after the revision that a replica has reached, so the changes
+/// between the two revisions are missing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("changes after revision {since}, at revision {reached}")]
+#[error("watch response begins after revision {since}, but the replica is at {reached}")]
 pub struct WatchGap {
-    /// The revision after which the changes begin.
+    /// The revision after which the changes of the response begin.
     pub since: Revision,
     /// The revision that the replica has reached.
     pub reached: Revision,
 }
 
 impl ClusterState {
-    /// A state made of a listing whose first page had `revision`. What is newer comes with
-    /// the watch from there.
+    /// Builds a state from a listing of all keys. `revision` is that of the listing's first
+    /// page; newer entries of later pages are ignored, since a watch from `revision` returns
+    /// them in order.
     ///
     /// # Errors
     ///
-    /// [`SnapshotReplaced`]: list again.
+    /// `SnapshotReplaced`: the store must be listed again.
     pub fn from_listing(
         entries: Vec<KeyValue>,
         revision: Revision,
         now_ms: UnixMillis,
     ) -> Result<ClusterState, SnapshotReplaced> {
-        // The durations learnt so far are taken over by `replace_with`.
+        // `replace_with` substitutes the durations that the previous state has learnt.
         let mut state = ClusterState::new(DurationEstimator::new(10, 0.0));
         let mut chunks: BTreeMap<String, Value> = BTreeMap::new();
-        let mut log: Vec<KeyValue> = Vec::new();
+        let mut log_entries: Vec<KeyValue> = Vec::new();
         for entry in entries {
             if entry.version > revision {
                 continue;
             }
             match KeyKind::of(&entry.key) {
-                Some(KeyKind::LogEntry { .. }) => log.push(entry),
+                Some(KeyKind::LogEntry { .. }) => log_entries.push(entry),
                 Some(KeyKind::SnapshotChunk) => {
                     chunks.insert(entry.key, entry.value);
                 }
@@ -56,15 +59,15 @@
             }
         }
         state.apply_snapshot(&chunks, now_ms)?;
-        log.sort_by(|a, b| (a.version, &a.key).cmp(&(b.version, &b.key)));
-        for entry in log {
+        log_entries.sort_by(|a, b| (a.version, &a.key).cmp(&(b.version, &b.key)));
+        for entry in log_entries {
             state.apply_listed_entry(entry, now_ms);
         }
         state.revision = revision;
         Ok(state)
     }
 
-    /// Applies a log entry of a listing, unless the snapshot includes it.
+    /// Applies a log entry of a listing, unless the snapshot covers it.
     fn apply_listed_entry(&mut self, entry: KeyValue, now_ms: UnixMillis) {
         if entry.version > self.snapshot.revision {
             match unframe(&entry.value) {
@@ -98,20 +101,21 @@
         Ok(())
     }
 
-    /// Replaces this state by a newly listed one; what this process has learnt stays.
+    /// Replaces this state by a newly listed one, but keeps the durations and the job counts
+    /// that this process has collected. All machines are marked as changed.
     ///
     /// # Errors
     ///
-    /// Returns a state that is older than this one instead of taking it: a read that was sent
-    /// meanwhile brings only what is newer than this one, and the changes in between would be
-    /// in neither.
+    /// Returns `listed` unchanged if it is older than this state. A read in flight may have
+    /// been sent from this state's revision and returns only later changes, so the changes
+    /// between `listed` and this state would be lost.
     pub fn replace_with(&mut self, mut listed: ClusterState) -> Result<(), Box<ClusterState>> {
         if listed.revision < self.revision {
             return Err(Box::new(listed));
         }
         std::mem::swap(&mut self.durations, &mut listed.durations);
         if !self.service_counts.classes.is_empty() {
-            // The counts go on; what was missed meanwhile is not in them.
+            // The existing counts are kept; they lack the changes that were not watched.
             std::mem::swap(&mut self.service_counts, &mut listed.service_counts);
         }
         listed.changed_machines = listed.machines.keys().cloned().collect();
@@ -119,12 +123,12 @@
         Ok(())
     }
 
-    /// Applies the changes after the revision `since`. [`ClusterState::has_gap`] tells
-    /// afterwards whether an entry was missed.
+    /// Applies the response to a watch from the revision `since`. Sets
+    /// [`ClusterState::has_gap`] if the response shows that a log entry was missed.
     ///
     /// # Errors
     ///
-    /// [`WatchGap`] if this state has not reached `since`; nothing is applied then.
+    /// `WatchGap` if this state has not reached `since`; nothing is applied then.
     pub fn apply_watch(
         &mut self,
         since: Revision,
@@ -138,7 +142,7 @@
         let mut events: Vec<WatchEvent> = response.events;
         events.sort_by(|a, b| (a.version, a.key()).cmp(&(b.version, b.key())));
         for event in events {
-            // Two reads may overlap: each change counts once, in its order.
+            // Responses of concurrent reads may overlap: a change is applied only once.
             if event.version > reached {
                 self.apply_event(event, now_ms);
             }
@@ -179,15 +183,16 @@
 
     fn mark_unreadable(&mut self, key: &str) {
         if self.unreadable.is_none() {
-            tracing::error!(key, "unreadable record: no decisions are made");
+            tracing::error!(key, "unreadable record: this controller makes no decisions");
             self.unreadable = Some(key.to_string());
         }
     }
 
-    /// Notices that an entry's key was used in between, by an entry that was never seen.
+    /// Sets `has_gap` if the entry's key had another version before this write than the one
+    /// known here: an earlier entry under the same key was missed.
     fn check_for_gap(&mut self, key: &str, entry: &LogEntry) {
-        let known = self.log_versions.get(key).copied().unwrap_or(0);
-        if entry.previous_version != known {
+        let known_version = self.log_versions.get(key).copied().unwrap_or(0);
+        if entry.previous_version != known_version {
             self.has_gap = true;
         }
     }
@@ -227,7 +232,7 @@
             KeyKind::SnapshotManifest => parse(value).map(|manifest| {
                 self.set_snapshot(manifest);
             }),
-            // A chunk holds nothing that was not applied already.
+            // All changes in a snapshot's chunk were already applied from the log.
             KeyKind::SnapshotChunk => return,
             KeyKind::LogEntry { .. } | KeyKind::Unknown => None,
         };
@@ -240,8 +245,8 @@
     fn set_snapshot(&mut self, manifest: SnapshotManifest) {
         self.snapshot = manifest;
         let versions = self.log_versions.values();
-        let newer = versions.filter(|version| **version > manifest.revision);
-        self.entries_since_snapshot = newer.count();
+        let newer_versions = versions.filter(|version| **version > manifest.revision);
+        self.entries_since_snapshot = newer_versions.count();
     }
 
     fn apply_delete(&mut self, key: &str) {
--- a/crates/state/src/cluster_state/restore.rs
+++ b/crates/state/src/cluster_state/restore.rs
@@ -1,4 +1,5 @@
-//! The state as mutations, of which a snapshot is made, and how these are applied.
+//! Conversion of the state to the mutations of a snapshot, and the application of those
+//! kinds of mutations that occur only in snapshots.
 
 use super::{ClusterState, FinishedJobState, JobState};
 use crate::mutation::{
@@ -9,8 +10,10 @@
 use rushwalk_protocol::ids::JobId;
 
 impl ClusterState {
-    /// The state as mutations: applied to an empty state, they make this one again, but for
-    /// what this process has learnt.
+    /// The state as mutations for a snapshot. Applied in order to an empty state, they
+    /// restore jobs, tasks, machines and rentals. They contain neither the records that are
+    /// stored under keys of their own nor what only this process has learnt, such as
+    /// durations and prediction errors.
     pub fn to_mutations(&self) -> Vec<Mutation> {
         let mut mutations = Vec::new();
         for phase in [JobPhase::Done, JobPhase::Cancelled] {
@@ -71,7 +74,10 @@
             .completed
             .insert_hex(restore.first_task, &restore.bitmap_hex);
         if inserted.is_err() {
-            tracing::error!(job = &*restore.job, "invalid digits of completed tasks");
+            tracing::error!(
+                job = &*restore.job,
+                "snapshot holds an invalid bitmap of completed tasks"
+            );
         }
         if job.completed.count() > 0 {
             job.mark_started(&mut self.service_counts);
--- a/crates/state/src/cluster_state/tasks.rs
+++ b/crates/state/src/cluster_state/tasks.rs
@@ -1,4 +1,5 @@
-//! Tasks: assigned to shards, placed on machines, seen running, stopped, ended.
+//! The lifecycle of tasks: assigned to a shard, placed on a machine, running, stopped,
+//! ended.
 
 use super::{ClusterState, MachineState, TaskState};
 use crate::mutation::{
@@ -11,11 +12,13 @@
 use rushwalk_protocol::ids::{JobId, MachineId, TaskId};
 use rushwalk_protocol::jobs::{JobSpec, Shape};
 
-/// Completed tasks over which a machine's run time ratio is averaged.
-const RATIO_WINDOW: usize = 4;
+/// The number of completed tasks over which a machine's ratio of actual to predicted run
+/// time is averaged.
+const RUN_TIME_RATIO_WINDOW: usize = 4;
 
-/// A single wild run time must not mark a machine as slow for long.
-const MAX_RATIO: f64 = 4.0;
+/// Ratios of actual to predicted run time are capped at this value, so that a single
+/// outlier does not mark a machine as slow for long.
+const MAX_RUN_TIME_RATIO: f64 = 4.0;
 
 impl ClusterState {
     pub(super) fn assign(&mut self, assign: AssignTasks, revision: Revision) {
@@ -25,15 +28,15 @@
         if job.phase != JobPhase::Active {
             return;
         }
-        let is_free =
+        let is_assignable =
             |task: &TaskOnMachine| task.task < job.spec.tasks && job.is_unassigned(task.task);
-        let mut all = assign.shards.iter().flat_map(|shard| &shard.tasks);
-        if job.spec.shape == Shape::Gang && !all.all(is_free) {
+        let mut requested = assign.shards.iter().flat_map(|shard| &shard.tasks);
+        if job.spec.shape == Shape::Gang && !requested.all(is_assignable) {
             return;
         }
         let mut records = Vec::new();
         for shard in &assign.shards {
-            for task in shard.tasks.iter().filter(|task| is_free(task)) {
+            for task in shard.tasks.iter().filter(|task| is_assignable(task)) {
                 let record = TaskRecord {
                     shard: shard.shard.clone(),
                     attempt: revision,
@@ -51,7 +54,8 @@
         }
     }
 
-    /// Adds an assigned task.
+    /// Adds an assigned task to its job, and to its machine or to the unplaced tasks. Does
+    /// nothing if the job is unknown.
     pub(super) fn add_task(&mut self, job: &JobId, index: u32, record: TaskRecord) {
         let Some((id, _)) = self.jobs.get_key_value(job) else {
             return;
@@ -75,7 +79,7 @@
         self.jobs_with_tasks.insert(id);
     }
 
-    /// Removes an assigned task that has certainly ended, or never was on a machine.
+    /// Removes an assigned task that certainly does not run any more, or was never placed.
     pub(super) fn remove_task(&mut self, id: &JobId, index: u32) -> Option<TaskRecord> {
         let job = self.jobs.get_mut(id)?;
         let state = job.tasks.remove(&index)?;
@@ -91,7 +95,7 @@
         Some(state.record)
     }
 
-    /// Lists a task under its machine, or among the unplaced ones if it has none.
+    /// Adds a task to its machine, or to the unplaced tasks if `machine` is `None`.
     fn link_task(&mut self, task: TaskId, machine: Option<&MachineId>) {
         let Some(id) = machine else {
             self.unplaced.insert(task);
@@ -103,7 +107,7 @@
         self.changed_machines.insert(id.clone());
     }
 
-    /// The reverse of [`ClusterState::link_task`].
+    /// Removes a task from its machine, or from the unplaced tasks if `machine` is `None`.
     fn unlink_task(&mut self, task: &TaskId, machine: Option<&MachineId>) {
         let Some(id) = machine else {
             self.unplaced.remove(task);
@@ -152,8 +156,8 @@
         self.link_task(task, Some(&machine));
     }
 
-    /// The machine of a placement, if the attempt still waits for one and the machine is
-    /// an active one of the task's shard.
+    /// The machine of a placement, if the attempt is current, neither placed nor being
+    /// stopped, and the machine is active and belongs to the task's shard.
     fn usable_machine(
         &self,
         id: &JobId,
@@ -162,15 +166,16 @@
     ) -> Option<MachineId> {
         let record = &self.current_attempt(id, attempt, placement.task)?.record;
         let (machine_id, machine) = self.machines.get_key_value(&placement.machine)?;
-        let is_open = record.machine.is_none() && record.stop_reason.is_none();
+        let awaits_placement = record.machine.is_none() && record.stop_reason.is_none();
         let is_usable = machine.record.lifecycle == MachineLifecycle::Active
             && machine.record.shard == record.shard;
-        (is_open && is_usable).then(|| machine_id.clone())
+        (awaits_placement && is_usable).then(|| machine_id.clone())
     }
 
-    /// Whether a job's task that is placed on a machine now has to wait for its image;
-    /// `None` if its start would be no measure of the fetch rate, because another task on the
-    /// machine may still be fetching: concurrent fetches share the rate.
+    /// Whether a task of a job that is now placed on a machine must wait for its image to be
+    /// fetched. `None` if another task on the machine may still be fetching its image:
+    /// concurrent fetches share the machine's bandwidth, so the time to the start would not
+    /// measure the fetch rate.
     fn expected_cold_start(&self, id: &JobId, machine: &MachineId) -> Option<bool> {
         let image = &self.jobs.get(id)?.spec.image;
         let has_image = self.machines.get(machine)?.has_image(image);
@@ -181,7 +186,8 @@
         self.jobs.get_mut(job)?.tasks.get_mut(&index)
     }
 
-    /// Whether no task on a machine may still be fetching its image.
+    /// Whether all tasks on a machine were observed running, so that none of them may still
+    /// be fetching its image.
     fn all_tasks_started(&self, machine: &MachineId) -> bool {
         let Some(machine) = self.machines.get(machine) else {
             return true;
@@ -223,7 +229,8 @@
         let Some(machine) = machine.and_then(|id| self.machines.get_mut(&id)) else {
             return;
         };
-        // The start of a gang includes the wait for its other tasks, not the fetch alone.
+        // The time to the start of a gang's task does not measure the fetch: it includes
+        // the wait for the other tasks of the gang.
         if let Some(cold_start) = cold_start
             && spec.shape != Shape::Gang
         {
@@ -270,7 +277,7 @@
                 job.completed.insert(index);
                 let spec = job.spec.clone();
                 let is_done = spec.shape == Shape::Gang || job.completed.count() >= spec.tasks;
-                self.learn_run_time(&spec, &task, ended.ended_ms);
+                self.record_run_time(&spec, &task, ended.ended_ms);
                 if is_done {
                     self.finish_job(id, JobPhase::Done);
                 }
@@ -278,8 +285,8 @@
         }
     }
 
-    /// Learns from the run time of a completed task.
-    fn learn_run_time(&mut self, spec: &JobSpec, task: &TaskRecord, ended_ms: UnixMillis) {
+    /// Updates the run time estimates and the machine's statistics with a completed task.
+    fn record_run_time(&mut self, spec: &JobSpec, task: &TaskRecord, ended_ms: UnixMillis) {
         let (Some(started_ms), Some(machine)) = (task.started_ms, &task.machine) else {
             return;
         };
@@ -292,8 +299,8 @@
         machine.failed_jobs.clear();
         machine.prediction_error_s = run_s - predicted_s;
         if predicted_s.is_finite() && predicted_s > 0.0 {
-            let ratio = (run_s / predicted_s).min(MAX_RATIO);
-            machine.run_time_ratios.push(ratio, RATIO_WINDOW);
+            let ratio = (run_s / predicted_s).min(MAX_RUN_TIME_RATIO);
+            machine.run_time_ratios.push(ratio, RUN_TIME_RATIO_WINDOW);
         }
         self.durations.record_run(spec, machine_type, run_s);
     }
@@ -334,7 +341,8 @@
     }
 }
 
-/// Adds a job's image to a machine's cache, from which the oldest ones are evicted.
+/// Adds a job's image to the cache contents that are assumed for a machine. The least
+/// recently used images are evicted when the cache's capacity is exceeded.
 fn cache_image(machine: &mut MachineState, spec: &JobSpec, types: Option<&MachineTypes>) {
     let types = types.iter().flat_map(|types| &types.types);
     let capacity_gb = types
--- a/crates/state/src/cluster_state/tests.rs
+++ b/crates/state/src/cluster_state/tests.rs
@@ -47,8 +47,13 @@
     })
 }
 
-fn place(job: &str, attempt: Revision, placed_ms: UnixMillis, on: &[(u32, &str)]) -> Mutation {
-    let tasks = on.iter().map(|(task, machine)| TaskOnMachine {
+fn place(
+    job: &str,
+    attempt: Revision,
+    placed_ms: UnixMillis,
+    placements: &[(u32, &str)],
+) -> Mutation {
+    let tasks = placements.iter().map(|(task, machine)| TaskOnMachine {
         task: *task,
         machine: (*machine).into(),
     });
@@ -79,8 +84,9 @@
 /// A mutation with the revision at which it is committed.
 type Committed = (Revision, Mutation);
 
-/// A day in a few mutations.
-fn day() -> Vec<Committed> {
+/// A short history with jobs of all shapes, one of them cancelled; tasks that are assigned,
+/// placed, completed and stopping; and an unreachable machine.
+fn sample_history() -> Vec<Committed> {
     vec![
         (1, submit("j-1", "sweep", 3, 100)),
         (1, submit("j-2", "gang", 2, 110)),
@@ -136,84 +142,93 @@
     ClusterState::new(DurationEstimator::new(4, 1.0))
 }
 
-fn state(day: Vec<Committed>) -> ClusterState {
+fn state_after(history: Vec<Committed>) -> ClusterState {
     let mut state = empty();
-    for (revision, mutation) in day {
+    for (revision, mutation) in history {
         state.apply(mutation, revision, 500);
     }
     state
 }
 
-/// The state as text, for comparisons.
-fn describe(state: &ClusterState) -> String {
+/// The replicated state as text, so that two states can be compared.
+fn state_text(state: &ClusterState) -> String {
     let mutations = state.to_mutations();
     let mut lines: Vec<String> = mutations.iter().map(|m| format!("{m:?}")).collect();
     lines.sort();
-    // Placement hints are not stored.
+    // Placement hints are not stored in snapshots.
     lines.join("\n").replace("Some(\"m-1\") }", "None }")
 }
 
 #[test]
 fn a_snapshot_restores_the_state() {
-    let first = state(day());
-    let mutations = first.to_mutations().into_iter();
-    let second = state(mutations.map(|mutation| (9, mutation)).collect());
-    assert_eq!(describe(&first), describe(&second));
+    let original = state_after(sample_history());
+    let mutations = original.to_mutations().into_iter();
+    let restored = state_after(mutations.map(|mutation| (9, mutation)).collect());
+    assert_eq!(state_text(&original), state_text(&restored));
     for job in ["j-1", "j-2", "j-3"] {
-        assert_eq!(first.job_status(job), second.job_status(job));
+        assert_eq!(original.job_status(job), restored.job_status(job));
     }
-    assert_eq!(first.unplaced, second.unplaced);
-    assert_eq!(first.machines["m-2"].tasks, second.machines["m-2"].tasks);
+    assert_eq!(original.unplaced, restored.unplaced);
+    assert_eq!(
+        original.machines["m-2"].tasks,
+        restored.machines["m-2"].tasks
+    );
 }
 
-/// Teams are counted nowhere else, and a day on which less than half of one's jobs are
-/// served counts as failed.
+/// Guards against jobs that are counted twice when mutations are repeated. No other counts
+/// per team exist, and a day on which less than half of a team's jobs are served is judged as
+/// failed.
 #[test]
-fn served_jobs_are_counted_once_by_class_and_by_team() {
-    let mut twice = day();
-    twice.extend(day().into_iter().map(|(at, mutation)| (at + 20, mutation)));
-    for state in [state(day()), state(twice)] {
+fn jobs_are_counted_once_per_class_and_team() {
+    let mut repeated = sample_history();
+    repeated.extend(
+        sample_history()
+            .into_iter()
+            .map(|(revision, mutation)| (revision + 20, mutation)),
+    );
+    for state in [state_after(sample_history()), state_after(repeated)] {
         let counts = state.service_counts.teams["red"];
-        let all = [
+        let main_counts = [
             counts.accepted,
             counts.started,
             counts.completed,
             counts.cancelled,
         ];
-        assert_eq!((all, counts.withdrawn), ([3, 1, 0, 1], 1));
-        let least = state.service_counts.least_served_class().unwrap();
-        assert_eq!((least.name, least.counts), ("a", counts));
+        assert_eq!((main_counts, counts.withdrawn), ([3, 1, 0, 1], 1));
+        let least_served = state.service_counts.least_served_class().unwrap();
+        assert_eq!((least_served.name, least_served.counts), ("a", counts));
         assert_eq!(
             counts.started_share(),
             0.5,
-            "one of two that were not withdrawn"
+            "one of the two jobs that were not withdrawn"
         );
     }
 }
 
-/// Entries may come late, twice, or from a shard owner that was replaced.
+/// Log entries can be committed late, twice, or by a former owner of a shard.
 #[test]
 fn mutations_whose_preconditions_no_longer_hold_do_nothing() {
-    let before = describe(&state(day()));
+    let before = state_text(&state_after(sample_history()));
     let stale = [
         submit("j-1", "sweep", 7, 90),
-        // Cancelled: not placed, not assigned any more.
+        // The job is cancelled: no task of it is assigned again.
         assign("j-3", 600, &[0]),
-        // Another attempt, or placed already.
+        // The attempt is not the current one; the task is already placed.
         place("j-1", 3, 600, &[(2, "m-1")]),
         place("j-1", 4, 600, &[(1, "m-1")]),
-        // No such machine; one whose deletion was never intended.
+        // The machine does not exist; the machine was never marked for deletion.
         place("j-1", 4, 600, &[(2, "m-9")]),
         Mutation::MachinesDeleted(vec!["m-1".into()]),
-        // Ended already, or not this attempt.
+        // The task has already ended; the attempt is not the current one.
         end("j-1", 4, 600, AttemptOutcome::Lost, 0),
         end("j-1", 2, 600, AttemptOutcome::Completed, 1),
+        // The task is already placed.
         Mutation::Unassign(UnassignTasks {
             job: "j-1".into(),
             attempt: 4,
             tasks: vec![1],
         }),
-        // A gang is assigned whole or not at all.
+        // A task of the gang is already assigned, and a gang is assigned as a whole.
         assign("j-2", 600, &[0]),
         Mutation::RentalFulfilled(RentalFulfilled {
             rental: "r-none".into(),
@@ -224,16 +239,23 @@
         }),
     ];
     for mutation in stale {
-        let mut state = state(day());
+        let mut state = state_after(sample_history());
         state.apply(mutation.clone(), 20, 700);
-        assert_eq!(describe(&state), before, "{mutation:?}");
+        assert_eq!(state_text(&state), before, "{mutation:?}");
     }
 }
 
 const RENT_1: &str = r#"{"R":["r-1",{"k":"box","z":"east","s":false,"n":2,"at":1}]}"#;
 const RENT_2: &str = r#"{"R":["r-2",{"k":"box","z":"east","s":false,"n":2,"at":1}]}"#;
 
-fn watched(revision: Revision, key: &str, previous: Revision, mutations: &str) -> WatchResponse {
+/// The response to a watch with one log entry. `previous` is the version that the entry's
+/// key had before.
+fn watch_response(
+    revision: Revision,
+    key: &str,
+    previous: Revision,
+    mutations: &str,
+) -> WatchResponse {
     let text = format!(
         r#"{{"ledger":{revision},"events":[{{"write":"{key}","stamp":{revision},
         "v":{{"p":{previous},"o":[{mutations}]}}}}]}}"#
@@ -241,10 +263,10 @@
     serde_json::from_str(&text).unwrap()
 }
 
-/// A key of the log is used again; a replica that has not seen all of its entries must
-/// not go on as if it had.
+/// Keys of the log are reused. A replica that has missed an entry under a key must detect
+/// this from the entry that follows, or it would continue with an incomplete state.
 #[test]
-fn a_missed_entry_is_noticed_and_overlapping_responses_count_once() {
+fn missed_entries_are_detected_and_overlapping_responses_are_applied_once() {
     let mut state = empty();
     let key = keys::log_entry("node-0", 3);
     let other_key = keys::log_entry("node-1", 0);
@@ -252,18 +274,19 @@
     let apply = |state: &mut ClusterState, response| {
         state.apply_watch(state.revision, response, 10).unwrap();
     };
-    apply(&mut state, watched(5, &key, 0, RENT_1));
-    apply(&mut state, watched(6, &other_key, 0, fulfilled));
-    apply(&mut state, watched(5, &key, 0, RENT_1));
+    apply(&mut state, watch_response(5, &key, 0, RENT_1));
+    apply(&mut state, watch_response(6, &other_key, 0, fulfilled));
+    apply(&mut state, watch_response(5, &key, 0, RENT_1));
     assert_eq!((state.rentals.len(), state.machines.len()), (0, 2));
     assert!(!state.has_gap);
-    apply(&mut state, watched(9, &key, 7, RENT_1));
+    apply(&mut state, watch_response(9, &key, 7, RENT_1));
     assert!(state.has_gap);
 }
 
-/// Records of an old or unknown form must be neither interpreted nor skipped.
+/// A record of an old or unknown format must be neither interpreted nor skipped: its key is
+/// reported, and no decisions are made from the state.
 #[test]
-fn an_unreadable_record_is_named() {
+fn the_key_of_an_unreadable_record_is_reported() {
     for (key, value) in [
         ("w/t/j-1/0", r#"{"block":"east"}"#),
         ("w/l/node-0/0", r#"{"p":0,"o":[{"zz":[]}]}"#),
@@ -278,30 +301,31 @@
     }
 }
 
-/// A listing takes a while: the state may have advanced meanwhile, and a read that began
-/// there would leave a gap in what the listing shows.
+/// While the store is listed, watches may advance the current state beyond the listing. If
+/// the older listing then replaced the state, the next watch response would begin after it,
+/// and the changes in between would be lost.
 #[test]
-fn the_state_never_goes_back_nor_has_a_gap() {
+fn older_listings_and_watches_with_a_gap_are_rejected() {
     let key = |n| keys::log_entry("node-0", n);
     let mut state = empty();
     assert!(
         state
-            .apply_watch(0, watched(5, &key(0), 0, RENT_1), 10)
+            .apply_watch(0, watch_response(5, &key(0), 0, RENT_1), 10)
             .is_ok()
     );
     let mut older = empty();
     older.revision = 4;
-    assert!(state.replace_with(older).is_err(), "older");
+    assert!(state.replace_with(older).is_err(), "the listing is older");
     assert_eq!((state.revision, state.rentals.len()), (5, 1));
-    let gap = state.apply_watch(7, watched(8, &key(1), 0, RENT_2), 10);
-    assert!(gap.is_err(), "a gap");
+    let gap = state.apply_watch(7, watch_response(8, &key(1), 0, RENT_2), 10);
+    assert!(gap.is_err(), "the response begins after the state");
     assert_eq!((state.revision, state.rentals.len()), (5, 1));
     let mut newer = empty();
     newer.revision = 7;
     assert!(state.replace_with(newer).is_ok());
     assert!(
         state
-            .apply_watch(7, watched(8, &key(1), 0, RENT_2), 10)
+            .apply_watch(7, watch_response(8, &key(1), 0, RENT_2), 10)
             .is_ok()
     );
     assert_eq!((state.revision, state.rentals.len()), (8, 1));
