--- a/crates/state/src/codec.rs
+++ b/crates/state/src/codec.rs
@@ -1,5 +1,6 @@
-//! How mutations become values of the store: packed into texts of a limited size, each of
-//! which is then framed as a [`LogEntry`](crate::records::LogEntry).
+//! Encoding of mutations as values of the store. Mutations are packed into texts of limited
+//! size (their JSON, separated by commas); each text is then framed as a
+//! [`LogEntry`](crate::records::LogEntry).
 
 #[cfg(test)]
 mod tests;
@@ -8,7 +9,7 @@
 use crate::{Revision, records};
 use serde_json::value::RawValue;
 
-/// Packs mutations into as few texts as their size limit allows.
+/// Packs mutations, in their order, into texts of limited size.
 #[derive(Debug)]
 pub struct MutationPacker {
     max_bytes: usize,
@@ -24,15 +25,19 @@
         }
     }
 
-    /// Packs more mutations behind those that are packed already.
+    /// Appends mutations to those that are already packed. A mutation that exceeds the size
+    /// limit on its own is logged and dropped.
     pub fn extend(&mut self, mutations: &[Mutation]) {
         for mutation in mutations {
             let Ok(text) = serde_json::to_string(mutation) else {
                 continue;
             };
             if text.len() > self.max_bytes {
-                // Long lists are split and large submissions rejected before they come here.
-                tracing::error!(bytes = text.len(), "mutation exceeds the value size");
+                // Not expected: callers split long lists and reject large submissions.
+                tracing::error!(
+                    bytes = text.len(),
+                    "mutation dropped: it exceeds the size limit of a value"
+                );
                 continue;
             }
             self.push(text);
@@ -55,25 +60,25 @@
     }
 }
 
-/// Packs mutations into as few texts of at most `max_bytes` bytes as possible.
+/// Packs mutations, in their order, into texts of at most `max_bytes` bytes.
 pub fn pack(mutations: &[Mutation], max_bytes: usize) -> Vec<String> {
     let mut packer = MutationPacker::new(max_bytes);
     packer.extend(mutations);
     packer.finish()
 }
 
-/// The size of a mutation in bytes, as it is packed.
+/// The size of a packed mutation in bytes.
 pub fn packed_size(mutation: &Mutation) -> usize {
     serde_json::to_string(mutation).map_or(0, |text| text.len())
 }
 
-/// Frames a packed text as the value of a log entry or of a snapshot's chunk;
-/// `previous_version` as in [`records::LogEntry`].
+/// Frames a packed text as the value of a log entry or of a snapshot chunk. For the meaning
+/// of `previous_version`, see [`records::LogEntry`]. `None` if the result is not valid JSON.
 pub fn frame(previous_version: Revision, packed: &str) -> Option<Box<RawValue>> {
     RawValue::from_string(format!(r#"{{"p":{previous_version},"o":[{packed}]}}"#)).ok()
 }
 
-/// Reads what [`frame`] wrote; `None` if this version can't.
+/// Parses a value that [`frame`] made; `None` if this version can't read it.
 pub fn unframe(value: &RawValue) -> Option<records::LogEntry> {
     serde_json::from_str(value.get()).ok()
 }
--- a/crates/state/src/codec/tests.rs
+++ b/crates/state/src/codec/tests.rs
@@ -18,15 +18,15 @@
     let packed = pack(&mutations, 16_000);
     assert!(packed.iter().all(|p| p.len() <= 16_000));
     assert!(packed.len() <= 7, "{}", packed.len());
-    let all: usize = packed
+    let total: usize = packed
         .iter()
         .map(|text| unframe(&frame(3, text).unwrap()).unwrap().mutations.len())
         .sum();
-    assert_eq!(all, 1000);
+    assert_eq!(total, 1000);
 }
 
 #[test]
-fn mutations_are_short() {
+fn the_json_of_a_mutation_is_compact() {
     let mutation = started("j-000412", 4711, vec![0, 1, 7]);
     let text = serde_json::to_string(&mutation).unwrap();
     assert_eq!(text, r#"{"r":["j-000412",4711,1000,[0,1,7]]}"#);
--- a/crates/state/src/service_counts.rs
+++ b/crates/state/src/service_counts.rs
@@ -1,32 +1,35 @@
-//! Which jobs were served: accepted, started, completed and cancelled ones, by class and by
-//! team, as this process has seen them in the log.
+//! Counts of accepted, started, completed and cancelled jobs by class and by team. They show
+//! how well each class and team is served, and cover what this process has applied to its
+//! replica.
 
 use rushwalk_protocol::jobs::JobSpec;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Jobs of one class or team. The administration API shows it.
+/// The counts of one class or team. The administration API returns them.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct JobCounts {
     /// Accepted jobs.
     pub accepted: u32,
-    /// Of these, the jobs of which a task was seen running.
+    /// Accepted jobs of which a task was observed running, or that completed before one was.
     pub started: u32,
-    /// Of these, the jobs all of whose tasks completed.
+    /// Started jobs that are done.
     #[serde(rename = "done")]
     pub completed: u32,
     /// Accepted jobs that their users cancelled.
     pub cancelled: u32,
-    /// Jobs cancelled before a task was seen running, which nobody failed to serve.
+    /// Jobs cancelled before a task was observed running. They are excluded from
+    /// [`JobCounts::started_share`].
     pub withdrawn: u32,
 }
 
 impl JobCounts {
-    /// The share of jobs that were started, of those that were not withdrawn.
+    /// The fraction of started jobs among the accepted jobs that were not withdrawn, from 0
+    /// to 1; 1 if there are none.
     pub fn started_share(&self) -> f64 {
         match self.accepted.saturating_sub(self.withdrawn) {
             0 => 1.0,
-            wanted => f64::from(self.started) / f64::from(wanted),
+            not_withdrawn => f64::from(self.started) / f64::from(not_withdrawn),
         }
     }
 }
@@ -36,21 +39,21 @@
 pub struct NamedCounts<'a> {
     /// The name of the class or team.
     pub name: &'a str,
-    /// Its counts.
+    /// The counts of that class or team.
     pub counts: JobCounts,
 }
 
 /// The counts of all classes and teams.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct ServiceCounts {
-    /// By class.
+    /// The counts of each class, by its name.
     pub classes: BTreeMap<String, JobCounts>,
-    /// By team.
+    /// The counts of each team, by its name.
     pub teams: BTreeMap<String, JobCounts>,
 }
 
 impl ServiceCounts {
-    /// Changes the counts of a job's class and of its team.
+    /// Applies a change to the counts of a job's class and to those of its team.
     pub fn update(&mut self, spec: &JobSpec, change: impl Fn(&mut JobCounts)) {
         for (counts, name) in [
             (&mut self.classes, &spec.class),
@@ -63,12 +66,12 @@
         }
     }
 
-    /// The class of whose jobs the smallest share has started.
+    /// The class with the lowest [`JobCounts::started_share`]; `None` before the first job.
     pub fn least_served_class(&self) -> Option<NamedCounts<'_>> {
         least_served(&self.classes)
     }
 
-    /// The team of whose jobs the smallest share has started.
+    /// The team with the lowest [`JobCounts::started_share`]; `None` before the first job.
     pub fn least_served_team(&self) -> Option<NamedCounts<'_>> {
         least_served(&self.teams)
     }
--- a/crates/state/src/task_bitmap.rs
+++ b/crates/state/src/task_bitmap.rs
@@ -1,9 +1,9 @@
-//! A set of tasks of one job, a bit each.
+//! A set of tasks of one job, with one bit per task.
 
 #[cfg(test)]
 mod tests;
 
-/// A set of a job's tasks, by their indexes.
+/// A set of task indexes of one job.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct TaskBitmap {
     bytes: Vec<u8>,
@@ -13,17 +13,18 @@
 /// A part of a [`TaskBitmap`] as hexadecimal digits.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HexPart {
-    /// The first task of the part.
+    /// The index of the part's first task.
     pub first_task: u32,
-    /// Two digits for eight tasks, the first of them in the lowest bit.
+    /// Two digits per eight tasks; the first of these tasks is the lowest bit.
     pub digits: String,
 }
 
-/// Text that is not what [`TaskBitmap::to_hex_parts`] writes.
+/// A text does not have the form that [`TaskBitmap::to_hex_parts`] writes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct InvalidHex;
 
-/// Tasks in a [`HexPart`], so that it fits the smallest value of the store.
+/// The number of tasks in a [`HexPart`]. Its 4096 digits fit in a value even at the smallest
+/// size limit of a store.
 const TASKS_PER_PART: u32 = 16_384;
 
 impl TaskBitmap {
@@ -33,16 +34,16 @@
         byte & (1 << (task % 8)) != 0
     }
 
-    /// Adds a task; whether it was not in the set before.
+    /// Adds a task. Returns whether it was new to the set.
     pub fn insert(&mut self, task: u32) -> bool {
         if self.contains(task) {
             return false;
         }
-        let byte = task as usize / 8;
-        if self.bytes.len() <= byte {
-            self.bytes.resize(byte + 1, 0);
+        let byte_index = task as usize / 8;
+        if self.bytes.len() <= byte_index {
+            self.bytes.resize(byte_index + 1, 0);
         }
-        self.bytes[byte] |= 1 << (task % 8);
+        self.bytes[byte_index] |= 1 << (task % 8);
         self.count += 1;
         true
     }
@@ -52,12 +53,12 @@
         self.count
     }
 
-    /// The set as hexadecimal digits, in parts that fit the smallest value of the store.
+    /// The set as hexadecimal digits, in parts that each fit in a value of the store.
     pub fn to_hex_parts(&self) -> Vec<HexPart> {
         let parts = self.bytes.chunks(TASKS_PER_PART as usize / 8).enumerate();
         parts
-            .map(|(i, bytes)| HexPart {
-                first_task: i as u32 * TASKS_PER_PART,
+            .map(|(part_index, bytes)| HexPart {
+                first_task: part_index as u32 * TASKS_PER_PART,
                 digits: bytes.iter().map(|byte| format!("{byte:02x}")).collect(),
             })
             .collect()
@@ -67,16 +68,16 @@
     ///
     /// # Errors
     ///
-    /// If the text has an odd length or something else than hexadecimal digits. The tasks
-    /// before that were added.
+    /// `InvalidHex` if the text has an odd length or contains anything but hexadecimal
+    /// digits. The tasks of the digits before the error have been added.
     pub fn insert_hex(&mut self, first_task: u32, digits: &str) -> Result<(), InvalidHex> {
-        for (i, pair) in digits.as_bytes().chunks(2).enumerate() {
+        for (pair_index, pair) in digits.as_bytes().chunks(2).enumerate() {
             let &[high, low] = pair else {
                 return Err(InvalidHex);
             };
             let byte = hex_digit(high)? << 4 | hex_digit(low)?;
             for bit in (0..8).filter(|bit| byte & (1 << bit) != 0) {
-                self.insert(first_task + i as u32 * 8 + bit);
+                self.insert(first_task + pair_index as u32 * 8 + bit);
             }
         }
         Ok(())
--- a/crates/state/src/task_bitmap/tests.rs
+++ b/crates/state/src/task_bitmap/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_bitmap_survives_a_snapshot_in_parts_that_fit_the_smallest_value() {
+fn a_bitmap_is_restored_from_hex_parts_of_at_most_4096_digits() {
     let mut bitmap = TaskBitmap::default();
     for task in (0..100_000).filter(|task| task % 3 != 0) {
         assert!(bitmap.insert(task));
