--- a/crates/state/tests/memory.rs
+++ b/crates/state/tests/memory.rs
@@ -1,4 +1,4 @@
-//! What a controller holds at full size, by counted allocations.
+//! Memory that the replicated state takes at full fleet size, by counted allocations.
 
 use rushwalk_protocol::ids::{JobId, MachineId};
 use rushwalk_protocol::jobs::JobSpec;
@@ -14,12 +14,12 @@
 
 const MACHINES: usize = 2100;
 const JOBS: usize = 1000;
-const TASKS: usize = 8;
+const TASKS_PER_JOB: usize = 8;
 
 fn spec(n: usize) -> Arc<JobSpec> {
     let text = format!(
         r#"{{"uid":"j-{n:06}","lane":"a","crew":"red","shape":"sweep","rank":"normal",
-        "pieces":{TASKS},"cpus":1,"gpus":1,"memoryGb":1,"kit":"img-{:02}","sizeGb":1,
+        "pieces":{TASKS_PER_JOB},"cpus":1,"gpus":1,"memoryGb":1,"kit":"img-{:02}","sizeGb":1,
         "together":false,"spread":false,"loaners":true,"guessS":60,"waypointS":0,
         "stashS":0}}"#,
         n % 12
@@ -45,17 +45,17 @@
     }
 }
 
-/// The tasks of one job, each on a machine.
+/// The tasks of job `n`, each with the machine on which it is placed.
 fn tasks_of(n: usize) -> Vec<TaskOnMachine> {
     let task = |t: usize| TaskOnMachine {
         task: t as u32,
-        machine: machine_id((n * TASKS + t) % MACHINES),
+        machine: machine_id((n * TASKS_PER_JOB + t) % MACHINES),
     };
-    (0..TASKS).map(task).collect()
+    (0..TASKS_PER_JOB).map(task).collect()
 }
 
-/// A full fleet under a thousand jobs, and twenty thousand that are finished.
-fn full() -> ClusterState {
+/// A state with a full fleet, 1000 active jobs and 20,000 finished ones.
+fn full_state() -> ClusterState {
     let mut state = ClusterState::new(DurationEstimator::new(10, 1.0));
     for n in 0..MACHINES {
         let adopted = MachineAdopted {
@@ -103,7 +103,7 @@
     state
 }
 
-/// The same records as the store would list them.
+/// A snapshot of the state as the store would list it.
 fn listing(state: &ClusterState) -> Vec<KeyValue> {
     let packed = codec::pack(&state.to_mutations(), 16_000);
     let manifest = SnapshotManifest {
@@ -111,7 +111,7 @@
         generation: 1,
         chunks: packed.len(),
     };
-    let head = KeyValue {
+    let manifest_entry = KeyValue {
         key: keys::SNAPSHOT_MANIFEST.into(),
         value: serde_json::value::to_raw_value(&manifest).unwrap(),
         version: 10,
@@ -121,27 +121,31 @@
         value: codec::frame(9, text).unwrap(),
         version: 10,
     });
-    std::iter::once(head).chain(chunks).collect()
+    std::iter::once(manifest_entry).chain(chunks).collect()
 }
 
-/// The smallest controllers have 142 MB for everything, connections included: the state, a
-/// snapshot of it, and a listing beside the old state must leave most.
+/// The smallest controllers have 142 MB for everything, connections included. The state, the
+/// writing of a snapshot, and a state that is built from a listing beside the old one must
+/// leave most of this free.
 #[test]
-fn a_full_fleet_leaves_most_of_the_memory() {
+fn the_state_of_a_full_fleet_takes_a_small_part_of_the_memory() {
     const MB: u64 = 1 << 20;
     let mut state = None;
-    let made = allocation_counter::measure(|| state = Some(full()));
+    let state_memory = allocation_counter::measure(|| state = Some(full_state()));
     let state = state.unwrap();
     let tasks: usize = state.machines.values().map(|m| m.tasks.len()).sum();
-    assert_eq!(tasks, JOBS * TASKS, "each task has its machine");
-    assert!(made.bytes_current < 9 * MB as i64, "{made:?}");
+    assert_eq!(tasks, JOBS * TASKS_PER_JOB, "every task is placed");
+    assert!(
+        state_memory.bytes_current < 9 * MB as i64,
+        "{state_memory:?}"
+    );
     let mut listed = None;
-    let dumped = allocation_counter::measure(|| listed = Some(listing(&state)));
-    assert!(dumped.bytes_max < 14 * MB, "{dumped:?}");
-    let mut again = None;
+    let snapshot_memory = allocation_counter::measure(|| listed = Some(listing(&state)));
+    assert!(snapshot_memory.bytes_max < 14 * MB, "{snapshot_memory:?}");
+    let mut restored = None;
     let listed = listed.unwrap();
-    let replica =
-        allocation_counter::measure(|| again = Some(ClusterState::from_listing(listed, 10, 40)));
-    assert!(replica.bytes_max < 16 * MB, "{replica:?}");
-    assert_eq!(again.unwrap().unwrap().machines.len(), MACHINES);
+    let replica_memory =
+        allocation_counter::measure(|| restored = Some(ClusterState::from_listing(listed, 10, 40)));
+    assert!(replica_memory.bytes_max < 16 * MB, "{replica_memory:?}");
+    assert_eq!(restored.unwrap().unwrap().machines.len(), MACHINES);
 }
