--- a/crates/random/src/lib.rs
+++ b/crates/random/src/lib.rs
@@ -1,5 +1,5 @@
-//! Random numbers: from the operating system or, on threads with virtual time, from a
-//! seed, so that a simulated day is reproduced down to its last commit.
+//! Random numbers. They come from the operating system or, on a thread that was seeded, from
+//! a deterministic generator: a simulation with virtual time then reproduces every commit.
 
 #![deny(missing_docs)]
 
@@ -9,33 +9,36 @@
 use std::collections::HashMap;
 use std::hash::{BuildHasher, DefaultHasher, Hasher};
 
-/// Identifiers have 52 bits, so that they are exact in JSON's numbers.
+/// The number of bits that are dropped from a random number to make an identifier. The
+/// remaining 52 bits are represented exactly by a JSON number (a double).
 const ID_SHIFT: u32 = 12;
 
 thread_local! {
-    /// The generator of a thread that was seeded.
-    static SEEDED: RefCell<Option<SmallRng>> = const { RefCell::new(None) };
+    /// The deterministic generator of this thread; `None` unless the thread was seeded.
+    static SEEDED_GENERATOR: RefCell<Option<SmallRng>> = const { RefCell::new(None) };
 }
 
-/// Makes the random numbers of this thread follow from a seed.
+/// Makes all further random numbers of this thread deterministic, determined by `seed`.
 pub fn seed(seed: u64) {
-    SEEDED.set(Some(SmallRng::seed_from_u64(seed)));
+    SEEDED_GENERATOR.set(Some(SmallRng::seed_from_u64(seed)));
 }
 
-/// A random number of 64 bits.
+/// A random number of 64 bits, from the thread's seeded generator if there is one.
 pub fn random_u64() -> u64 {
-    SEEDED.with_borrow_mut(|seeded| match seeded {
+    SEEDED_GENERATOR.with_borrow_mut(|seeded| match seeded {
         Some(generator) => generator.random(),
         None => rand::random(),
     })
 }
 
-/// An identifier of a process or of a leader's term; two are practically never equal.
+/// A random identifier of 52 bits for a process or an election. Two identifiers are equal
+/// with negligible probability.
 pub fn random_id() -> u64 {
     random_u64() >> ID_SHIFT
 }
 
-/// A hasher whose key is random, so that users can't choose names that collide.
+/// Builds hashers with a random key, so that users can't choose names with colliding hashes.
+/// On a seeded thread the key is deterministic.
 #[derive(Clone)]
 pub struct SeededState {
     key: u64,
@@ -57,5 +60,6 @@
     }
 }
 
-/// A map whose order follows from the seed, for maps whose order decides something.
+/// A hash map with [`SeededState`]. On a seeded thread its iteration order is reproducible,
+/// for maps whose iteration order affects decisions.
 pub type SeededMap<K, V> = HashMap<K, V, SeededState>;
