--- a/crates/rushwalk/src/leadership.rs
+++ b/crates/rushwalk/src/leadership.rs
@@ -1,4 +1,5 @@
-//! Who leads: election, failover and stepping down, and what only the leader may commit.
+//! Leadership: election, failover and stepping down, and the commits that only the leader may
+//! make.
 
 pub(crate) mod election;
 pub(crate) mod leader;
--- a/crates/rushwalk/src/leadership/election.rs
+++ b/crates/rushwalk/src/leadership/election.rs
@@ -1,6 +1,6 @@
-//! The election: a controller acquires leadership when no controller holds it or the leader
-//! has failed, in the order of the candidates, and relinquishes it if it is too slow and
-//! another is not.
+//! Leader election. A controller acquires leadership when no controller holds it or the leader
+//! has failed; candidates of lower rank wait longer before they try. A leader steps down if
+//! its event loop lags and another controller has headroom.
 
 use super::leader::{LeaderVersion, Leadership, leadership_term};
 use crate::context::Context;
@@ -16,48 +16,49 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout};
 
-/// A leader whose timers are late is stalled when its latest round is older than so many
-/// rounds usually take.
-const STALLED_ROUNDS: f64 = 2.5;
+/// A leader whose event loop lags counts as stalled once its latest scheduling round is older
+/// than this many mean round intervals.
+const STALLED_ROUND_INTERVALS: f64 = 2.5;
 
-/// Rounds for which timers must be late before a leader steps down.
+/// A leader counts as slow once its event loop has lagged for this many scheduling rounds.
 const SLOW_ROUNDS: f64 = 2.0;
 
-/// Takes part in elections.
+/// This controller's participation in leader elections.
 pub struct Election {
     parts: ElectionParts,
     slowness: SlownessTracker,
-    /// Since when no live controller holds leadership.
+    /// Since when this process has seen leadership as vacant; `None` while it is held, and while
+    /// this process is not registered.
     vacant_since: Option<Instant>,
 }
 
-/// The parts that an election uses.
+/// The parts of the controller that an [`Election`] uses.
 pub struct ElectionParts {
-    /// This process's context.
+    /// Identity, settings and timing of this process.
     pub context: Arc<Context>,
-    /// Shows who leads.
+    /// The replica of the cluster's state, which contains the leader record.
     pub replica: Arc<Replica>,
-    /// Commits the leader key.
+    /// Commits writes and deletions of the leader key.
     pub committer: Arc<Committer>,
-    /// Its lease is that of the leader key.
+    /// Provides the member lease, to which the leader key is attached.
     pub membership: Arc<Membership>,
-    /// The leadership to be acquired.
+    /// Whether this process is the leader.
     pub leadership: Arc<Leadership>,
-    /// Shows who has failed, and who else may lead.
+    /// The failure detector: which controllers have failed, and which could lead.
     pub peers: Arc<PeerMonitor>,
-    /// Shows whether this controller keeps up.
+    /// The lag of this controller's event loop.
     pub runtime_lag: Arc<RuntimeLag>,
 }
 
-/// An election that is to be tried.
+/// The transaction with which this process tries to become the leader.
 struct Candidacy {
     transaction: Transaction,
-    /// This process led before, and only rewrites its key.
+    /// This process won the latest election and only rewrites its leader key.
     is_renewal: bool,
 }
 
 impl Election {
-    /// A controller that has taken part in no election.
+    /// A participant that has entered no election.
     pub fn new(parts: ElectionParts) -> Election {
         Election {
             parts,
@@ -71,7 +72,8 @@
         let mut seen = self.parts.replica.change_count();
         let interval = self.parts.context.timing.peer_heartbeat / 2;
         loop {
-            // A change shows at once; time alone changes the rest.
+            // A change of the state ends the wait. It is limited to `interval` because lag, lease
+            // expiry and the delays of candidates depend on time alone.
             let _ = timeout(interval, self.parts.replica.changed_since(seen)).await;
             seen = self.parts.replica.change_count();
             let lease = self.parts.membership.lease();
@@ -90,7 +92,8 @@
         }
     }
 
-    /// What a leader does: it fences its own unresolved commits, or steps down.
+    /// Called while this process is the leader: fences an unresolved commit by rewriting the
+    /// leader key, or steps down if another controller should lead.
     async fn keep_or_step_down(&mut self, version: LeaderVersion, lease: u64, pause: Duration) {
         if self.parts.leadership.has_unresolved_commit() {
             self.campaign(lease).await;
@@ -101,25 +104,27 @@
         }
     }
 
-    /// What another controller does while leadership is vacant: it lets the candidates that
-    /// rank before it go first, then campaigns.
+    /// Called while leadership is vacant: campaigns after a delay in which candidates of higher
+    /// rank can win.
     async fn campaign_in_order(&mut self, lease: u64, pause: Duration) {
         if self.parts.membership.is_crash_looping() {
             self.defer_election().await;
         }
         let since = *self.vacant_since.get_or_insert_with(Instant::now);
         if since.elapsed() < self.election_delay() {
-            // Nothing may change meanwhile but the time.
+            // The delay ends with time alone, so it is checked again; this pause limits how often
+            // that happens while the state keeps changing.
             sleep(pause / 4).await;
             return;
         }
         self.campaign(lease).await;
-        // If it failed, a retry at once would only add load to the store.
+        // If the campaign failed, an immediate retry would only add load to the store.
         sleep(pause).await;
     }
 
-    /// Whether leadership can be acquired: nobody has it, a previous process of ours, or a
-    /// controller that has failed. The commit is conditioned on the key as it was seen.
+    /// Whether leadership may be acquired: the leader key is absent, or it names this controller
+    /// (usually an earlier process of it) or a controller that has failed. An outdated view does
+    /// no harm, because the commit requires the leader key to be unchanged.
     fn is_vacant(&self) -> bool {
         let state = self.parts.replica.state();
         match &state.leader {
@@ -129,7 +134,8 @@
         }
     }
 
-    /// How long to wait for candidates that rank before this one.
+    /// How long this process waits before it campaigns, so that candidates of higher rank can
+    /// win first.
     fn election_delay(&self) -> Duration {
         let detector = self.parts.peers.detector();
         let now_s = self.parts.context.uptime_s();
@@ -147,19 +153,21 @@
         };
         let rank = succession::election_rank(&candidate, &others, detector.config().timing());
         let timing = &self.parts.context.timing;
-        let queue = (timing.round / 4 * rank as u32).min(timing.member_lease / 2);
-        // A controller that relinquished or lost leadership lately leaves it to others, if
-        // there are any.
+        let rank_delay = (timing.round / 4 * rank as u32).min(timing.member_lease / 2);
+        // If there are other candidates, two more rounds are left to them by a controller that
+        // is in its delay after a departure (such as losing or relinquishing leadership), or
+        // that is crash looping.
         let defers = rank > 0 && !is_eligible
             || !others.is_empty() && self.parts.membership.is_crash_looping();
         if defers {
-            queue + timing.round * 2
+            rank_delay + timing.round * 2
         } else {
-            queue
+            rank_delay
         }
     }
 
-    /// Who should lead in place of this controller, if it is too slow and another is not.
+    /// The controller that should lead instead of this leader. `None` unless this leader is slow
+    /// or stalled and another controller has headroom.
     fn better_leader(&mut self) -> Option<String> {
         let last_round_age = self.parts.leadership.last_round().map(|at| at.elapsed());
         let detector = self.parts.peers.detector();
@@ -169,20 +177,22 @@
         let is_slow = self
             .slowness
             .observe(now_s, mean_lag_s, timing, SLOW_ROUNDS);
-        // As compared to its own rounds of late: many jobs take long to plan, wherever that
-        // is done.
-        let usual = self
+        // The limit follows from the mean interval of this leader's own rounds: with many jobs,
+        // planning takes long on any controller.
+        let usual_interval = self
             .parts
             .leadership
             .round_interval()
             .max(self.parts.context.timing.round);
-        let misses_rounds = last_round_age.is_some_and(|age| age > usual.mul_f64(STALLED_ROUNDS));
+        let misses_rounds =
+            last_round_age.is_some_and(|age| age > usual_interval.mul_f64(STALLED_ROUND_INTERVALS));
         let is_stalled = misses_rounds && mean_lag_s >= timing.slow_threshold_s() / 2.0;
         if !(is_slow || is_stalled) {
             return None;
         }
-        // Once in a worker lease, whoever it was: if the next leader can't keep up either,
-        // it is the load, and leadership would go round.
+        // No leader steps down within a worker lease after leadership left any live controller:
+        // if the next leader can't keep up either, the cause is the load, and leadership would
+        // only circulate.
         let since_transfer = self.parts.leadership.since_last_transfer();
         if since_transfer.is_some_and(|since| since < self.parts.context.timing.worker_lease) {
             return None;
@@ -191,8 +201,8 @@
         successor.map(str::to_string)
     }
 
-    /// Relinquishes leadership by deleting its key: whatever of ours is still in flight is
-    /// conditioned on it and fails.
+    /// Relinquishes leadership by deleting the leader key. Commits of this leader that are still
+    /// in flight require the key's version, so they fail.
     async fn step_down(&self, version: LeaderVersion, successor: &str) {
         let lag_ms = self.parts.runtime_lag.mean_lag().as_millis() as u64;
         tracing::info!(
@@ -214,17 +224,17 @@
                     self.parts.context.member(),
                     term,
                 );
-                self.wait_for(revision).await;
+                self.wait_until_applied(revision).await;
             }
             CommitOutcome::Unanswered(_) => self.parts.leadership.mark_unresolved_commit(),
             _ => {}
         }
     }
 
-    /// Leadership still belongs to the previous process of this controller, which crashed
-    /// soon after it was elected: its key is deleted, so that a more stable controller
-    /// acquires it. A controller that was crash looping led each time, for 20 s, and nobody
-    /// received the heartbeats of its machines.
+    /// Called if the previous process of this controller ended soon after its start. If the leader
+    /// key still names this controller, the key is deleted, so that a more stable controller
+    /// acquires leadership. Without this, a crash-looping controller became the leader again
+    /// after each crash, for 20 s, and no controller received the heartbeats of its machines.
     async fn defer_election(&self) {
         let transaction = {
             let state = self.parts.replica.state();
@@ -243,13 +253,16 @@
             .committer
             .commit(transaction, WritePriority::Coordination);
         if let CommitOutcome::Committed(revision) = commit.await {
-            tracing::info!("leadership left to others: the previous process ended soon");
-            self.wait_for(revision).await;
+            tracing::info!(
+                "leadership not reclaimed: the previous process ended soon after its start"
+            );
+            self.wait_until_applied(revision).await;
         }
     }
 
-    /// Tries to acquire leadership with a member lease. Not before this process is
-    /// registered: a leader that was not a member yet assigned all shards to others.
+    /// Tries to acquire leadership, with the leader key attached to the member lease `lease`.
+    /// Does nothing before this process is registered: a leader that was not yet a member
+    /// assigned all shards to other controllers.
     pub async fn campaign(&self, lease: u64) {
         if !self.parts.replica.is_registered() {
             return;
@@ -271,28 +284,30 @@
             CommitOutcome::Committed(revision) => {
                 self.parts.leadership.record_election(!candidacy.is_renewal);
                 tracing::info!(revision, "leadership acquired");
-                self.wait_for(revision).await;
+                self.wait_until_applied(revision).await;
                 self.parts.leadership.notify_acquired();
             }
             CommitOutcome::LeaseExpired => self.parts.membership.forget_lease(),
-            // The next read of the state shows the outcome.
+            // The replica shows the outcome after its next read of the store.
             _ => {}
         }
     }
 
-    /// The transaction that acquires leadership; `None` if it is not to be acquired.
+    /// The transaction that writes the leader key; `None` if this process may not or need not
+    /// write it.
     fn candidacy(&self, state: &ClusterState, election_id: u64, lease: u64) -> Option<Candidacy> {
-        let leads = self.parts.leadership.version(state).is_some();
+        let is_leader = self.parts.leadership.version(state).is_some();
         let known_election = self.parts.leadership.election_id();
         let mut is_renewal = false;
         if let Some(leader) = &state.leader {
             is_renewal = Some(leader.value.election_id) == known_election;
             if leader.value.member == self.parts.context.member() {
-                // Ours: nothing to do if the replica is only not caught up, or if no commit
-                // may arrive late.
-                let is_current = !leads && is_renewal;
-                let is_confirmed = leads && !self.parts.leadership.has_unresolved_commit();
-                if is_current || is_confirmed {
+                // The key names this controller. It stays as it is if this process wrote it and
+                // the replica has yet to catch up, or if this process leads and has no commit of
+                // unknown outcome.
+                let is_catching_up = !is_leader && is_renewal;
+                let is_confirmed = is_leader && !self.parts.leadership.has_unresolved_commit();
+                if is_catching_up || is_confirmed {
                     return None;
                 }
             } else if !self.parts.peers.is_failed(state, &leader.value.member) {
@@ -312,7 +327,8 @@
         })
     }
 
-    async fn wait_for(&self, revision: Revision) {
+    /// Waits until the replica has applied a revision, at most for two scheduling rounds.
+    async fn wait_until_applied(&self, revision: Revision) {
         let max_wait = self.parts.context.timing.round * 2;
         self.parts
             .replica
--- a/crates/rushwalk/src/leadership/leader.rs
+++ b/crates/rushwalk/src/leadership/leader.rs
@@ -1,4 +1,5 @@
-//! Whether this process leads, and commits that are fenced by its leadership.
+//! Whether this process is the leader, and its commits as the leader, which the store rejects
+//! once another process leads.
 
 use crate::context::Context;
 use crate::store::log_writer::Precondition;
@@ -13,18 +14,18 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, timeout};
 
-/// The version of the leader key under which this process leads. Every commit of the leader
-/// is conditioned on it, so that a deposed leader commits nothing more.
+/// The version that the leader key got when this process last wrote it. Every commit of the
+/// leader requires the key to have this version, so commits of a deposed leader fail.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaderVersion(Revision);
 
 impl LeaderVersion {
-    /// A transaction that is carried out only while this leadership lasts.
+    /// An empty transaction that the store carries out only if the leader key has this version.
     pub fn transaction(self) -> Transaction {
         Transaction::default().expect_version(keys::LEADER, self.0)
     }
 
-    /// The revision at which the key was written.
+    /// The store revision at which the leader key was written.
     pub fn revision(self) -> Revision {
         self.0
     }
@@ -37,7 +38,9 @@
     }
 }
 
-/// The term that ends when a leader relinquishes leadership, by the version of its key.
+/// The term that is recorded as a departure when a leader steps down. It follows from the
+/// version of the leader key alone, so several observations of one resignation count once. The
+/// incarnation is 0, which distinguishes it from the terms of member processes.
 pub(crate) fn leadership_term(version: Revision) -> MembershipTerm {
     MembershipTerm {
         incarnation: 0,
@@ -47,22 +50,26 @@
 
 #[derive(Default)]
 struct Term {
-    /// The election that this process has won or tried last.
+    /// The id of the latest election that this process entered, won or not; `None` before the
+    /// first.
     election_id: Option<u64>,
-    /// A commit of ours was not answered: it may arrive late, until the leader key is
-    /// rewritten.
+    /// The store did not answer a commit of this process. It may still be carried out until the
+    /// leader key is rewritten, because it requires the key's present version.
     has_unresolved_commit: bool,
-    /// When this process came to lead.
+    /// When this process last became the leader, also if it no longer is; `None` if it never
+    /// did.
     since: Option<Instant>,
-    /// When the latest scheduling round was finished, or leadership acquired.
+    /// When the latest scheduling round ended, or this process last won an election, whichever
+    /// is later; `None` before both.
     last_round: Option<Instant>,
-    /// The mean time between rounds.
+    /// The mean time between the ends of scheduling rounds; each new gap has a weight of 1/8.
     round_interval: Duration,
-    /// When leadership last passed from one live controller to another.
+    /// When leadership was last seen to leave a controller that was still a member; `None` if
+    /// never.
     last_transfer: Option<Instant>,
 }
 
-/// This process's leadership.
+/// Tracks whether this process is the leader, and commits on its behalf.
 pub struct Leadership {
     context: Arc<Context>,
     replica: Arc<Replica>,
@@ -73,7 +80,7 @@
 }
 
 impl Leadership {
-    /// A process that does not lead.
+    /// The leadership of a process that has entered no election.
     pub fn new(
         context: Arc<Context>,
         replica: Arc<Replica>,
@@ -94,72 +101,77 @@
         }
     }
 
-    /// The version under which this process leads, if it does.
+    /// The version of the leader key if this process is the leader according to `state`.
+    /// `None` otherwise, and while `state` lacks a change that this process read or committed.
     pub fn version(&self, state: &ClusterState) -> Option<LeaderVersion> {
         let leader = state.leader.as_ref()?;
         let is_ours = leader.value.member == self.context.member()
             && Some(leader.value.election_id) == self.election_id();
-        // Changes come in their order, so a leader that sees its key has seen all that its
-        // predecessor committed. Its own commits must be in too, or it would count too
-        // little against the teams' quotas.
+        // The watch delivers changes in order, so a state that contains this leader's key also
+        // contains all commits of its predecessor. The leader's own commits must be applied as
+        // well: without them it would count too little against the teams' quotas.
         (is_ours && self.replica.is_complete(state)).then_some(LeaderVersion(leader.version))
     }
 
-    /// The same, of the state as it is now.
+    /// [`Leadership::version`] for the current state of the replica.
     pub fn current_version(&self) -> Option<LeaderVersion> {
         let state = self.replica.state();
         self.version(&state)
     }
 
-    /// Whether this process leads.
+    /// Whether this process is the leader according to the current state of the replica.
     pub fn is_leader(&self) -> bool {
         self.current_version().is_some()
     }
 
-    /// The version under which this process may decide something new: it leads, and no
-    /// commit of its own may still arrive late.
+    /// The version of the leader key if this process may make new decisions: it is the leader,
+    /// and none of its commits has an unknown outcome and may still be carried out.
     pub fn version_to_act(&self) -> Option<LeaderVersion> {
         let version = self.current_version();
         version.filter(|_| !self.has_unresolved_commit())
     }
 
-    /// The election that this process has won or tried last.
+    /// The id of the latest election that this process entered, won or not; `None` before the
+    /// first.
     pub fn election_id(&self) -> Option<u64> {
         self.term.lock().election_id
     }
 
-    /// Whether a commit of this leader may still arrive late.
+    /// Whether a commit of this leader has an unknown outcome and may still be carried out.
     pub fn has_unresolved_commit(&self) -> bool {
         self.term.lock().has_unresolved_commit
     }
 
-    /// A commit of this leader was not answered: the leader key must be rewritten before
-    /// anything else is decided.
+    /// Records that the store did not answer a commit of this leader. The leader key must then be
+    /// rewritten before any new decision.
     pub fn mark_unresolved_commit(&self) {
         self.term.lock().has_unresolved_commit = true;
     }
 
-    /// How long this process has been leading.
+    /// Time since this process last became the leader, also if it no longer is; `None` if it
+    /// never did.
     pub fn leading_for(&self) -> Option<Duration> {
         self.term.lock().since.map(|since| since.elapsed())
     }
 
-    /// When the latest scheduling round was finished, or leadership acquired.
+    /// When the latest scheduling round ended, or this process last won an election, whichever
+    /// is later; `None` before both.
     pub fn last_round(&self) -> Option<Instant> {
         self.term.lock().last_round
     }
 
-    /// The mean time between scheduling rounds.
+    /// The mean time between the ends of scheduling rounds; each new gap has a weight of 1/8.
     pub fn round_interval(&self) -> Duration {
         self.term.lock().round_interval
     }
 
-    /// How long ago leadership last passed from one live controller to another.
+    /// Time since leadership was last seen to leave a controller that was still a member, which
+    /// stepped down or was deposed; `None` if never.
     pub fn since_last_transfer(&self) -> Option<Duration> {
         self.term.lock().last_transfer.map(|at| at.elapsed())
     }
 
-    /// Records that leadership passed from one live controller to another.
+    /// Records that leadership left a controller that is still a member.
     pub fn record_transfer(&self) {
         self.term.lock().last_transfer = Some(Instant::now());
     }
@@ -174,12 +186,13 @@
         }
     }
 
-    /// Records the election that this process is about to try.
+    /// Records the id of the election that this process is about to enter.
     pub(crate) fn begin_election(&self, election_id: u64) {
         self.term.lock().election_id = Some(election_id);
     }
 
-    /// Records that an election was won; `is_new` unless this process led before.
+    /// Records that this process won an election. `is_new` is false if it was the leader already
+    /// and only rewrote the leader key.
     pub(super) fn record_election(&self, is_new: bool) {
         let mut term = self.term.lock();
         term.has_unresolved_commit = false;
@@ -190,24 +203,26 @@
         term.round_interval = self.context.timing.round;
     }
 
-    /// Wakes the scheduling loop: a new leader need not wait for the next round.
+    /// Wakes the scheduling loop, so that a new leader starts its first round without delay.
     pub(super) fn notify_acquired(&self) {
         self.acquired.notify_one();
     }
 
-    /// Waits until leadership is acquired, for `max_wait` at most.
+    /// Waits until leadership is acquired, at most for `max_wait`.
     pub async fn wait_acquired(&self, max_wait: Duration) {
         let _ = timeout(max_wait, self.acquired.notified()).await;
     }
 
-    /// Commits under this leadership (see [`LeaderVersion::transaction`]); false if the
-    /// leader should not go on.
+    /// Commits a transaction that was made by [`LeaderVersion::transaction`]. Returns false if it
+    /// failed or its outcome is unknown; the caller must then not continue on the assumption that
+    /// it was carried out.
     pub async fn commit(&self, transaction: Transaction, priority: WritePriority) -> bool {
         let outcome = self.committer.commit(transaction, priority).await;
         self.is_committed(&outcome)
     }
 
-    /// Appends to the log under this leadership; false if the leader should not go on.
+    /// Appends mutations to the log on condition that the leader key still has the given version.
+    /// Returns false in the same cases as [`Leadership::commit`].
     pub async fn append(
         &self,
         version: LeaderVersion,
@@ -222,8 +237,8 @@
         self.is_committed(&outcome)
     }
 
-    /// Whether a commit of this leader was carried out. One of unknown outcome is fenced
-    /// before anything else is decided.
+    /// Whether a commit of this leader was carried out. If the outcome is unknown, it blocks new
+    /// decisions until the leader key has been rewritten (see [`Leadership::version_to_act`]).
     pub(super) fn is_committed(&self, outcome: &CommitOutcome) -> bool {
         match outcome {
             CommitOutcome::Committed(_) => true,
--- a/crates/rushwalk/src/leadership/snapshot_writer.rs
+++ b/crates/rushwalk/src/leadership/snapshot_writer.rs
@@ -1,5 +1,6 @@
-//! The leader writes snapshots, so that the log's keys can be reused and a controller
-//! that starts has little to read.
+//! Snapshots of the cluster's state, which the leader writes to the store. A snapshot allows
+//! the keys of the log entries that it includes to be reused, and shortens what a starting
+//! controller must read.
 
 use super::leader::{LeaderVersion, Leadership};
 use crate::context::Context;
@@ -15,36 +16,39 @@
 use tokio::task::yield_now;
 use tokio::time::sleep;
 
-/// A snapshot is written after as many log entries as the store takes in so many seconds.
-const ENTRIES_S: f64 = 12.0;
+/// A snapshot is due after as many log entries as the store's write limit allows in this many
+/// seconds.
+const LOG_GROWTH_S: f64 = 12.0;
 
-/// Mutations packed in one time slice.
-const PACKED_AT_ONCE: usize = 256;
+/// Mutations that are packed before other tasks of the event loop may run.
+const MUTATIONS_PER_SLICE: usize = 256;
 
-/// Bytes of chunks in one transaction.
-const MAX_CHUNK_BYTES: usize = 40 << 10;
+/// Upper limit of the chunks in one transaction, in bytes. A chunk that is larger by itself is
+/// written alone.
+const MAX_CHUNK_BYTES_PER_TRANSACTION: usize = 40 << 10;
 
 /// Writes snapshots while this process leads.
 pub(crate) struct SnapshotWriter {
-    /// This process's context.
+    /// Identity, settings and timing of this process.
     pub context: Arc<Context>,
-    /// The state of which snapshots are made.
+    /// The replica of the cluster's state, from which snapshots are made.
     pub replica: Arc<Replica>,
-    /// Commits the chunks.
+    /// Commits the chunks and the manifest.
     pub committer: Arc<Committer>,
-    /// Knows the size of a value.
+    /// Provides the size limit of a chunk.
     pub log: Arc<LogWriter>,
-    /// Only the leader writes.
+    /// Whether this process is the leader; only the leader writes snapshots.
     pub leadership: Arc<Leadership>,
-    /// Measures the work that is done.
+    /// Measures the time spent on snapshots.
     pub work_profile: Arc<WorkProfile>,
 }
 
 /// A snapshot that is being written.
 struct Draft {
+    /// The version of the leader key when the snapshot was begun; every write requires it.
     leader: LeaderVersion,
     manifest: SnapshotManifest,
-    /// The version of the manifest that this one replaces.
+    /// The version of the manifest key that the new manifest replaces.
     manifest_version: Revision,
 }
 
@@ -54,7 +58,7 @@
     mutations: Vec<Mutation>,
 }
 
-/// The outcome of a transaction with chunks.
+/// The outcome of writing a snapshot's chunks.
 enum ChunkOutcome {
     Written,
     Abandoned,
@@ -64,7 +68,7 @@
     /// Writes a snapshot whenever the log has grown enough, until the process ends.
     pub(crate) async fn run(self) {
         let write_rps = self.context.settings.site.store.write_rps;
-        let max_entries = (ENTRIES_S * write_rps) as usize;
+        let max_entries = (LOG_GROWTH_S * write_rps) as usize;
         loop {
             sleep(self.context.timing.round * 2).await;
             if self.is_due(max_entries) {
@@ -78,8 +82,9 @@
         self.leadership.version(&state).is_some() && state.entries_since_snapshot > max_entries
     }
 
-    /// Chunks first, in the keys that are not in use, then the manifest that makes them
-    /// count. All on condition of the leader key: of two leaders one fails.
+    /// Writes the chunks first, to keys that the current snapshot does not use, then the manifest
+    /// that makes them the current snapshot. Every write requires the version of the leader key,
+    /// so that of two leaders only one can succeed.
     async fn write(&self) {
         let Some(DraftContents {
             mut draft,
@@ -113,14 +118,15 @@
         })
     }
 
-    /// Packs the mutations, which are of one moment; that takes longer than others on this
-    /// thread should wait.
+    /// Packs the mutations into chunks. Packing the whole state takes longer than other tasks on
+    /// this thread should wait, so they may run in between; the snapshot stays consistent because
+    /// `mutations` was copied from the state at one revision.
     async fn pack(&self, mutations: Vec<Mutation>) -> Vec<String> {
         let mut packer = MutationPacker::new(self.log.max_packed_bytes());
-        for some in mutations.chunks(PACKED_AT_ONCE) {
+        for slice in mutations.chunks(MUTATIONS_PER_SLICE) {
             let mut timer = self.work_profile.start(WorkKind::Snapshot);
-            timer.add_items(some.len());
-            packer.extend(some);
+            timer.add_items(slice.len());
+            packer.extend(slice);
             drop(timer);
             yield_now().await;
         }
@@ -132,9 +138,9 @@
         while chunks.peek().is_some() {
             let mut transaction = draft.leader.transaction();
             let mut bytes = 0;
-            while let Some((index, text)) =
-                chunks.next_if(|(_, text)| bytes == 0 || bytes + text.len() <= MAX_CHUNK_BYTES)
-            {
+            while let Some((index, text)) = chunks.next_if(|(_, text)| {
+                bytes == 0 || bytes + text.len() <= MAX_CHUNK_BYTES_PER_TRANSACTION
+            }) {
                 bytes += text.len();
                 transaction.writes.push(Write {
                     put: Some(keys::snapshot_chunk(draft.manifest.generation, index)),
@@ -160,10 +166,12 @@
                 return ChunkOutcome::Written;
             }
             match outcome {
-                // Too many writes at once: more urgent ones go first.
+                // Rejected for now, for example because more urgent commits use up the write
+                // budget.
                 CommitOutcome::Rejected(_) => sleep(self.context.timing.round / 2).await,
-                // One of unknown outcome would, arriving late, replace a chunk of the next
-                // try once that counts, and nobody could read the snapshot any more.
+                // A commit of unknown outcome may still be carried out. If the snapshot were
+                // retried, the late commit could overwrite a chunk of the new snapshot after its
+                // manifest is written, and no controller could read the snapshot any more.
                 _ => return ChunkOutcome::Abandoned,
             }
             if self.leadership.current_version() != Some(draft.leader) {
@@ -185,8 +193,14 @@
         let SnapshotManifest {
             revision, chunks, ..
         } = draft.manifest;
-        tracing::info!(revision, chunks, ?outcome, "snapshot written");
-        // A manifest that arrives late must not name chunks that were written anew since.
+        tracing::info!(
+            revision,
+            chunks,
+            ?outcome,
+            "snapshot manifest commit finished"
+        );
+        // If the outcome is unknown, this fences the commit: carried out late, the manifest must
+        // not refer to chunks that have been overwritten since.
         self.leadership.is_committed(&outcome);
     }
 }
