--- a/crates/rushwalk/src/store.rs
+++ b/crates/rushwalk/src/store.rs
@@ -1,5 +1,5 @@
-//! The controller's side of the consensus-backed key-value store: the replica that follows
-//! it, the member lease, and how changes are committed.
+//! How a controller uses the consensus-backed key-value store: the replica of its contents,
+//! the member lease, and commits.
 
 pub(crate) mod committer;
 pub(crate) mod log_writer;
--- a/crates/rushwalk/src/store/committer.rs
+++ b/crates/rushwalk/src/store/committer.rs
@@ -14,30 +14,32 @@
 /// HTTP 429: too many requests.
 const TOO_MANY_REQUESTS: u16 = 429;
 
-/// How long the store may take for a commit before its outcome is unknown.
+/// A commit that the store has not answered within this time counts as of unknown outcome.
 const COMMIT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The shortest wait for the write budget.
+/// The shortest pause between two checks of the write budget.
 const MIN_BUDGET_WAIT: Duration = Duration::from_millis(5);
 
-/// Of the store's limit, what all controllers together use: some is left for misjudgement.
+/// The share of the store's write limit that all controllers together may use. The rest is a
+/// margin for errors in their rate limiting.
 const USED_SHARE: f64 = 0.9;
 
-/// The priority of a write, the most urgent first: users' requests go before maintenance.
+/// The priority of a write, the most urgent first. The lower priorities leave a part of the
+/// write budget to the higher ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WritePriority {
     /// Membership, leadership and shard leases: without them the cluster makes no progress.
     Coordination,
     /// A user's request.
     UserRequest,
-    /// Placement, and the outcomes of tasks and machines.
+    /// Placement of tasks, and state changes of tasks and machines.
     Scheduling,
     /// Writes that can be delayed.
     Maintenance,
 }
 
 impl WritePriority {
-    /// Writes of the burst that are left for more urgent ones.
+    /// The number of writes that must remain in the budget for more urgent commits.
     fn reserve(self) -> f64 {
         match self {
             WritePriority::Coordination | WritePriority::UserRequest => 0.0,
@@ -55,7 +57,7 @@
     }
 }
 
-/// Commits transactions.
+/// Commits transactions to the store within the write budget.
 pub struct Committer {
     client: StoreClient,
     replica: Arc<Replica>,
@@ -74,7 +76,9 @@
         }
     }
 
-    /// Commits a transaction within the write budget. The watch brings its result.
+    /// Waits until the write budget allows the transaction, then commits it. If that wait would
+    /// exceed the maximum of `priority`, the outcome is [`CommitOutcome::Rejected`]. The replica
+    /// contains the changes only after the watch has delivered them.
     pub async fn commit(&self, transaction: Transaction, priority: WritePriority) -> CommitOutcome {
         let writes = transaction.writes.len() as f64;
         if !self.wait_for_budget(writes, priority).await {
@@ -85,7 +89,8 @@
         outcome
     }
 
-    /// Waits for the budget of so many writes; false if that would take too long.
+    /// Waits until the budget allows `writes` writes; returns false if that would exceed the
+    /// maximum wait of `priority`.
     async fn wait_for_budget(&self, writes: f64, priority: WritePriority) -> bool {
         let started = Instant::now();
         let reserve = priority.reserve();
@@ -124,7 +129,7 @@
         }
     }
 
-    /// How long until the budget has a write again.
+    /// Time until the budget allows one write of the highest priority; zero if it does now.
     pub fn time_until_write(&self) -> Duration {
         self.budget
             .lock()
--- a/crates/rushwalk/src/store/log_writer.rs
+++ b/crates/rushwalk/src/store/log_writer.rs
@@ -1,4 +1,5 @@
-//! Appending to the log: many mutations in one key, and keys that are reused.
+//! Appends mutations to the log in the store. A log entry is the value of one key and holds
+//! many mutations; keys are reused once a snapshot includes their entries.
 
 use super::committer::{Committer, WritePriority};
 use super::replica::Replica;
@@ -14,25 +15,26 @@
 use std::sync::Arc;
 use std::vec;
 
-/// The store's limit for a transaction in bytes, less what its conditions may take.
+/// Upper limit of the packed mutations in one transaction, in bytes: the store's limit for a
+/// transaction, less the space that its conditions may take.
 pub(super) const MAX_TRANSACTION_BYTES: usize = 56 << 10;
 
-/// Values larger than this are not used even if the store takes them, in KiB.
+/// Upper limit of a value, in KiB, even if the store accepts larger ones.
 const MAX_VALUE_KB: f64 = 48.0;
 
-/// What the frame of a value takes, in bytes.
+/// Space that is reserved in each value for its frame (see [`codec::frame`]), in bytes.
 const FRAME_BYTES: usize = 64;
 
-/// A key that must have a version for a transaction to be carried out.
+/// A condition of a transaction: the version that a key must have.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Precondition {
     /// The key.
     pub key: String,
-    /// The version that it must have.
+    /// The version that the key must have.
     pub version: Revision,
 }
 
-/// A submission is too large for a value of the store.
+/// A job submission does not fit into one value of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("its lists are too long")]
 pub struct SubmissionTooLarge;
@@ -45,7 +47,7 @@
     entry_keys: Mutex<EntryKeyAllocator>,
 }
 
-/// A transaction with some log entries, and the numbers of their keys.
+/// A transaction that writes log entries, and the numbers of their keys.
 struct Batch {
     transaction: Transaction,
     entry_numbers: Vec<u64>,
@@ -66,17 +68,17 @@
         }
     }
 
-    /// Bytes of packed mutations that one value of the store holds.
+    /// Upper limit of the packed mutations in one value of the store, in bytes.
     pub fn max_packed_bytes(&self) -> usize {
         let value_kb = self.context.settings.site.store.value_kb;
         (value_kb.clamp(1.0, MAX_VALUE_KB) * 1024.0) as usize - FRAME_BYTES
     }
 
-    /// Checks that a submission fits a value of the store.
+    /// Checks that a job submission fits into one value of the store.
     ///
     /// # Errors
     ///
-    /// [`SubmissionTooLarge`]
+    /// [`SubmissionTooLarge`] if it does not.
     pub fn check_size(&self, spec: &JobSpec) -> Result<(), SubmissionTooLarge> {
         let submit = Mutation::Submit(SubmitJob {
             spec: Arc::new(spec.clone()),
@@ -88,8 +90,12 @@
         Ok(())
     }
 
-    /// Appends mutations under preconditions, and waits until they are applied here: only
-    /// the replica shows which of them took effect.
+    /// Appends mutations to the log if the preconditions hold, and waits until the replica has
+    /// applied them, because only its state shows which of them took effect.
+    ///
+    /// Mutations that exceed one transaction are committed in several, in order, up to the first
+    /// that is not committed; the outcome is that of the last one. It is
+    /// [`CommitOutcome::Unanswered`] also if the replica does not apply a commit in time.
     pub async fn append(
         &self,
         preconditions: &[Precondition],
@@ -106,7 +112,9 @@
                 CommitOutcome::Committed(revision) => {
                     let max_wait = self.context.timing.round * 4;
                     if !self.replica.wait_for_revision(*revision, max_wait).await {
-                        return CommitOutcome::Unanswered(Error::Unanswered("not seen yet".into()));
+                        return CommitOutcome::Unanswered(Error::Unanswered(
+                            "commit not applied to the replica in time".into(),
+                        ));
                     }
                 }
                 CommitOutcome::Unanswered(_) => return last,
@@ -119,7 +127,7 @@
         last
     }
 
-    /// Takes as many packed texts as one transaction holds.
+    /// Builds a transaction from as many of the `packed` texts as fit; each becomes a log entry.
     fn next_batch(
         &self,
         preconditions: &[Precondition],
@@ -158,6 +166,7 @@
         }
     }
 
+    /// Returns keys to which nothing was written.
     fn release(&self, entry_numbers: Vec<u64>) {
         let mut entry_keys = self.entry_keys.lock();
         for number in entry_numbers {
--- a/crates/rushwalk/src/store/membership.rs
+++ b/crates/rushwalk/src/store/membership.rs
@@ -1,4 +1,5 @@
-//! This controller's membership: its lease, and the record attached to it.
+//! This controller's membership of the cluster: the member lease, and the member record that
+//! is attached to it.
 
 use super::committer::{Committer, WritePriority};
 use super::replica::Replica;
@@ -18,19 +19,21 @@
 /// HTTP 404: the lease has expired.
 const NOT_FOUND: u16 = 404;
 
-/// The member lease and record.
+/// Keeps the member lease and record of this process.
 pub struct Membership {
     context: Arc<Context>,
     client: StoreClient,
     replica: Arc<Replica>,
     committer: Arc<Committer>,
+    /// The id of the member lease; `None` before it is granted, and after it was found expired.
     lease: Mutex<Option<u64>>,
-    /// The previous process ended within a member lease of its start: this one may, too.
+    /// The previous process of this controller registered less than a member lease before this
+    /// one, so it ended soon after its start, and this one may, too.
     crash_looping: AtomicBool,
 }
 
 impl Membership {
-    /// A controller that is no member yet.
+    /// The membership of a process that has no lease and is not registered.
     pub fn new(
         context: Arc<Context>,
         client: StoreClient,
@@ -47,24 +50,25 @@
         }
     }
 
-    /// The member lease, if there is one.
+    /// The id of the member lease; `None` before it is granted, and after it was found expired.
     pub fn lease(&self) -> Option<u64> {
         *self.lease.lock()
     }
 
-    /// The lease was found expired: a new one is needed.
+    /// Discards the lease after the store reported it as expired, so that [`Membership::run`]
+    /// requests a new one.
     pub fn forget_lease(&self) {
         *self.lease.lock() = None;
     }
 
-    /// Whether this process has not yet lived for longer than the previous one, which ended
-    /// soon after its start.
+    /// Whether the previous process of this controller ended soon after its start, and this one
+    /// has not been up for a member lease yet.
     pub fn is_crash_looping(&self) -> bool {
         self.crash_looping.load(Ordering::Relaxed)
             && self.context.uptime() < self.context.timing.member_lease
     }
 
-    /// Keeps the lease and the record until the process ends.
+    /// Keeps the lease renewed and the member record registered until the process ends.
     pub async fn run(self: Arc<Self>) {
         let interval = self.context.timing.member_lease / 5;
         loop {
@@ -80,7 +84,7 @@
         }
     }
 
-    /// Asks the store for a member lease.
+    /// Requests a member lease from the store and returns its id.
     ///
     /// # Errors
     ///
@@ -103,7 +107,7 @@
         }
     }
 
-    /// Renews the lease, and registers with it if need be.
+    /// Renews the lease, and writes the member record if this process is not registered.
     async fn keep(&self, lease: u64, interval: Duration) -> NextStep {
         match self.client.renew_lease(lease, interval * 2).await {
             Ok(()) => {}
@@ -121,12 +125,14 @@
         if self.replica.is_registered() {
             return NextStep::AfterInterval;
         }
-        // The record of the previous process was in the way, and expired just then.
+        // Most likely the record of the previous process expired while it was being replaced,
+        // so that the commit's condition failed: read the store and retry soon.
         let max_wait = self.context.timing.round / 2;
         self.replica.linearizable_read(max_wait).await;
         NextStep::Soon
     }
 
+    /// Writes the member record, attached to the lease, unless this process is registered.
     async fn register(&self, lease: u64) {
         if self.replica.is_registered() {
             return;
@@ -145,14 +151,16 @@
         }
     }
 
+    /// The transaction that writes the member record. Also notes whether the previous process of
+    /// this controller registered less than a member lease ago.
     fn registration(&self, lease: u64) -> Transaction {
         let state = self.replica.state();
         let previous = state.members.get(self.context.member());
         let previous = previous.filter(|m| m.incarnation != self.context.incarnation);
         if let Some(previous) = previous {
             let member_lease_ms = self.context.timing.member_lease.as_millis() as u64;
-            let soon = now_ms() < previous.registered_ms + member_lease_ms;
-            self.crash_looping.store(soon, Ordering::Relaxed);
+            let ended_soon = now_ms() < previous.registered_ms + member_lease_ms;
+            self.crash_looping.store(ended_soon, Ordering::Relaxed);
         }
         let record = MemberRecord {
             zone: self.context.settings.zone.clone(),
@@ -165,8 +173,8 @@
             .put_leased(&key, &record, lease)
     }
 
-    /// Writes the member record again as it is, which shows the others in the log that this
-    /// process is alive.
+    /// Rewrites the member record without a change. The other controllers see the write in the
+    /// store, which proves that this process is alive.
     pub async fn rewrite_record(&self, lease: u64) {
         let transaction = {
             let state = self.replica.state();
@@ -189,7 +197,7 @@
     }
 }
 
-/// When the membership is renewed next.
+/// When [`Membership::run`] takes its next step; `Soon` is an eighth of the interval.
 enum NextStep {
     Now,
     Soon,
--- a/crates/rushwalk/src/store/replica.rs
+++ b/crates/rushwalk/src/store/replica.rs
@@ -1,4 +1,4 @@
-//! This controller's replica of the cluster's state, and how fresh it is.
+//! This controller's replica of the cluster's state, and how stale it is.
 
 mod follow;
 
@@ -18,7 +18,7 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, timeout};
 
-/// The latest samples of which a predicted duration is the mean.
+/// The number of latest samples over which a predicted duration is averaged.
 const DURATION_SAMPLES: usize = 10;
 
 /// The replica of the cluster's state, and how stale it is.
@@ -26,13 +26,15 @@
     context: Arc<Context>,
     client: StoreClient,
     state: Mutex<ClusterState>,
-    /// Counts the changes of the state.
+    /// Incremented whenever the state has changed, or another reason for waiting tasks to check
+    /// it again has come up.
     changes: Observable<u64>,
-    /// When the newest read of the store that succeeded was sent.
+    /// When the newest successful read of the store was sent; `None` before the first.
     last_read_sent: Observable<Option<Instant>>,
     /// Wakes the read loop.
     read_requested: Notify,
-    /// The newest commit of this process: nothing is decided before it is applied.
+    /// The revision of this process's newest commit, 0 before the first. The leader makes no
+    /// decisions before it is applied.
     last_commit: AtomicU64,
 }
 
@@ -52,43 +54,44 @@
         }
     }
 
-    /// The state as it is known now. This lock is taken before any other of the controller
+    /// Locks the current state. This lock is acquired before any other lock of the controller
     /// (see `docs/ARCHITECTURE.md`).
     pub fn state(&self) -> MutexGuard<'_, ClusterState> {
         self.state.lock()
     }
 
-    /// The number of changes of the state so far, for [`Replica::changed_since`].
+    /// The number of changes so far, for [`Replica::changed_since`].
     pub fn change_count(&self) -> u64 {
         self.changes.get()
     }
 
-    /// Waits until the state has changed since [`Replica::change_count`] gave `seen`.
+    /// Waits until [`Replica::change_count`] differs from `seen`.
     pub async fn changed_since(&self, seen: u64) {
         self.changes.wait_for(|count| count != seen).await;
     }
 
-    /// Wakes the tasks that wait for a change of the state.
+    /// Wakes the tasks in [`Replica::changed_since`], so that they check the state again.
     pub fn notify_changed(&self) {
         self.changes.update(|count| *count += 1);
     }
 
-    /// Whether the store was read at least once.
+    /// Whether at least one read of the store has succeeded.
     pub fn has_been_read(&self) -> bool {
         self.last_read_sent.get().is_some()
     }
 
-    /// How long ago the newest read that succeeded was sent; `None` if none has.
+    /// How long ago the newest successful read of the store was sent; `None` before the first.
     pub fn last_read_age(&self) -> Option<Duration> {
         self.last_read_sent.get().map(|sent| sent.elapsed())
     }
 
-    /// The same, infinitely long ago if no read has succeeded.
+    /// The same as [`Replica::last_read_age`], but [`Duration::MAX`] before the first successful
+    /// read.
     pub fn staleness(&self) -> Duration {
         self.last_read_age().unwrap_or(Duration::MAX)
     }
 
-    /// Records that a read which was sent then has succeeded.
+    /// Records that a read of the store which was sent at `sent` has succeeded.
     pub(crate) fn record_read(&self, sent: Instant) {
         self.last_read_sent
             .update(|last| *last = Some(last.map_or(sent, |before| before.max(sent))));
@@ -100,13 +103,13 @@
         self.last_commit.fetch_max(revision, Ordering::Relaxed);
     }
 
-    /// Asks for a read without waiting for it.
+    /// Requests a read of the store from [`read_loop`] without waiting for it.
     pub fn request_read(&self) {
         self.read_requested.notify_one();
     }
 
-    /// Waits for a read that was sent after this call, so that the state holds all that was
-    /// committed before it; false if none succeeded in time.
+    /// Waits for a read that was sent after this call, so that the state contains all that was
+    /// committed before the call; returns false if none succeeds within `max_wait`.
     pub async fn linearizable_read(&self, max_wait: Duration) -> bool {
         let called = Instant::now();
         self.read_requested.notify_one();
@@ -116,44 +119,47 @@
         timeout(max_wait, read).await.is_ok()
     }
 
-    /// Waits until a revision is applied; false if it was not in time.
+    /// Waits until a revision is applied; returns false if it is not within `max_wait`.
     pub async fn wait_for_revision(&self, revision: Revision, max_wait: Duration) -> bool {
-        let until = Instant::now() + max_wait;
+        let deadline = Instant::now() + max_wait;
         loop {
             let seen = self.last_read_sent.get();
             if self.state().revision >= revision {
                 return true;
             }
-            // The watch brings it at once, unless its response is late.
-            let step = (max_wait / 40).min(until.saturating_duration_since(Instant::now()));
+            // The watch usually delivers the revision without delay. If its response is late, a
+            // read is requested.
+            let step = (max_wait / 40).min(deadline.saturating_duration_since(Instant::now()));
             let read = self.last_read_sent.wait_for(|sent| sent != seen);
             if timeout(step, read).await.is_err() {
                 self.read_requested.notify_one();
             }
-            if Instant::now() >= until {
+            if Instant::now() >= deadline {
                 return self.state().revision >= revision;
             }
         }
     }
 
-    /// Whether the owner of a shard may act on its lease, as far as the age of the replica
-    /// shows.
+    /// Whether the replica is fresh enough for this process to act on the shard leases that it
+    /// owns: younger than `Timing::lease_validity`.
     pub fn shard_leases_valid(&self) -> bool {
         self.staleness() < self.context.timing.lease_validity
     }
 
-    /// Whether the state holds everything that this process has ever read or committed.
+    /// Whether `state` contains everything that this process has read or committed: it lacks no
+    /// change, all records could be read, and this process's newest commit is applied.
     pub fn is_complete(&self, state: &ClusterState) -> bool {
-        has_no_gap(state) && state.revision >= self.last_commit.load(Ordering::Relaxed)
+        is_intact(state) && state.revision >= self.last_commit.load(Ordering::Relaxed)
     }
 
-    /// The fencing token under which this process owns a shard: the version of its lease.
-    /// `None` if it does not own it, or may not act on the lease any more.
+    /// The fencing token under which this process owns a shard, which is the version of the
+    /// shard's lease. `None` if this process does not own the shard, if `state` lacks a change or
+    /// has an unreadable record, or if the replica is too stale to act on the lease.
     pub fn fencing_token(&self, state: &ClusterState, shard: &str) -> Option<Revision> {
         let lease = state.shard_leases.get(shard)?;
         let is_ours = lease.value.owner == self.context.member()
             && lease.value.incarnation == self.context.incarnation;
-        (is_ours && has_no_gap(state) && self.shard_leases_valid()).then_some(lease.version)
+        (is_ours && is_intact(state) && self.shard_leases_valid()).then_some(lease.version)
     }
 
     /// The shards that this process owns, with their fencing tokens.
@@ -171,9 +177,9 @@
         member.is_some_and(|member| member.incarnation == self.context.incarnation)
     }
 
-    /// Waits until this process is registered and owns all shards that are leased to its
-    /// name. Not until others own theirs: workers are redirected to them, and would come
-    /// back every second to closed ports.
+    /// Waits until this process is registered and no shard is leased to an earlier process of
+    /// this controller. The shards of other controllers are not waited for: if all controllers
+    /// did that, workers would be redirected to closed ports and retry every second.
     pub async fn wait_until_registered(&self) {
         loop {
             let seen = self.change_count();
@@ -184,12 +190,14 @@
         }
     }
 
+    /// Whether a shard is still leased to an earlier process of this controller.
     fn has_stale_lease(&self) -> bool {
         self.state()
             .has_stale_lease(self.context.member(), self.context.incarnation)
     }
 }
 
-fn has_no_gap(state: &ClusterState) -> bool {
+/// Whether the state lacks no change and all of its records could be read.
+fn is_intact(state: &ClusterState) -> bool {
     state.unreadable.is_none() && !state.has_gap
 }
--- a/crates/rushwalk/src/store/replica/follow.rs
+++ b/crates/rushwalk/src/store/replica/follow.rs
@@ -1,4 +1,5 @@
-//! How the replica follows the store: a listing, then long polls, and reads on demand.
+//! How the replica follows the store: it lists all keys, then watches for changes by long
+//! polls, and reads on demand.
 
 use super::Replica;
 use crate::clock::now_ms;
@@ -11,13 +12,13 @@
 use tokio::sync::Semaphore;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Reads in flight at once, if they take long.
+/// The maximum number of concurrent reads on demand.
 const MAX_READS: usize = 4;
 
-/// How long a watch waits for a change when the replica has only to catch up.
+/// How long a watch waits for a change while a newly listed state catches up.
 const CATCH_UP_WAIT: Duration = Duration::from_millis(100);
 
-/// HTTP 410: the store no longer has the changes from where a watch would begin.
+/// HTTP 410: the store no longer has the changes after the revision that the watch begins at.
 const GONE: u16 = 410;
 
 /// Follows the store by long polls until the process ends.
@@ -51,7 +52,7 @@
         match call.await {
             Ok(response) => apply(&replica, &work_profile, since, sent, response),
             Err(error) if error.status() == Some(GONE) => listed = false,
-            // More than can be held at once: a listing comes in pages.
+            // The changes exceed the size limit of a response; a listing is read in pages.
             Err(Error::ResponseTooLarge) => listed = false,
             Err(error) => {
                 tracing::debug!(%error, "watch failed");
@@ -61,13 +62,15 @@
     }
 }
 
-/// Lists the whole store: at the start, and when a watch can't continue.
+/// Lists the whole store, at the start and when a watch can't continue, and replaces the
+/// replica's state.
 async fn list(replica: &Replica, work_profile: &WorkProfile) -> Result<(), Error> {
     let sent = Instant::now();
     let listing = list_pages(replica).await?;
-    // Changes during the listing come again with the watch from its start, and in their
-    // order. So the new state is made beside the old one, and takes its place once it has
-    // passed all that the listing may have shown.
+    // Later pages may already contain changes that were made during the listing. A watch from
+    // the first page's revision delivers these changes again, in order. The new state is
+    // therefore built separately, and replaces the old one once it has reached the last page's
+    // revision.
     let timer = work_profile.start(WorkKind::List);
     let listed = ClusterState::from_listing(listing.entries, listing.first_revision, now_ms());
     drop(timer);
@@ -75,7 +78,7 @@
     let mut target = listing.last_revision.max(replica.state().revision);
     loop {
         catch_up(replica, &mut state, target).await?;
-        // Reads for users may have brought the old state further meanwhile.
+        // Reads on demand may have advanced the old state beyond the new one in the meantime.
         let mut current = replica.state();
         match current.replace_with(state) {
             Ok(()) => break,
@@ -87,13 +90,14 @@
     Ok(())
 }
 
-/// Reads all pages of a listing.
+/// All keys of the store, with the revisions of the first and the last page.
 struct Listing {
     entries: Vec<KeyValue>,
     first_revision: Revision,
     last_revision: Revision,
 }
 
+/// Reads all pages of a listing.
 async fn list_pages(replica: &Replica) -> Result<Listing, Error> {
     let mut entries = Vec::new();
     let mut after = String::new();
@@ -116,7 +120,8 @@
     }
 }
 
-/// Applies changes to a state beside the replica's until it has reached `target`.
+/// Applies changes to a newly listed state, which is not the replica's yet, until it has
+/// reached the revision `target`.
 async fn catch_up(
     replica: &Replica,
     state: &mut ClusterState,
@@ -134,7 +139,9 @@
             .map_err(|error| Error::Unanswered(error.to_string()))?;
     }
     if state.has_gap {
-        return Err(Error::Unanswered("changes were missed".into()));
+        return Err(Error::Unanswered(
+            "the watch after the listing missed changes".into(),
+        ));
     }
     Ok(())
 }
@@ -154,7 +161,8 @@
         state.apply_watch(since, response, now_ms()).is_ok() && !state.has_gap
     };
     drop(timer);
-    // Nobody is answered from a state that misses a change: it is listed anew.
+    // No request may be served from a state that lacks a change. The read then does not count
+    // as successful, and the watch loop lists the store again.
     if is_complete {
         replica.record_read(sent);
     } else {
@@ -162,10 +170,11 @@
     }
 }
 
-/// Reads the store when a linearizable read is requested; one cheap read serves all requests.
+/// Reads the store on demand. A read is a watch that does not wait for changes; it serves all
+/// requests that were made before it is sent.
 pub(crate) async fn read_loop(replica: Arc<Replica>, work_profile: Arc<WorkProfile>) {
     let context = &replica.context;
-    // The reads of all controllers together take at most a third of the store's budget.
+    // The reads of all controllers together use at most a third of the store's request limit.
     let gap_s = 3.0 * context.controllers() as f64 / context.settings.site.store.rps;
     let gap = Duration::from_secs_f64(gap_s);
     let permits = Arc::new(Semaphore::new(MAX_READS));
@@ -183,8 +192,8 @@
             read_once(&reader, &profile, gap).await;
             drop(permit);
         });
-        // A slow read does not delay the requests that come after it was sent: further
-        // reads begin in the meantime.
+        // A slow read must not delay requests that were made after it was sent, so the next
+        // read may begin before this one ends.
         let _ = timeout(context.timing.round / 8, &mut read).await;
         sleep(gap).await;
     }
--- a/crates/rushwalk/src/store/user_writes.rs
+++ b/crates/rushwalk/src/store/user_writes.rs
@@ -1,4 +1,5 @@
-//! Users' writes: those that arrive while a commit is in flight share the next one.
+//! Batches users' writes: all that arrive while a commit is in flight are committed together
+//! by the next one.
 
 use super::committer::WritePriority;
 use super::log_writer::{LogWriter, MAX_TRANSACTION_BYTES};
@@ -12,16 +13,17 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::sleep;
 
-/// Writes that may wait at once; more are rejected.
+/// The capacity of the queue; further writes are rejected.
 const MAX_WAITING: usize = 1024;
 
-/// How often a commit is retried if another entry has used its key first.
+/// How often a commit is retried after a conflict, which means that the key of its log entry
+/// was written in the meantime.
 const CONFLICT_RETRIES: usize = 3;
 
-/// A user's write, and where its outcome is sent.
+/// A user's write, and the channel that receives its outcome.
 struct PendingWrite {
     mutation: Mutation,
-    done: oneshot::Sender<CommitOutcome>,
+    outcome_sender: oneshot::Sender<CommitOutcome>,
 }
 
 /// The sending side of the queue of users' writes.
@@ -42,20 +44,25 @@
         (UserWrites { queue }, UserWriteQueue { waiting })
     }
 
-    /// Writes a mutation together with those that arrive at the same time.
+    /// Queues a mutation, which is committed together with others in the queue, and returns the
+    /// outcome of the commit.
     ///
     /// # Errors
     ///
-    /// [`TooManyWrites`] if the queue is full, or ends before the write is committed.
+    /// [`TooManyWrites`] if the queue is full, or if its receiving side is dropped before the
+    /// write is committed.
     pub async fn write(&self, mutation: Mutation) -> Result<CommitOutcome, TooManyWrites> {
-        let (done, outcome) = oneshot::channel();
-        let write = PendingWrite { mutation, done };
+        let (outcome_sender, outcome) = oneshot::channel();
+        let write = PendingWrite {
+            mutation,
+            outcome_sender,
+        };
         self.queue.try_send(write).map_err(|_| TooManyWrites)?;
         outcome.await.map_err(|_| TooManyWrites)
     }
 }
 
-/// Users' writes that wait to be committed.
+/// The receiving side of the queue of users' writes.
 pub struct UserWriteQueue {
     waiting: mpsc::Receiver<PendingWrite>,
 }
@@ -65,7 +72,8 @@
     /// dropped.
     pub async fn run(mut self, context: Arc<Context>, replica: Arc<Replica>, log: Arc<LogWriter>) {
         let write_rps = context.settings.site.store.write_rps;
-        let gap = Duration::from_secs_f64(0.5 * context.controllers() as f64 / write_rps);
+        let batching_delay =
+            Duration::from_secs_f64(0.5 * context.controllers() as f64 / write_rps);
         let mut left_over: Option<PendingWrite> = None;
         loop {
             let first = match left_over.take() {
@@ -75,21 +83,22 @@
                     None => return,
                 },
             };
-            sleep(gap).await;
+            sleep(batching_delay).await;
             let writes = self.take_batch(first, &mut left_over);
             let (mutations, waiting): (Vec<_>, Vec<_>) = writes
                 .into_iter()
-                .map(|write| (write.mutation, write.done))
+                .map(|write| (write.mutation, write.outcome_sender))
                 .unzip();
             let outcome = commit(&context, &replica, &log, &mutations).await;
-            for done in waiting {
-                // A user who no longer waits needs no answer.
-                let _ = done.send(outcome.clone());
+            for outcome_sender in waiting {
+                // Sending fails only if the user's request is no longer being handled.
+                let _ = outcome_sender.send(outcome.clone());
             }
         }
     }
 
-    /// Takes as many writes as fit one transaction, so that all have the same outcome.
+    /// Takes as many queued writes as fit into one transaction, so that all have the same
+    /// outcome. A write that no longer fits is stored in `left_over` for the next batch.
     fn take_batch(
         &mut self,
         first: PendingWrite,
