--- a/crates/rushwalk/src/admin_cli.rs
+++ b/crates/rushwalk/src/admin_cli.rs
@@ -1,4 +1,4 @@
-//! `rushwalk admin`: asks a running controller and prints its response.
+//! `rushwalk admin`: queries a running controller and prints its response.
 
 #[cfg(test)]
 mod tests;
@@ -12,10 +12,10 @@
 /// How long a controller may take to respond.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-// The doc comments of the arguments are their help texts.
+// The doc comments of the arguments are shown as their help texts.
 #[derive(Args)]
 pub(crate) struct AdminArgs {
-    /// IP:port, `mesh_addr` in that controller's settings.
+    /// Peer address of the controller as IP:port (`mesh_addr` in its settings).
     #[arg(long)]
     address: String,
     #[command(subcommand)]
@@ -24,17 +24,17 @@
 
 #[derive(Subcommand)]
 enum AdminCommand {
-    /// Leader, shard leases, machines by zone and type, and why jobs wait.
+    /// Show the leader, the shard leases, machines by zone and type, and why jobs wait.
     Status,
-    /// Machines one by one, a page at a time.
+    /// List one page of machines.
     Machines {
-        /// Begin behind this machine, the last one of the page before.
+        /// List the machines after this one, the last of the previous page.
         #[arg(long, default_value = "")]
         after: String,
     },
 }
 
-/// Why a controller could not be asked.
+/// Why a controller could not be queried.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum AdminError {
     /// The asynchronous runtime could not be started.
@@ -56,11 +56,11 @@
     Format(#[from] serde_json::Error),
 }
 
-/// Carries out `rushwalk admin`; the response goes to standard output.
+/// Runs `rushwalk admin` and prints the response to standard output.
 ///
 /// # Errors
 ///
-/// If the controller at the given address can't be asked, or responds with an error.
+/// If the controller at the given address can't be reached, or responds with an error.
 pub(crate) fn run(args: &AdminArgs) -> Result<(), AdminError> {
     let runtime = crate::build_runtime()?;
     let path = request_path(&args.command);
@@ -73,14 +73,15 @@
     match command {
         AdminCommand::Status => "/admin/status".to_string(),
         AdminCommand::Machines { after } => {
-            // No machine's name has characters that a path can't hold.
+            // Removes characters that a path can't contain; no machine name has any.
             let name: String = after.chars().filter(char::is_ascii_graphic).collect();
             format!("/admin/machines?after={name}")
         }
     }
 }
 
-/// The response of the controller at `address`, as indented JSON.
+/// Sends a GET request to the controller at `address` and returns its response as indented
+/// JSON.
 async fn request(address: &str, path: &str) -> Result<String, AdminError> {
     let remote =
         rushwalk_clients::http::parse_address(address).map_err(AdminError::InvalidAddress)?;
--- a/crates/rushwalk/src/clock.rs
+++ b/crates/rushwalk/src/clock.rs
@@ -1,31 +1,32 @@
-//! The time of day, which the simulator replaces by virtual time.
+//! The time of day; simulations use virtual time instead.
 
 use rushwalk_state::UnixMillis;
 use std::cell::Cell;
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// The time of day at which virtual time begins.
+/// The time of day at which virtual time begins, in milliseconds since the Unix epoch.
 const VIRTUAL_EPOCH_MS: UnixMillis = 1_000_000;
 
 thread_local! {
-    /// On threads whose time is virtual, when it began.
+    /// When virtual time began on this thread; `None` if the thread uses real time.
     static VIRTUAL_SINCE: Cell<Option<Instant>> = const { Cell::new(None) };
 }
 
-/// From now on the time of day on this thread follows its runtime's clock, which may be
-/// paused, and its random numbers follow from a seed.
+/// Switches this thread to virtual time for the rest of its life: its time of day follows the
+/// clock of its runtime, which may be paused. Also seeds its random numbers.
 pub fn use_virtual_time(seed: u64) {
     VIRTUAL_SINCE.set(Some(Instant::now()));
     rushwalk_random::seed(seed);
 }
 
-/// Whether this thread's time is virtual.
+/// Whether this thread uses virtual time.
 pub fn is_virtual() -> bool {
     VIRTUAL_SINCE.get().is_some()
 }
 
-/// The time of day.
+/// The time of day in milliseconds since the Unix epoch; virtual on threads that called
+/// [`use_virtual_time`].
 pub fn now_ms() -> UnixMillis {
     if let Some(began) = VIRTUAL_SINCE.get() {
         return VIRTUAL_EPOCH_MS + began.elapsed().as_millis() as UnixMillis;
--- a/crates/rushwalk/src/context.rs
+++ b/crates/rushwalk/src/context.rs
@@ -1,4 +1,4 @@
-//! What does not change while a controller's process lives.
+//! What does not change while a controller's process runs: identity, settings and timing.
 
 use crate::clock;
 use crate::timing::Timing;
@@ -6,24 +6,25 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The identity and settings of one process of a controller.
+/// The identity, settings and timing of one process of a controller.
 #[derive(Debug)]
 pub struct Context {
-    /// The settings with which it was started.
+    /// The settings with which the process was started.
     pub settings: Settings,
-    /// Intervals and time-outs that follow from them.
+    /// Intervals and time-outs, which follow from the settings.
     pub timing: Timing,
-    /// Drawn once per process: a restarted controller inherits nothing by its name.
+    /// A random number drawn at the start of the process. A restarted controller keeps its name
+    /// but has a new incarnation, so it does not take over leases of its previous process.
     pub incarnation: u64,
     started: Instant,
 }
 
-/// How much of its life a process has been busy.
+/// How long a process has been running, and how long its thread has been busy.
 #[derive(Debug, Clone, Copy)]
 pub struct ProcessTimes {
-    /// Seconds since the start, to a tenth.
+    /// Seconds since the start, rounded to tenths.
     pub up_s: f64,
-    /// Seconds in which its thread was busy, to a tenth.
+    /// Seconds in which its thread was busy, rounded to tenths; 0 in simulations.
     pub busy_s: f64,
 }
 
@@ -48,32 +49,32 @@
         1 + self.settings.peers.len()
     }
 
-    /// Time since the start, by the steady clock.
+    /// Time since the start of the process, by the monotonic clock.
     pub fn uptime(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// Seconds since the start, by the steady clock.
+    /// Seconds since the start of the process, by the monotonic clock.
     pub fn uptime_s(&self) -> f64 {
         self.uptime().as_secs_f64()
     }
 
-    /// How long the process lives, and for how long it was busy.
+    /// How long the process has been running, and how long its thread has been busy.
     pub fn process_times(&self) -> ProcessTimes {
         let metrics = tokio::runtime::Handle::current().metrics();
-        // Virtual time stands still while the thread works.
+        // Virtual time does not advance while the thread works, so it has no busy time.
         let busy = if clock::is_virtual() {
             Duration::ZERO
         } else {
             metrics.worker_total_busy_duration(0)
         };
         ProcessTimes {
-            up_s: tenths(self.uptime()),
-            busy_s: tenths(busy),
+            up_s: round_to_tenths(self.uptime()),
+            busy_s: round_to_tenths(busy),
         }
     }
 }
 
-fn tenths(duration: Duration) -> f64 {
+fn round_to_tenths(duration: Duration) -> f64 {
     (duration.as_secs_f64() * 10.0).round() / 10.0
 }
--- a/crates/rushwalk/src/controller.rs
+++ b/crates/rushwalk/src/controller.rs
@@ -1,6 +1,6 @@
-//! One controller, put together from its parts, and the loops that they run.
+//! A controller: its parts, how they are constructed, and its background loops.
 //!
-//! Every part keeps its own state behind its own lock, and every loop gets just the parts
+//! Every part keeps its own state behind its own lock, and every loop gets only the parts
 //! that it uses (see `docs/ARCHITECTURE.md`).
 
 mod background_loops;
@@ -33,7 +33,7 @@
 use rushwalk_protocol::settings::Settings;
 use std::sync::Arc;
 
-/// How often the runtime's lag is sampled in a scheduling round.
+/// The number of samples of the event loop's lag in each scheduling round.
 const LAG_SAMPLES_PER_ROUND: u32 = 8;
 
 /// The parts of a controller.
@@ -42,44 +42,44 @@
     pub context: Arc<Context>,
     /// The replica of the cluster's state.
     pub replica: Arc<Replica>,
-    /// Commits within the write budget.
+    /// Commits transactions to the store within the write budget.
     pub committer: Arc<Committer>,
-    /// Appends to the log.
+    /// Appends mutations to the log in the store.
     pub log: Arc<LogWriter>,
-    /// Where users' writes are handed in.
+    /// The sending side of the queue of users' writes.
     pub user_writes: UserWrites,
-    /// The member lease and record.
+    /// The member lease and record of this process.
     pub membership: Arc<Membership>,
-    /// Whether this process leads.
+    /// Whether this process is the leader, and its commits as the leader.
     pub leadership: Arc<Leadership>,
-    /// What is known of the other controllers.
+    /// The failure detector for the other controllers, and other observations of them.
     pub peers: Arc<PeerMonitor>,
-    /// How the other controllers are called.
+    /// The client for calls to the other controllers.
     pub peer_client: PeerClient,
-    /// This controller's own heartbeat.
+    /// Builds the heartbeats that this controller sends to its peers.
     pub heartbeats: Arc<HeartbeatSource>,
-    /// What is known of workers.
+    /// The sessions of the workers.
     pub workers: Arc<WorkerRegistry>,
-    /// Why jobs wait.
+    /// Why jobs are pending, as of the latest scheduling round of this process.
     pub pending_reasons: Arc<PendingReasons>,
-    /// Whether this thread keeps up.
+    /// The lag of the event loop, which is the controller's only thread.
     pub runtime_lag: Arc<RuntimeLag>,
-    /// Where the time goes.
+    /// The time spent on each kind of work since the start of this process.
     pub work_profile: Arc<WorkProfile>,
-    /// How long this controller did not serve as usual.
+    /// The current and the last incident in which this controller's service was impaired.
     pub incidents: Arc<Mutex<IncidentRecorder>>,
-    /// Requests of users that were rejected.
+    /// Counts responses to users with status 429 or 503.
     pub rejections: Arc<RejectionCounter>,
-    /// Connections at the public address.
+    /// The open connections at the public address.
     pub connections: Arc<ConnectionTable>,
 }
 
 impl Controller {
-    /// Puts a controller together.
+    /// Constructs a controller, and its background loops, which are not started yet.
     ///
     /// # Errors
     ///
-    /// If an address in the settings is none.
+    /// If the address of the store or of the cloud in the settings is malformed.
     pub fn new(
         settings: Settings,
         http: HttpClient,
@@ -136,7 +136,7 @@
         Ok((controller, loops))
     }
 
-    /// This controller's own health, as its failure detector takes it into account.
+    /// This controller's own health, which its failure detector takes into account.
     pub fn local_health(&self) -> LocalHealthSource {
         LocalHealthSource {
             replica: self.replica.clone(),
@@ -146,7 +146,7 @@
         }
     }
 
-    /// This controller's part in elections.
+    /// This controller's participation in leader elections.
     pub fn election(&self) -> Election {
         Election::new(ElectionParts {
             context: self.context.clone(),
@@ -160,7 +160,7 @@
     }
 }
 
-/// Clients of everything that a controller calls.
+/// The clients for the services that a controller calls.
 struct Clients {
     store: StoreClient,
     cloud: Arc<CloudClient>,
@@ -184,7 +184,7 @@
     }
 }
 
-/// The parts that read and write the state service.
+/// The parts that read and write the store.
 struct StoreParts {
     replica: Arc<Replica>,
     committer: Arc<Committer>,
--- a/crates/rushwalk/src/controller/background_loops.rs
+++ b/crates/rushwalk/src/controller/background_loops.rs
@@ -1,4 +1,4 @@
-//! The loops of a controller, each given just the parts that it uses.
+//! The background loops of a controller, each of which gets only the parts that it uses.
 
 use super::Controller;
 use crate::capacity::{CloudLoopParts, Deletion, Inventory, RentalTracker, Rentals};
@@ -16,7 +16,8 @@
 use std::sync::Arc;
 use tokio::task::JoinHandle;
 
-/// The loops of a controller that has not started yet.
+/// The background loops of a controller before they are started, with the parts that only
+/// they use.
 pub struct BackgroundLoops {
     pub(super) controller: Arc<Controller>,
     pub(super) cloud: Arc<CloudClient>,
@@ -26,7 +27,7 @@
 }
 
 impl BackgroundLoops {
-    /// Starts all loops. None of them ends by itself.
+    /// Spawns one task for each loop. The loops run until their tasks are aborted.
     pub fn spawn(self) -> Vec<JoinHandle<()>> {
         let controller = &self.controller;
         let context = &controller.context;
--- a/crates/rushwalk/src/job_attempt.rs
+++ b/crates/rushwalk/src/job_attempt.rs
@@ -1,19 +1,20 @@
-//! The key by which mutations of several tasks of a job are combined.
+//! A job and one attempt, the key by which changes of several tasks are combined into one
+//! mutation.
 
 use rushwalk_protocol::ids::{AttemptId, JobId};
 use rushwalk_state::Revision;
 
-/// One attempt at some tasks of a job.
+/// One attempt to run tasks of a job; tasks that are assigned together share an attempt.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct JobAttempt {
     /// The job.
     pub job: JobId,
-    /// The attempt.
+    /// The revision at which the tasks were assigned, which identifies the attempt.
     pub attempt: Revision,
 }
 
 impl JobAttempt {
-    /// The key of a task's attempt.
+    /// The job and the attempt of one task's attempt.
     pub(crate) fn of(attempt: &AttemptId) -> JobAttempt {
         JobAttempt {
             job: attempt.task.job.clone(),
--- a/crates/rushwalk/src/leadership/election.rs
+++ b/crates/rushwalk/src/leadership/election.rs
@@ -108,7 +108,7 @@
     /// rank can win.
     async fn campaign_in_order(&mut self, lease: u64, pause: Duration) {
         if self.parts.membership.is_crash_looping() {
-            self.defer_election().await;
+            self.delete_stale_leader_key().await;
         }
         let since = *self.vacant_since.get_or_insert_with(Instant::now);
         if since.elapsed() < self.election_delay() {
@@ -235,7 +235,7 @@
     /// key still names this controller, the key is deleted, so that a more stable controller
     /// acquires leadership. Without this, a crash-looping controller became the leader again
     /// after each crash, for 20 s, and no controller received the heartbeats of its machines.
-    async fn defer_election(&self) {
+    async fn delete_stale_leader_key(&self) {
         let transaction = {
             let state = self.parts.replica.state();
             let Some(leader) = &state.leader else {
--- a/crates/rushwalk/src/lib.rs
+++ b/crates/rushwalk/src/lib.rs
@@ -1,7 +1,7 @@
 //! One controller of a cluster scheduler: its parts, their loops, and its HTTP interfaces.
 //!
-//! The program is `main.rs`; this library is for it and for the simulator
-//! (`crates/simulator`). It is no stable interface.
+//! This library is used by the program (`main.rs`) and by the simulator (`crates/simulator`).
+//! Its API is not stable.
 
 #![deny(missing_docs)]
 
--- a/crates/rushwalk/src/main.rs
+++ b/crates/rushwalk/src/main.rs
@@ -22,11 +22,11 @@
 /// The exit code for settings that can't be used.
 const EXIT_INVALID_SETTINGS: u8 = 2;
 
-/// Schedules tasks on rented machines, together with the other controllers.
+/// Runs one controller of a cluster that schedules tasks on rented machines.
 #[derive(Parser)]
 #[command(version, about, subcommand_negates_reqs = true)]
 struct Cli {
-    /// The settings file (TOML) handed over by the platform.
+    /// Path of the settings file (TOML).
     #[arg(long, required = true)]
     config: Option<PathBuf>,
     /// Check the settings and exit.
@@ -38,7 +38,7 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Ask a running controller, at its mesh address.
+    /// Query a running controller at its peer address.
     Admin(AdminArgs),
 }
 
@@ -55,7 +55,7 @@
         source: SettingsError,
     },
     /// The asynchronous runtime could not be started.
-    #[error("no runtime: {0}")]
+    #[error("can't start the asynchronous runtime: {0}")]
     Runtime(#[source] io::Error),
 }
 
@@ -94,7 +94,7 @@
     }
 }
 
-/// Prints why the program ends.
+/// Prints an error to standard error and returns `code`.
 fn fail(error: &dyn Display, code: ExitCode) -> ExitCode {
     eprintln!("rushwalk: {error}");
     code
@@ -127,7 +127,8 @@
         .init();
 }
 
-/// A runtime on this thread alone: a controller may use a fraction of a processor.
+/// A runtime that uses only the current thread, because a controller may be limited to a
+/// fraction of a processor.
 fn build_runtime() -> io::Result<Runtime> {
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -144,7 +145,7 @@
     }
 }
 
-/// Runs a controller: its loops, and its public and peer listeners.
+/// Runs a controller: its background loops, and its public and peer listeners.
 async fn serve(settings: Settings) -> Result<(), ServeError> {
     let public_address = settings.public_addr.clone();
     let peer_address = settings.peer_addr.clone();
@@ -172,15 +173,15 @@
         .await
 }
 
-/// Serves users and workers, from when this process is registered, or else after a
-/// membership lease.
+/// Serves users and workers. The port stays closed until this process is registered and owns
+/// the shards leased to this controller, but at most for the duration of a member lease.
 ///
-/// Until the cluster's state is listed nobody can be served. With the port closed the
-/// workers of a whole fleet, who retry each second, cost nothing; with it open they once
-/// delayed a restarted controller's listing by 7 s. Nor is anybody served while shards
-/// still belong to the process before: after a restart of all controllers, rejecting two
-/// thousand workers a second delayed the election and the assignment of shards by up to
-/// 14 s.
+/// No request can be served before the cluster's state is listed. Workers retry every second;
+/// their attempts cost nothing at a closed port, but with an open port those of a whole fleet
+/// delayed the listing of a restarted controller by 7 s. Workers can't be served either while
+/// their shards are leased to the previous process: after a restart of all controllers,
+/// rejecting two thousand workers a second delayed the election and the assignment of shards
+/// by up to 14 s.
 async fn serve_public(controller: &Arc<Controller>, address: String) -> io::Result<()> {
     let registered = controller.replica.wait_until_registered();
     let _ = tokio::time::timeout(controller.context.timing.member_lease, registered).await;
--- a/crates/rushwalk/src/observable.rs
+++ b/crates/rushwalk/src/observable.rs
@@ -1,7 +1,7 @@
 //! A value that tasks can wait on.
 //!
-//! Waiters resume in the order of their arrival. `tokio::sync::watch` wakes them in an
-//! order of its own, with which two runs of one simulation seed would differ.
+//! Waiting tasks are woken in the order in which they began to wait. `tokio::sync::watch`
+//! wakes them in an unspecified order, so that two simulations with the same seed would differ.
 
 use parking_lot::Mutex;
 use std::pin::pin;
@@ -20,7 +20,7 @@
         *self.value.lock()
     }
 
-    /// Changes the value and wakes all that wait for it.
+    /// Changes the value and wakes all waiting tasks.
     pub fn update(&self, change: impl FnOnce(&mut T)) {
         change(&mut self.value.lock());
         self.changed.notify_waiters();
@@ -30,7 +30,8 @@
     pub async fn wait_for(&self, condition: impl Fn(T) -> bool) -> T {
         loop {
             let mut changed = pin!(self.changed.notified());
-            // Registered before the value is read: a change in between wakes us, too.
+            // Registers for the notification before the value is read, so that a change in
+            // between is not missed.
             changed.as_mut().enable();
             let value = self.get();
             if condition(value) {
--- a/crates/rushwalk/src/peers.rs
+++ b/crates/rushwalk/src/peers.rs
@@ -1,4 +1,4 @@
-//! What this controller knows of the other controllers.
+//! What this controller has observed of the other controllers.
 
 use crate::clock::now_ms;
 use crate::context::Context;
@@ -12,18 +12,22 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU16, Ordering};
 
-/// φ above which a peer without heartbeats is suspected.
+/// The φ of the accrual failure detector above which a peer is suspected; φ rises while the
+/// peer's heartbeats are missing.
 const PHI_THRESHOLD: f64 = 8.0;
 
-/// Refused heartbeats in a row after which a peer is suspected.
+/// The number of consecutive heartbeats to a peer that are refused after which the peer is
+/// suspected.
 const REFUSAL_THRESHOLD: u32 = 2;
 
-/// The failure detector, and what else is known of peers at first hand.
+/// The failure detector for the other controllers, and what this controller itself observes
+/// beside it: heartbeats of misrouted workers, and how busy its own thread is.
 pub struct PeerMonitor {
     context: Arc<Context>,
     detector: Mutex<FailureDetector>,
     misrouted: Mutex<MisroutedWorkers>,
-    /// The share of time in which this controller's thread was busy lately, in thousandths.
+    /// The share of time in which this controller's thread is busy, a moving average in
+    /// thousandths; 1000 until it is measured.
     busy_permille: AtomicU16,
 }
 
@@ -45,7 +49,8 @@
             context,
             detector: Mutex::new(detector),
             misrouted: Mutex::default(),
-            // Until more is known there is no headroom for others' work.
+            // Until the first measurement, other controllers must not take this one to have
+            // headroom for their work.
             busy_permille: AtomicU16::new(1000),
         }
     }
@@ -55,12 +60,13 @@
         self.detector.lock()
     }
 
-    /// The share of time in which this controller's thread was busy lately, in thousandths.
+    /// The share of time in which this controller's thread is busy, a moving average in
+    /// thousandths; 1000 until it is measured.
     pub fn busy_permille(&self) -> u16 {
         self.busy_permille.load(Ordering::Relaxed)
     }
 
-    /// The same as a number from 0 to 1.
+    /// The same as [`PeerMonitor::busy_permille`], as a fraction from 0 to 1.
     pub fn busy_share(&self) -> f64 {
         f64::from(self.busy_permille()) / 1000.0
     }
@@ -71,7 +77,8 @@
         self.busy_permille.store(permille, Ordering::Relaxed);
     }
 
-    /// A worker sent its heartbeat here though its shard is leased to another controller.
+    /// Records that the worker on `machine` sent its heartbeat to this controller although its
+    /// shard is leased to another controller, under the fencing token `token`.
     pub fn record_misrouted(&self, shard: &str, token: Revision, machine: &str) {
         let now_s = self.context.uptime_s();
         self.misrouted.lock().record(now_s, shard, token, machine);
@@ -85,14 +92,16 @@
             .counts(self.context.uptime_s(), span_s)
     }
 
-    /// Whether the registered process of a member was declared failed.
+    /// Whether this controller has declared the registered process of a member failed; false if
+    /// the member is not registered.
     pub fn is_failed(&self, state: &ClusterState, member: &str) -> bool {
         let record = state.members.get(member);
         record.is_some_and(|record| self.detector().is_failed(member, record.incarnation))
     }
 
-    /// The owner of a shard was found cut off from its machines: it gets shards back after
-    /// a pause. All of its shards that are found so together count as one departure.
+    /// Records as a departure that the owner of a shard is cut off from the shard's machines, so
+    /// that it is assigned shards again only after a delay. All of its shards that are found cut
+    /// off within the same period of the length of a member lease count as one departure.
     pub fn record_owner_cut_off(&self, lease: &ShardLease) {
         let span_ms = self.context.timing.member_lease.as_millis() as u64;
         let term = MembershipTerm {
@@ -103,9 +112,9 @@
             .record_departure(self.context.uptime_s(), &lease.owner, term);
     }
 
-    /// Where to redirect a worker whose shard another controller owns. Not to one that has
-    /// failed, or that reports the shard unreachable: the worker would come back after a
-    /// time-out.
+    /// The controller to which a worker is redirected because it owns the worker's shard. `None`
+    /// if that controller has lost its shards by a failure, or recently reported that it receives
+    /// nothing from the shard: the worker would only return after a time-out.
     pub fn redirect_target(&self, shard: &str, lease: &ShardLease) -> Option<String> {
         let detector = self.detector();
         if detector.has_lost_shards(&lease.owner, lease.incarnation) {
@@ -119,8 +128,9 @@
         (!is_unreachable).then(|| lease.owner.clone())
     }
 
-    /// Whether a shard may be assigned more work: its owner is registered and not suspected by
-    /// a majority. One that is only slow still gets work; it loses shards one by one.
+    /// Whether more work may be assigned to a shard: its owner is registered and not suspected by
+    /// a majority. The shards of an owner that is only slow still get work, while they are moved
+    /// to other controllers one by one.
     pub fn accepts_more_work(&self, state: &ClusterState, shard: &str) -> bool {
         let Some(lease) = state.shard_leases.get(shard) else {
             return false;
--- a/crates/rushwalk/src/store/log_writer.rs
+++ b/crates/rushwalk/src/store/log_writer.rs
@@ -154,9 +154,10 @@
                 value: codec::frame(entry.version, &text),
                 ..Write::default()
             });
-            let next = packed.peek().map_or(0, String::len);
+            let next_bytes = packed.peek().map_or(0, String::len);
             let max_writes = self.context.settings.site.store.txn_ops;
-            if transaction.writes.len() >= max_writes || bytes + next > MAX_TRANSACTION_BYTES {
+            if transaction.writes.len() >= max_writes || bytes + next_bytes > MAX_TRANSACTION_BYTES
+            {
                 break;
             }
         }
--- a/crates/rushwalk/src/store/membership.rs
+++ b/crates/rushwalk/src/store/membership.rs
@@ -73,8 +73,8 @@
         let interval = self.context.timing.member_lease / 5;
         loop {
             let next = match self.lease() {
-                None => self.grant_lease().await,
-                Some(lease) => self.keep(lease, interval).await,
+                None => self.request_lease().await,
+                Some(lease) => self.renew_and_register(lease, interval).await,
             };
             match next {
                 NextStep::Now => {}
@@ -94,7 +94,7 @@
         self.client.grant_lease(ttl).await
     }
 
-    async fn grant_lease(&self) -> NextStep {
+    async fn request_lease(&self) -> NextStep {
         match self.new_lease().await {
             Ok(lease) => {
                 *self.lease.lock() = Some(lease);
@@ -108,7 +108,7 @@
     }
 
     /// Renews the lease, and writes the member record if this process is not registered.
-    async fn keep(&self, lease: u64, interval: Duration) -> NextStep {
+    async fn renew_and_register(&self, lease: u64, interval: Duration) -> NextStep {
         match self.client.renew_lease(lease, interval * 2).await {
             Ok(()) => {}
             Err(error) if error.status() == Some(NOT_FOUND) => {
--- a/crates/rushwalk/src/store/replica/follow.rs
+++ b/crates/rushwalk/src/store/replica/follow.rs
@@ -41,7 +41,7 @@
             (state.revision, state.has_gap)
         };
         if has_gap {
-            tracing::warn!("watch gap: relisting");
+            tracing::warn!("watch min_interval: relisting");
             listed = false;
             continue;
         }
@@ -175,13 +175,13 @@
 pub(crate) async fn read_loop(replica: Arc<Replica>, work_profile: Arc<WorkProfile>) {
     let context = &replica.context;
     // The reads of all controllers together use at most a third of the store's request limit.
-    let gap_s = 3.0 * context.controllers() as f64 / context.settings.site.store.rps;
-    let gap = Duration::from_secs_f64(gap_s);
+    let min_interval_s = 3.0 * context.controllers() as f64 / context.settings.site.store.rps;
+    let min_interval = Duration::from_secs_f64(min_interval_s);
     let permits = Arc::new(Semaphore::new(MAX_READS));
     loop {
         replica.read_requested.notified().await;
         if !replica.has_been_read() {
-            sleep(gap).await;
+            sleep(min_interval).await;
             continue;
         }
         let Ok(permit) = permits.clone().acquire_owned().await else {
@@ -189,17 +189,17 @@
         };
         let (reader, profile) = (replica.clone(), work_profile.clone());
         let mut read = tokio::spawn(async move {
-            read_once(&reader, &profile, gap).await;
+            read_once(&reader, &profile, min_interval).await;
             drop(permit);
         });
         // A slow read must not delay requests that were made after it was sent, so the next
         // read may begin before this one ends.
         let _ = timeout(context.timing.round / 8, &mut read).await;
-        sleep(gap).await;
+        sleep(min_interval).await;
     }
 }
 
-async fn read_once(replica: &Replica, work_profile: &WorkProfile, gap: Duration) {
+async fn read_once(replica: &Replica, work_profile: &WorkProfile, min_interval: Duration) {
     let since = replica.state().revision;
     let sent = Instant::now();
     let timeout = replica.context.timing.round * 2;
@@ -210,7 +210,7 @@
         Ok(response) => apply(replica, work_profile, since, sent, response),
         Err(error) => {
             tracing::debug!(%error, "read failed");
-            sleep(gap * 4).await;
+            sleep(min_interval * 4).await;
             replica.read_requested.notify_one();
         }
     }
--- a/crates/rushwalk/src/timing.rs
+++ b/crates/rushwalk/src/timing.rs
@@ -6,24 +6,26 @@
 /// Intervals and time-outs of one controller.
 #[derive(Debug, Clone)]
 pub struct Timing {
-    /// For how long after its last read of the store an owner may act on its shard leases.
-    /// A cancellation that another controller confirms must reach every task within
-    /// `cancel_s`, and an owner that does not know of it renews worker leases for at most
-    /// this long.
+    /// How long after its last successful read of the store an owner may act on its shard
+    /// leases. A cancellation that another controller confirms must end every task within
+    /// `cancel_s`. An owner that has not read the cancellation may renew worker leases for
+    /// this long, and the workers end the tasks when their leases expire after that.
     pub lease_validity: Duration,
-    /// The lease of a member's record; its expiry shows the others that the member is gone.
+    /// The duration of the member lease. Its expiry removes the member's record, which shows
+    /// the other controllers that the member is gone.
     pub member_lease: Duration,
-    /// The interval of the leader's scheduling rounds, from which most others derive.
+    /// The interval of the leader's scheduling rounds; many other intervals and time-outs are
+    /// multiples or fractions of it.
     pub round: Duration,
     /// The interval between two heartbeats to the same peer.
     pub peer_heartbeat: Duration,
     /// The interval of a worker's heartbeats.
     pub heartbeat: Duration,
-    /// The lease of a worker, which ends its tasks when it expires.
+    /// The duration of a worker's lease. A worker ends its tasks when the lease expires.
     pub worker_lease: Duration,
-    /// A machine without contact for this long is unreachable.
+    /// A machine without contact for longer than this counts as unreachable.
     pub unreachable_after: Duration,
-    /// Predicted finishes closer than this count as equal.
+    /// The length of the time spans within which predicted finish times count as equal.
     pub tie: Duration,
 }
 
@@ -33,7 +35,8 @@
         let workers = &settings.site.workers;
         let seconds = Duration::from_secs_f64;
         let round_s = (workers.heartbeat_s / 3.0).min(workers.lease_s / 40.0);
-        // With many peers each is sent fewer heartbeats: the others report on it, too.
+        // With more than four peers, each is sent heartbeats less often: the other controllers
+        // report their observations of it, too.
         let peer_factor = (settings.peers.len() as f64 / 4.0).max(1.0);
         let member_lease_s = (2.0 * workers.heartbeat_s)
             .min(workers.lease_s / 7.0)
