--- a/crates/rushwalk/src/leadership/election.rs
+++ b/crates/rushwalk/src/leadership/election.rs
@@ -72,8 +72,8 @@
         let mut seen = self.parts.replica.change_count();
         let interval = self.parts.context.timing.peer_heartbeat / 2;
         loop {
-            // A change of the state ends the wait. It is limited to `interval` because lag, lease
-            // expiry and the delays of candidates depend on time alone.
+            // A change of the state ends the wait. It is limited to `interval` because lag and the
+            // delays of candidates depend on time alone.
             let _ = timeout(interval, self.parts.replica.changed_since(seen)).await;
             seen = self.parts.replica.change_count();
             let lease = self.parts.membership.lease();
--- a/crates/rushwalk/src/peers.rs
+++ b/crates/rushwalk/src/peers.rs
@@ -21,7 +21,7 @@
 const REFUSAL_THRESHOLD: u32 = 2;
 
 /// The failure detector for the other controllers, and what this controller itself observes
-/// beside it: heartbeats of misrouted workers, and how busy its own thread is.
+/// in addition: heartbeats of misrouted workers, and how busy its own thread is.
 pub struct PeerMonitor {
     context: Arc<Context>,
     detector: Mutex<FailureDetector>,
--- a/crates/rushwalk/src/store/replica/follow.rs
+++ b/crates/rushwalk/src/store/replica/follow.rs
@@ -41,7 +41,7 @@
             (state.revision, state.has_gap)
         };
         if has_gap {
-            tracing::warn!("watch min_interval: relisting");
+            tracing::warn!("watch gap: relisting");
             listed = false;
             continue;
         }
