--- a/crates/rushwalk/src/workers.rs
+++ b/crates/rushwalk/src/workers.rs
@@ -1,4 +1,5 @@
-//! Worker sessions: what is known of workers from their heartbeats, and their commands.
+//! Worker sessions: the state of workers as their heartbeats show it, and the commands sent to
+//! them.
 
 pub(crate) mod commands;
 pub(crate) mod heartbeats;
--- a/crates/rushwalk/src/workers/commands.rs
+++ b/crates/rushwalk/src/workers/commands.rs
@@ -1,4 +1,5 @@
-//! The commands that bring a machine from what its worker reports to what is wanted.
+//! Commands that bring a machine from the state that its worker reports to the state in the
+//! store.
 
 use super::session::{ReportedTask, SentStart, WorkerSession};
 use rushwalk_protocol::ids::{AttemptId, MachineId, TaskId};
@@ -6,10 +7,10 @@
 use rushwalk_state::records::JobPhase;
 use rushwalk_state::{AssignedTask, ClusterState, JobState, Revision, TaskState};
 
-/// What a task gets beyond its time to save a checkpoint before it is killed, in seconds.
+/// Seconds added to a task's checkpoint time before it is killed.
 const CHECKPOINT_MARGIN_S: f64 = 1.0;
 
-/// The commands for a machine, under a fencing token.
+/// The commands for a machine whose shard this process owns under the fencing token `token`.
 pub(crate) fn commands(
     state: &ClusterState,
     session: &WorkerSession,
@@ -33,8 +34,8 @@
     commands
 }
 
-/// The start that a command carries.
-pub(crate) fn start_in(command: &Command) -> Option<SentStart> {
+/// The start in a command; `None` for commands of another kind.
+pub(crate) fn start_of(command: &Command) -> Option<SentStart> {
     match command {
         Command::Run { task, attempt } => Some(SentStart {
             task: task.clone(),
@@ -60,7 +61,7 @@
         attempt,
     };
     match session.reported(&attempt_id) {
-        // A task that ran and is gone was lost; it is not started again under the same
+        // A task that had started and is missing was lost. It is started again only as a new
         // attempt.
         None if must_stop || task.record.started_ms.is_some() => None,
         None if session.lease_expired(token) => None,
@@ -70,7 +71,7 @@
             attempt,
         }),
         Some(status) if status.phase == TaskPhase::Exited || !must_stop => None,
-        // It is saving a checkpoint.
+        // The task is already saving a checkpoint before it exits.
         Some(status) if status.phase == TaskPhase::Saving && !is_cancelled => None,
         Some(_) => Some(Command::Stop {
             task: id.to_string(),
@@ -80,7 +81,8 @@
     }
 }
 
-/// How long a task may go on to save a checkpoint.
+/// Grace period of a stop command in seconds, in which the task may save a checkpoint; 0 if
+/// its job is cancelled or has no checkpoints.
 fn grace_s(job: &JobState, is_cancelled: bool) -> f64 {
     if !is_cancelled && job.spec.checkpoint_s > 0.0 {
         job.spec.save_s + CHECKPOINT_MARGIN_S
@@ -89,7 +91,7 @@
     }
 }
 
-/// Whether a reported attempt is placed on the machine.
+/// Whether the state places a reported attempt on the machine.
 fn is_wanted(state: &ClusterState, machine: &MachineId, reported: &ReportedTask) -> bool {
     let Some(AssignedTask { task, .. }) = state.task(&reported.task) else {
         return false;
@@ -97,7 +99,7 @@
     task.record.attempt == reported.status.attempt && task.record.machine.as_ref() == Some(machine)
 }
 
-/// The command for an attempt that is not to be on the machine.
+/// The command for a reported attempt that the state does not place on the machine.
 fn command_for_unwanted(
     session: &WorkerSession,
     token: Revision,
@@ -112,7 +114,8 @@
             grace_s: 0.0,
         });
     }
-    // A start that may arrive late must find the task still known.
+    // A worker that has forgotten an attempt would start it again on a start command that
+    // arrives late, so no attempt is forgotten while one may.
     let is_resolved = session.unresolved_start.is_none() && session.call_in_flight.is_none();
     (is_resolved && session.token <= token).then_some(Command::Forget { task, attempt })
 }
--- a/crates/rushwalk/src/workers/heartbeats.rs
+++ b/crates/rushwalk/src/workers/heartbeats.rs
@@ -1,6 +1,6 @@
-//! How a worker's heartbeat is answered.
+//! Answers workers' heartbeats.
 
-use super::commands::{commands, start_in};
+use super::commands::{commands, start_of};
 use super::registry::WorkerRegistry;
 use super::session::HeartbeatOrigin;
 use crate::clock::now_ms;
@@ -11,33 +11,36 @@
 use rushwalk_state::{ClusterState, MachineState};
 use std::sync::Arc;
 
-/// What a worker's heartbeat is answered with.
+/// The answer to a worker's heartbeat.
 #[derive(Debug)]
 pub(crate) enum HeartbeatReply {
-    /// Its owner's response.
+    /// This controller owns the worker's shard: its response.
     Accepted(HeartbeatResponse),
-    /// Another controller owns its shard; its name, if it is known and not failed.
+    /// Another controller owns the worker's shard. Holds its name; `None` if the name is not
+    /// known yet, or if that controller has failed or does not receive from the shard.
     Redirected(Option<String>),
-    /// Its owner is not known here.
+    /// The machine is unknown, or its shard has no other owner and this controller may not
+    /// act as the owner.
     Unavailable,
 }
 
 /// Answers workers' heartbeats.
 #[derive(Clone)]
 pub(crate) struct HeartbeatHandler {
-    /// This process's context.
+    /// Settings, timing and identity of this process.
     pub context: Arc<Context>,
-    /// Shows who owns the worker's shard, and what should be on its machine.
+    /// Copy of the cluster's state, with the shard leases and the placed tasks.
     pub replica: Arc<Replica>,
-    /// Where heartbeats are kept.
+    /// Worker sessions, which the heartbeats update.
     pub workers: Arc<WorkerRegistry>,
-    /// Shows where to redirect workers.
+    /// Failure detector, which names the controller to redirect a worker to, and the counts of
+    /// misrouted workers.
     pub peers: Arc<PeerMonitor>,
 }
 
 impl HeartbeatHandler {
-    /// Answers a heartbeat. Costs what its machine's tasks cost, however many other
-    /// machines there are.
+    /// Answers a heartbeat. The cost depends on the number of tasks on its machine, not on the
+    /// number of machines.
     pub(crate) fn handle(&self, heartbeat: &Heartbeat) -> HeartbeatReply {
         let state = self.replica.state();
         let known = state.machines.get_key_value(heartbeat.machine.as_str());
@@ -49,7 +52,8 @@
             return self.redirect(&state, machine_state, heartbeat);
         };
         if heartbeat.token > token {
-            // Another controller owns the shard by a newer lease that is not applied here yet.
+            // Another controller owns the shard by a newer lease that this replica has not
+            // read yet.
             self.replica.request_read();
             return HeartbeatReply::Redirected(None);
         }
@@ -58,16 +62,17 @@
         sessions.record_contact(shard);
         let session = sessions.session_mut(machine);
         let is_newer = session.receive(heartbeat, token, &self.context.timing);
-        // A late heartbeat is no base for commands, but it may be answered.
+        // A heartbeat that is not the newest is answered, but without commands, as it shows an
+        // outdated state of the machine.
         let mut commands = if session.is_newest(heartbeat) && session.call_in_flight.is_none() {
             commands(&state, session, machine, token)
         } else {
             Vec::new()
         };
         if session.withhold_starts() {
-            commands.retain(|command| start_in(command).is_none());
+            commands.retain(|command| start_of(command).is_none());
         }
-        let start = commands.iter().find_map(start_in);
+        let start = commands.iter().find_map(start_of);
         session.record_response(heartbeat, is_newer, token, start);
         HeartbeatReply::Accepted(HeartbeatResponse { token, commands })
     }
@@ -82,7 +87,8 @@
         let shard = &machine.record.shard;
         let lease = state.shard_leases.get(shard);
         let Some(lease) = lease.filter(|l| l.value.owner != self.context.member()) else {
-            // Not entitled to answer, but it shows that the worker is alive.
+            // This controller may not answer as the owner, but the heartbeat shows that the
+            // worker is alive.
             if let Some((machine, _)) = state.machines.get_key_value(heartbeat.machine.as_str()) {
                 let mut sessions = self.workers.sessions();
                 let session = sessions.session_mut(machine);
@@ -90,7 +96,8 @@
             }
             return HeartbeatReply::Unavailable;
         };
-        // A machine that has just booted has yet to discover its owner.
+        // The worker of a machine that has just booted does not know its owner yet, so it does
+        // not count as misrouted for two heartbeat intervals.
         let discovery_ms = 2 * self.context.timing.heartbeat.as_millis() as u64;
         let ready_ms = machine.record.ready_ms;
         if ready_ms.is_some_and(|at| now_ms() > at + discovery_ms) {
--- a/crates/rushwalk/src/workers/registry.rs
+++ b/crates/rushwalk/src/workers/registry.rs
@@ -1,4 +1,4 @@
-//! The sessions of all workers of the shards that this process owns.
+//! The sessions of all workers that this process has contact with or is responsible for.
 
 use super::session::WorkerSession;
 use crate::timing::Timing;
@@ -9,12 +9,13 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use tokio::time::Instant;
 
-/// Under which fencing token something is owned, and since when.
+/// Ownership of a shard by this process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Ownership {
-    /// The fencing token.
+    /// Fencing token: the version of the shard lease.
     pub token: Revision,
-    /// When this process came to own it, as far as it noticed.
+    /// When this process noticed that it owns the shard, which may be later than the commit
+    /// of the lease.
     pub since: Instant,
 }
 
@@ -28,32 +29,34 @@
     }
 }
 
-/// What is known of the workers.
+/// The worker sessions and the contact times of shards.
 #[derive(Default)]
 pub struct Sessions {
-    /// The sessions by machine.
+    /// Worker sessions by machine.
     pub by_machine: HashMap<MachineId, WorkerSession>,
-    /// Machines that were in contact since this was last emptied.
+    /// Machines with a heartbeat or an ended call since the reconciler last emptied the set.
     pub changed: BTreeSet<MachineId>,
-    /// When any machine of a shard was last in contact.
+    /// When this process, as the shard's owner, last received a heartbeat of any of the
+    /// shard's machines.
     shard_last_contact: HashMap<ShardId, Instant>,
-    /// The shards that this process owns.
+    /// The shards owned at the last call of [`WorkerRegistry::unreachable_shards`].
     owned_shards: HashMap<ShardId, Ownership>,
 }
 
 impl Sessions {
-    /// A machine's session, a new one if nothing is known of it.
+    /// A machine's session, created if there is none.
     pub fn session_mut(&mut self, machine: &MachineId) -> &mut WorkerSession {
         self.by_machine.entry(machine.clone()).or_default()
     }
 
-    /// Records contact with a machine of a shard.
+    /// Records that some machine of a shard is in contact now.
     pub fn record_contact(&mut self, shard: &ShardId) {
         self.shard_last_contact
             .insert(shard.clone(), Instant::now());
     }
 
-    /// Forgets the machines that no longer exist.
+    /// Drops the sessions of machines that no longer exist, if there are more sessions than
+    /// machines.
     pub fn retain_known(&mut self, state: &ClusterState) {
         if self.by_machine.len() > state.machines.len() {
             self.by_machine
@@ -62,14 +65,14 @@
     }
 }
 
-/// The worker sessions, shared by all that receive heartbeats or command workers.
+/// The worker sessions, shared by the handler of heartbeats, the reconciler and the dispatcher.
 pub struct WorkerRegistry {
     timing: Timing,
     sessions: Mutex<Sessions>,
 }
 
 impl WorkerRegistry {
-    /// A registry that knows no worker.
+    /// A registry without sessions.
     pub fn new(timing: Timing) -> WorkerRegistry {
         WorkerRegistry {
             timing,
@@ -77,12 +80,13 @@
         }
     }
 
-    /// The sessions. The lock is taken after that of the cluster's state, if both are.
+    /// Locks the sessions. Code that also locks the cluster's state must lock the state first.
     pub fn sessions(&self) -> MutexGuard<'_, Sessions> {
         self.sessions.lock()
     }
 
-    /// Owned shards without contact to any machine, though heartbeats of some are overdue.
+    /// Names of the owned shards whose heartbeats do not reach this process: enough of their
+    /// machines are overdue, and none has been in contact for a fraction of an interval.
     pub fn unreachable_shards(
         &self,
         state: &ClusterState,
@@ -109,8 +113,8 @@
         unreachable
     }
 
-    /// Whether there is no contact with any machine of a shard that is owned since `since`,
-    /// though heartbeats of some are overdue.
+    /// Whether the heartbeats of a shard that is owned since `since` do not reach this process,
+    /// see [`ShardReception::has_inbound_loss`].
     fn is_unreachable(
         &self,
         state: &ClusterState,
@@ -124,7 +128,8 @@
         let heartbeat_s = self.timing.heartbeat.as_secs_f64();
         let counts = state.shard_counts(shard);
         let machines = counts.ready.saturating_sub(counts.unreachable);
-        // Few shards are out of contact at all: the machines of the others aren't examined.
+        // First assume that all machines are overdue. Most shards have recent contact and need
+        // no examination of each machine.
         let mut reception = ShardReception {
             machines,
             overdue: machines,
@@ -142,11 +147,11 @@
         reception.has_inbound_loss(heartbeat_s)
     }
 
-    /// Whether a machine's heartbeat is overdue, in a shard that is owned since `since`.
+    /// Whether the heartbeat of a machine is overdue whose shard is owned since `since`.
     fn is_overdue(&self, sessions: &Sessions, machine: &MachineId, since: Instant) -> bool {
         let session = sessions.by_machine.get(machine);
         let last_contact = session.and_then(|session| session.last_contact);
-        // Times in seconds from now, which is 0.
+        // Times in seconds relative to now; past times are negative.
         let last_contact_s = last_contact.map(|at| -at.elapsed().as_secs_f64());
         let since_s = -since.elapsed().as_secs_f64();
         let heartbeat_s = self.timing.heartbeat.as_secs_f64();
@@ -154,7 +159,8 @@
     }
 }
 
-/// Whether a machine should send heartbeats, as far as its record shows.
+/// Whether a machine should send heartbeats: its record says that it is ready and not
+/// unreachable.
 pub(crate) fn expects_heartbeats(machine: &MachineState) -> bool {
     machine.record.ready_ms.is_some() && machine.record.unreachable_since_ms.is_none()
 }
--- a/crates/rushwalk/src/workers/session.rs
+++ b/crates/rushwalk/src/workers/session.rs
@@ -1,8 +1,9 @@
-//! What is known of one worker from its heartbeats.
+//! State of one worker as derived from its heartbeats.
 //!
-//! The questions answered here decide when a task may be started again elsewhere. Only
-//! these prove that a task is gone: the worker's own word under our fencing token, or a
-//! worker lease that has surely expired.
+//! The methods of [`WorkerSession`] decide when a task may be started on another machine.
+//! Only two things prove that a task no longer runs: a heartbeat of its worker that carries
+//! this controller's fencing token and does not list the task, or a worker lease that has
+//! surely expired.
 
 #[cfg(test)]
 mod tests;
@@ -17,124 +18,136 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// By how much a worker's clock may run slower than ours while its lease runs.
-const CLOCK_DRIFT: f64 = 1.002;
+/// Factor by which a worker lease may last longer on this controller's clock, because the
+/// worker's clock runs slower.
+const MAX_CLOCK_DRIFT_FACTOR: f64 = 1.002;
 
-/// The longest notice before a spot instance is reclaimed that is believed, in seconds.
+/// Upper bound in seconds for the time until a spot machine is reclaimed, as a worker
+/// reports it; a longer notice is cut to this.
 const MAX_RECLAIM_NOTICE_S: f64 = 3600.0;
 
 /// A task as its worker reports it.
 #[derive(Debug)]
 pub struct ReportedTask {
-    /// The task.
+    /// The task's id, parsed from the name in `status`.
     pub task: TaskId,
-    /// What the worker reports of it.
+    /// The entry of the heartbeat.
     pub status: TaskStatus,
 }
 
-/// A start that was sent to a worker's own address and not answered: it may still be
-/// carried out.
+/// A start command in a call to a worker's own address that was not answered. The worker
+/// may still execute it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UnresolvedStart {
-    /// The fencing token under which it was sent.
+    /// Fencing token of the command batch.
     pub token: Revision,
-    /// The worker's session to which it was sent.
+    /// Worker session of the command batch; in a later session the worker ignores it.
     pub session: u64,
 }
 
-/// A call to a worker's own address.
+/// Kind of a call to a worker's own address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallInFlight {
-    /// It asks for a heartbeat, and starts nothing.
+    /// Asks for a heartbeat; starts no task.
     Probe,
-    /// It may start tasks.
+    /// Carries commands, which may start tasks.
     Commands,
 }
 
-/// A start in a response.
+/// A start command in the response to a heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SentStart {
-    /// The name of the task, as workers know it.
+    /// Name of the task as in commands and heartbeats.
     pub task: String,
-    /// The attempt.
+    /// Attempt that the worker is to start.
     pub attempt: Revision,
 }
 
-/// A response to a heartbeat of which it is not known whether it was received.
+/// A response to a heartbeat that the worker may or may not have received.
 #[derive(Debug)]
 struct UnconfirmedResponse {
     token: Revision,
     sent: Instant,
-    /// The session that was answered.
+    /// Worker session of the heartbeat.
     session: u64,
-    /// The first start in it.
+    /// The first start command in the response, if any.
     start: Option<SentStart>,
 }
 
-/// How a heartbeat came.
+/// How a heartbeat was received.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatOrigin {
-    /// The worker sent it to us by itself.
+    /// The worker sent it on its regular schedule.
     Worker,
-    /// It is the answer to a call to the worker's own address.
+    /// The worker returned it in answer to a call to its own address.
     Call,
 }
 
-/// The session of one worker, as its shard's owner knows it.
+/// What the owner of a shard knows of one of the shard's workers.
 #[derive(Debug, Default)]
 pub struct WorkerSession {
-    /// The worker's session: its epoch, which rises when the worker starts or its lease
-    /// expires.
+    /// Session (epoch) in the newest heartbeat; 0 before the first one. It increases when
+    /// the worker starts or its lease expires.
     pub session: u64,
+    /// Sequence number of the newest heartbeat.
     sequence: u64,
-    /// The highest fencing token that it has seen.
+    /// The highest fencing token in any heartbeat of the worker.
     pub token: Revision,
-    /// When its latest heartbeat or response came.
+    /// When the newest heartbeat was received, whether sent by the worker or returned by a
+    /// call; `None` before the first one.
     pub last_contact: Option<Instant>,
-    /// When a heartbeat last came that it sent by itself.
+    /// When the newest heartbeat of [`HeartbeatOrigin::Worker`] was received.
     last_heartbeat: Option<Instant>,
-    /// The address at which it takes commands.
+    /// `IP:port` at which the worker takes commands; empty if no heartbeat named one.
     pub address: String,
-    /// When its machine is reclaimed.
+    /// When the cloud reclaims the spot machine; `None` if that is not announced.
     pub reclaim_ms: Option<UnixMillis>,
-    /// The tasks of its newest heartbeat.
+    /// All tasks in the newest heartbeat.
     pub tasks: Vec<ReportedTask>,
-    /// Until its token or session is past, an absent task proves nothing, and nothing may
-    /// be forgotten.
+    /// A start that the worker may still execute; `None` once a heartbeat shows a later
+    /// token or session. While it is set, a task that is missing from the heartbeats may
+    /// still start, and the worker must not forget exited attempts.
     pub unresolved_start: Option<UnresolvedStart>,
-    /// The call to its own address that is under way.
+    /// The call to the worker's own address that has not ended yet.
     pub call_in_flight: Option<CallInFlight>,
-    /// Attempts whose end was put forward. Should that commit go unanswered it may still
-    /// arrive late, so they are never started again: a task that was started anew while its
-    /// end was on the way ran twice.
+    /// Attempts whose end this controller has tried to commit. It never starts them again:
+    /// a commit that was not answered may take effect late, and a task that was started
+    /// again before its end was committed ran twice.
     pub ended_attempts: BTreeSet<AttemptId>,
-    /// That it is unreachable was logged: once is enough while that can't be committed.
+    /// Whether the log already says that the machine is unreachable; reset by the next
+    /// heartbeat. Avoids repeated entries while the state can't be committed.
     pub unreachable_logged: bool,
-    /// The heartbeat whose response carried starts. One that was on the way already does
-    /// not show their effect.
-    starts_sent_in: Option<u64>,
-    /// When we last answered a heartbeat of it, which renews its lease from the time at
-    /// which the heartbeat was sent. Not a response that the next heartbeat shows to have
-    /// been lost.
+    /// Sequence number of the latest heartbeat whose response carried starts; `None` once a
+    /// later heartbeat shows their effect. A heartbeat up to this number was sent before the
+    /// response and does not show it.
+    starts_sent_at: Option<u64>,
+    /// When a response that may have renewed the worker's lease was last sent. The lease
+    /// counts from when the answered heartbeat was sent. A response that the next heartbeat
+    /// shows to be lost is not included.
     lease_renewed: Option<Instant>,
-    /// The latest response, if it is not known whether it was received.
+    /// The latest response, until a newer heartbeat shows whether it was received.
     unconfirmed: Option<UnconfirmedResponse>,
-    /// Since when the worker receives no response, though its heartbeats come.
+    /// When the first response that the worker did not receive was sent; `None` if none was
+    /// lost since messages were last known to reach it.
     undelivered_since: Option<Instant>,
-    /// The last response held starts back, to see what is on the machine without them.
+    /// Whether starts were left out of the latest response, see
+    /// [`WorkerSession::withhold_starts`].
     starts_withheld: bool,
-    /// The token under which its lease expired though its heartbeats kept coming.
-    expired_under: Option<Revision>,
-    /// Since when this process is responsible for it, and under which token.
+    /// Fencing token of the ownership in which the worker's lease expired although its
+    /// heartbeats kept arriving; `None` once the worker has seen that token.
+    expired_under_token: Option<Revision>,
+    /// Since when this process owns the worker's shard, and under which token; `None` if it
+    /// has not examined the machine as owner.
     pub owned: Option<Ownership>,
-    /// When commands were last sent to its own address.
+    /// When commands were last sent to the worker's own address.
     pub last_command: Option<Instant>,
-    /// When it was last asked for a heartbeat.
+    /// When a call last asked the worker for a heartbeat.
     pub last_probe: Option<Instant>,
 }
 
 impl WorkerSession {
-    /// Takes in a heartbeat unless it is older than the newest; whether it is newer.
+    /// Applies a heartbeat and returns true if it is newer than all before it; ignores any
+    /// other.
     pub fn apply_heartbeat(&mut self, heartbeat: &Heartbeat, origin: HeartbeatOrigin) -> bool {
         if (heartbeat.session, heartbeat.sequence) <= (self.session, self.sequence) {
             return false;
@@ -144,7 +157,7 @@
                 self.last_heartbeat = Some(Instant::now());
                 self.check_unconfirmed(heartbeat);
                 if self.shows_effect_of_starts(heartbeat) {
-                    self.starts_sent_in = None;
+                    self.starts_sent_at = None;
                 }
             }
             HeartbeatOrigin::Call => self.undelivered_since = None,
@@ -152,8 +165,11 @@
         self.session = heartbeat.session;
         self.sequence = heartbeat.sequence;
         self.token = self.token.max(heartbeat.token);
-        if self.expired_under.is_some_and(|token| self.token >= token) {
-            self.expired_under = None;
+        if self
+            .expired_under_token
+            .is_some_and(|token| self.token >= token)
+        {
+            self.expired_under_token = None;
         }
         if let Some(start) = self.unresolved_start
             && (self.token > start.token || self.session > start.session)
@@ -174,13 +190,13 @@
     }
 
     fn shows_effect_of_starts(&self, heartbeat: &Heartbeat) -> bool {
-        let is_later = |sent_in: u64| heartbeat.sequence > sent_in;
-        heartbeat.session > self.session || self.starts_sent_in.is_some_and(is_later)
+        let is_later = |sent_at: u64| heartbeat.sequence > sent_at;
+        heartbeat.session > self.session || self.starts_sent_at.is_some_and(is_later)
     }
 
-    /// What a heartbeat shows of the response to the one before it: a worker has one
-    /// heartbeat under way at a time, and shows the token of a response that it received in
-    /// the next.
+    /// Derives from a new heartbeat whether the worker received the response to the one
+    /// before it. A worker has one heartbeat in flight at a time, and its next heartbeat
+    /// carries the token of the response that it received.
     fn check_unconfirmed(&mut self, heartbeat: &Heartbeat) {
         let Some(response) = self.unconfirmed.take() else {
             return;
@@ -201,19 +217,21 @@
         }
     }
 
-    /// Whether the worker has received no response for as long as makes a machine without
-    /// contact unreachable.
+    /// Whether messages to the worker are lost: its heartbeats arrive, but it has received
+    /// no response for longer than [`Timing::unreachable_after`].
     pub fn has_inbound_loss(&self, timing: &Timing) -> bool {
         self.undelivered_since
             .is_some_and(|since| since.elapsed() > timing.unreachable_after)
     }
 
-    /// Whether it answers at its own address only: nobody answers its heartbeats, so that
-    /// its lease has expired or is about to. Commands renew nothing: what is started there
-    /// ends with the lease.
+    /// Whether messages from the worker are lost: it answers calls to its own address, but
+    /// no heartbeat that it sent has arrived for a worker lease. Its lease has then expired
+    /// or is about to, because only responses to such heartbeats renew it; tasks started by
+    /// commands would end with the lease.
     ///
-    /// Not by what is known from an earlier ownership: an owner that got a shard back took
-    /// all of its machines to be in that state, and lost the shard again.
+    /// Only the time since the shard came under `token` counts. When heartbeats of an
+    /// earlier ownership counted too, an owner that got a shard back took all of its
+    /// machines to be in that state, and lost the shard again.
     pub fn has_outbound_loss(&self, token: Revision, timing: &Timing) -> bool {
         let Some(since) = self.owned_under(token) else {
             return false;
@@ -222,25 +240,26 @@
         self.last_contact.is_some() && last.elapsed() > timing.worker_lease
     }
 
-    /// Whether a response was lost lately, so that its own address is tried.
+    /// Whether a response was lost and nothing since shows that messages reach the worker; it
+    /// is then called at its own address.
     pub fn has_undelivered_response(&self) -> bool {
         self.undelivered_since.is_some()
     }
 
-    /// Whether commands to its own address are under way, starts maybe among them.
+    /// Whether a call with commands is in flight, which may include starts.
     fn command_in_flight(&self) -> bool {
         self.call_in_flight == Some(CallInFlight::Commands)
     }
 
-    /// Since when this process owns it under a token, if it does under that one.
+    /// Since when this process owns the worker's shard under `token`; `None` if it does not.
     fn owned_under(&self, token: Revision) -> Option<Instant> {
         let owned = self.owned.filter(|owned| owned.token == token)?;
         Some(owned.since)
     }
 
-    /// Takes in a heartbeat that will be answered under a token; whether it is newer than
-    /// the newest. A copy of one that was answered before shows nothing of that response,
-    /// which may have renewed the lease.
+    /// Applies a heartbeat that will be answered under `token`, and returns whether it is
+    /// newer than all before it. Only a newer one is checked for an expired lease: a copy of
+    /// a heartbeat that was answered does not show whether that response renewed the lease.
     pub fn receive(&mut self, heartbeat: &Heartbeat, token: Revision, timing: &Timing) -> bool {
         let is_newer = self.apply_heartbeat(heartbeat, HeartbeatOrigin::Worker);
         if is_newer {
@@ -249,21 +268,22 @@
         is_newer
     }
 
-    /// Whether a heartbeat is the newest that came.
+    /// Whether a heartbeat is the newest one received.
     pub fn is_newest(&self, heartbeat: &Heartbeat) -> bool {
         (heartbeat.session, heartbeat.sequence) == (self.session, self.sequence)
     }
 
-    /// Whether starts are left out of the next response. Starts in a response that may yet
-    /// arrive keep an absence from being proved: while they are not received, every other
-    /// response has none.
+    /// Decides whether starts are left out of the next response. The absence of a task can't
+    /// be proved while a response with starts may still arrive, so every other response
+    /// carries no starts while responses are lost.
     pub fn withhold_starts(&mut self) -> bool {
         self.starts_withheld = self.has_undelivered_response() && !self.starts_withheld;
         self.starts_withheld
     }
 
-    /// Records the response to a heartbeat. To the newest one the next heartbeat will show
-    /// whether it was received; of another it is assumed.
+    /// Records the response to a heartbeat, with the first start in it. If the heartbeat is
+    /// newer than all before it, the next one will show whether the response was received;
+    /// otherwise the response is assumed to have renewed the lease.
     pub fn record_response(
         &mut self,
         heartbeat: &Heartbeat,
@@ -272,7 +292,7 @@
         start: Option<SentStart>,
     ) {
         if start.is_some() {
-            self.starts_sent_in = Some(heartbeat.sequence);
+            self.starts_sent_at = Some(heartbeat.sequence);
         }
         let sent = Instant::now();
         if !is_newer {
@@ -287,56 +307,66 @@
         });
     }
 
-    /// Called with a new heartbeat that is not answered yet. Had the worker received any
-    /// response of ours its heartbeats would show the token. So nobody has renewed its lease
-    /// since the previous owner could: by now it has expired, and with it the session to
-    /// which that owner can have sent anything. What is running there now was started by no
-    /// previous owner, and by us only if a call to its own address is unresolved.
+    /// Notices that the worker's lease has expired although its heartbeats arrive. Must be
+    /// called after a new heartbeat is applied and before it is answered.
+    ///
+    /// A worker that received a response under `token` carries that token in its heartbeats.
+    /// If it carries a lower one, the latest possible renewal came from a previous owner,
+    /// whose shard lease is valid for at most [`Timing::lease_validity`] after this process
+    /// came to own the shard, or from the response of `lease_renewed`. Once the lease has
+    /// expired since, so has the session to which a previous owner can have sent
+    /// commands. No task that runs now was started by a previous owner, and none by this one
+    /// unless a call to the worker's own address is unresolved.
     fn check_lease_expiry(&mut self, token: Revision, timing: &Timing) {
         let Some(since) = self.owned_under(token) else {
             return;
         };
-        let renewed = (since + timing.lease_validity).max(self.lease_renewed.unwrap_or(since));
-        let is_over = renewed.elapsed() > surely_expired_after(timing);
+        let last_possible_renewal =
+            (since + timing.lease_validity).max(self.lease_renewed.unwrap_or(since));
+        let has_expired = last_possible_renewal.elapsed() > surely_expired_after(timing);
         let is_resolved = !self.command_in_flight() && self.unresolved_start.is_none();
-        if is_over && self.token < token && is_resolved {
-            self.expired_under = Some(token);
+        if has_expired && self.token < token && is_resolved {
+            self.expired_under_token = Some(token);
         }
     }
 
-    /// Whether all that was there before this token is gone, though its heartbeats still come.
+    /// Whether the worker's lease expired under `token` although its heartbeats arrive: all
+    /// tasks that were on the machine before have ended.
     pub fn lease_expired(&self, token: Revision) -> bool {
-        self.expired_under == Some(token)
+        self.expired_under_token == Some(token)
     }
 
-    /// Whether its lease has surely expired, and all tasks with it. Nobody can have renewed
-    /// it later than we did, but a previous owner that does not know of us, for as long as
-    /// its shard lease is valid. All clocks may drift. Pauses do no harm: a lease counts
-    /// from the sending of the heartbeat that was answered, which is before the response.
+    /// Whether the worker's lease has surely expired, which ends all tasks on the machine.
+    ///
+    /// The latest possible renewal is the latest contact or response of this process, or the
+    /// end of the validity of the previous owner's shard lease, as that owner may not know
+    /// yet that it was replaced. The clocks of both sides may drift. A pause of either
+    /// process does no harm: a lease counts from when the answered heartbeat was sent, which
+    /// is before the response.
     ///
-    /// What is known from an earlier ownership proves nothing under this token: in between
-    /// others may have answered. (Once it was taken for proof, and tasks behind a network
-    /// partition ran twice.)
+    /// Only the ownership under `token` counts: between an earlier one and this, other
+    /// controllers may have renewed the lease. When contact of an earlier ownership counted
+    /// as proof, tasks behind a network partition ran twice.
     pub fn lease_surely_expired(&self, token: Revision, timing: &Timing) -> bool {
         let Some(since) = self.owned_under(token) else {
             return false;
         };
         let unconfirmed = self.unconfirmed.as_ref();
-        let last = (since + timing.lease_validity)
+        let last_possible_renewal = (since + timing.lease_validity)
             .max(self.lease_renewed.unwrap_or(since))
             .max(unconfirmed.map_or(since, |response| response.sent))
             .max(self.last_contact.unwrap_or(since));
-        last.elapsed() > surely_expired_after(timing)
+        last_possible_renewal.elapsed() > surely_expired_after(timing)
     }
 
-    /// Whether a heartbeat is missing: one may be late by a quarter, and is repeated after
-    /// a while.
+    /// Whether there was no contact for 1.3 heartbeat intervals. A heartbeat may be late by a
+    /// quarter of an interval, and a worker repeats an unanswered one after a delay.
     pub fn heartbeat_overdue(&self, timing: &Timing) -> bool {
         let limit = timing.heartbeat * 13 / 10;
         self.last_contact.is_none_or(|at| at.elapsed() > limit)
     }
 
-    /// What the newest heartbeat reports of an attempt.
+    /// Status of an attempt in the newest heartbeat; `None` if the attempt is not listed.
     pub fn reported(&self, attempt: &AttemptId) -> Option<&TaskStatus> {
         let mut tasks = self.tasks.iter();
         let reported =
@@ -344,17 +374,18 @@
         reported.map(|t| &t.status)
     }
 
-    /// Whether a task missing from the newest heartbeat is surely not there.
+    /// Whether a task that is missing from the newest heartbeat is surely not on the machine:
+    /// the worker has seen `token`, and no start sent to it may still take effect.
     pub fn proves_absence(&self, token: Revision) -> bool {
         self.last_contact.is_some()
             && self.token == token
             && !self.command_in_flight()
-            && self.starts_sent_in.is_none()
+            && self.starts_sent_at.is_none()
             && self.unresolved_start.is_none()
     }
 
-    /// Records that a start which was sent to its own address was not answered, unless the
-    /// worker has moved on.
+    /// Records that a call with a start was not answered, unless the worker already shows a
+    /// later session or token, in which it refuses the start.
     pub fn mark_unresolved_start(&mut self, start: UnresolvedStart) {
         if self.session <= start.session && self.token <= start.token {
             self.unresolved_start = Some(start);
@@ -362,9 +393,9 @@
     }
 }
 
-/// How long after a worker's lease was last renewed it has surely expired.
+/// Time after the last possible renewal of a worker's lease at which it has surely expired.
 fn surely_expired_after(timing: &Timing) -> Duration {
-    timing.worker_lease.mul_f64(CLOCK_DRIFT) + timing.round / 2
+    timing.worker_lease.mul_f64(MAX_CLOCK_DRIFT_FACTOR) + timing.round / 2
 }
 
 fn reported_tasks(heartbeat: &Heartbeat) -> impl Iterator<Item = ReportedTask> {
--- a/crates/rushwalk/src/workers/session/tests.rs
+++ b/crates/rushwalk/src/workers/session/tests.rs
@@ -26,36 +26,42 @@
     }
 }
 
-/// Declaring tasks gone a moment too soon would run them twice.
+/// A task that is declared lost before its worker's lease has expired may run twice.
 #[tokio::test(start_paused = true)]
-async fn a_lease_has_surely_expired_only_when_nobody_can_have_renewed_it() {
+async fn lease_has_surely_expired_only_when_no_owner_can_have_renewed_it() {
     let timing = timing();
     let mut session = WorkerSession::default();
-    assert!(!session.lease_surely_expired(7, &timing), "never owned");
+    assert!(
+        !session.lease_surely_expired(7, &timing),
+        "the shard was never owned"
+    );
     session.owned = owned_since(7, Instant::now());
     advance(timing.worker_lease + 2 * SECOND).await;
     assert!(
         !session.lease_surely_expired(7, &timing),
-        "a previous owner may have answered"
+        "a previous owner may have renewed the lease"
     );
     advance(timing.lease_validity).await;
     assert!(session.lease_surely_expired(7, &timing));
     assert!(
         !session.lease_surely_expired(8, &timing),
-        "owned by others in between"
+        "other controllers owned the shard in between"
     );
     session.record_response(&heartbeat(0, 0), true, 7, None);
     advance(timing.worker_lease).await;
-    assert!(!session.lease_surely_expired(7, &timing), "clocks drift");
+    assert!(
+        !session.lease_surely_expired(7, &timing),
+        "the worker's clock may be slower"
+    );
     advance(SECOND).await;
     assert!(session.lease_surely_expired(7, &timing));
 }
 
-/// A machine that hears nothing has lost its tasks when the validity of a shard lease and a
-/// worker lease are over. But its response may have been received: only the next heartbeat
-/// tells, not a copy of the last.
+/// A machine that receives no responses has lost its tasks once the validity of the previous
+/// shard lease and a worker lease have passed. A response to it may still have been
+/// received: only a newer heartbeat shows that, not a copy of the last one.
 #[tokio::test(start_paused = true)]
-async fn a_lease_expires_only_if_a_newer_heartbeat_shows_that_no_response_was_received() {
+async fn lease_expires_only_if_a_newer_heartbeat_shows_that_no_response_was_received() {
     let timing = timing();
     let (lease, validity) = (timing.worker_lease, timing.lease_validity);
     let wait = lease + validity + SECOND;
@@ -64,7 +70,7 @@
     session.record_response(&heartbeat(5, 3), true, 7, None);
     advance(wait).await;
     assert!(!session.receive(&heartbeat(5, 3), 7, &timing));
-    assert!(!session.lease_expired(7), "a copy");
+    assert!(!session.lease_expired(7), "the heartbeat is a copy");
     session.record_response(&heartbeat(5, 3), false, 7, None);
     session.receive(&heartbeat(6, 3), 7, &timing);
     assert!(
@@ -75,11 +81,11 @@
     session.receive(&heartbeat(7, 3), 7, &timing);
     assert!(session.lease_expired(7));
     session.receive(&heartbeat(8, 7), 7, &timing);
-    assert!(!session.lease_expired(7), "it has heard us");
+    assert!(!session.lease_expired(7), "the worker has seen the token");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lease_does_not_expire_that_may_have_been_renewed_or_with_a_start_in_doubt() {
+async fn lease_does_not_expire_after_a_possible_renewal_or_with_an_unresolved_start() {
     let timing = timing();
     let (lease, validity) = (timing.worker_lease, timing.lease_validity);
     let wait = lease + validity + SECOND;
@@ -88,7 +94,7 @@
     session.receive(&heartbeat(5, 3), 7, &timing);
     assert!(
         !session.lease_expired(7),
-        "a previous owner may have answered"
+        "a previous owner may have renewed the lease"
     );
     session.record_response(&heartbeat(5, 3), true, 7, None);
     session.receive(&heartbeat(6, 7), 7, &timing);
@@ -96,7 +102,10 @@
     advance(lease).await;
     session.owned = owned_since(9, Instant::now() - wait);
     session.receive(&heartbeat(7, 7), 9, &timing);
-    assert!(!session.lease_expired(9), "renewed under our token before");
+    assert!(
+        !session.lease_expired(9),
+        "the lease was renewed under an earlier token of this owner"
+    );
     session.record_response(&heartbeat(7, 7), true, 9, None);
     advance(SECOND).await;
     session.unresolved_start = Some(UnresolvedStart {
@@ -104,29 +113,33 @@
         session: 1,
     });
     session.receive(&heartbeat(8, 7), 9, &timing);
-    assert!(!session.lease_expired(9), "a start of ours is in doubt");
+    assert!(!session.lease_expired(9), "a start is unresolved");
     session.unresolved_start = None;
     session.receive(&heartbeat(9, 7), 9, &timing);
     assert!(session.lease_expired(9));
 }
 
-/// A shard that comes back to an owner brings what it last knew of its machines.
+/// An owner that gets a shard back still has the sessions of its earlier ownership. Their old
+/// heartbeats must not make all machines of the shard look unable to send.
 #[tokio::test(start_paused = true)]
-async fn what_was_known_under_an_earlier_token_shows_no_outbound_loss() {
+async fn heartbeats_of_an_earlier_ownership_do_not_indicate_outbound_loss() {
     let timing = timing();
     let mut session = owned_session(7);
     session.apply_heartbeat(&heartbeat(5, 7), HeartbeatOrigin::Worker);
     advance(timing.worker_lease + SECOND).await;
     assert!(
         session.has_outbound_loss(7, &timing),
-        "no heartbeat for a lease"
+        "no heartbeat for a worker lease"
+    );
+    assert!(
+        !session.has_outbound_loss(9, &timing),
+        "the shard has just come back"
     );
-    assert!(!session.has_outbound_loss(9, &timing), "just come back");
     session.owned = owned_since(9, Instant::now());
     session.apply_heartbeat(&heartbeat(6, 7), HeartbeatOrigin::Call);
     assert!(
         !session.has_outbound_loss(9, &timing),
-        "answers when asked, and has time to report"
+        "it answers calls, and still has time to send a heartbeat"
     );
     advance(timing.worker_lease + SECOND).await;
     assert!(session.has_outbound_loss(9, &timing));
