--- a/crates/rushwalk/src/shards.rs
+++ b/crates/rushwalk/src/shards.rs
@@ -1,7 +1,7 @@
-//! Shards of the machines: their assignment to controllers by the leader, and what the
-//! owner of a shard does. The owner reconciles what workers report with the state, places
-//! assigned tasks on machines, and commands workers, all under the fencing token of its
-//! shard lease.
+//! Shards, which are groups of machines: their assignment to controllers by the leader, and
+//! the work of a shard's owner. The owner reconciles the heartbeats of workers with the
+//! cluster's state, places assigned tasks on machines, and commands workers, all under the
+//! fencing token of its shard lease.
 
 pub(crate) mod assignment;
 mod dispatch;
--- a/crates/rushwalk/src/shards/assignment.rs
+++ b/crates/rushwalk/src/shards/assignment.rs
@@ -1,13 +1,13 @@
-//! The leader assigns shards to controllers.
+//! Assignment of shards to controllers by the leader.
 //!
-//! This has a loop of its own beside the scheduling rounds: while shards have no owner
-//! their workers ask again every second, and a controller that is busy rejecting them finds
-//! no time for its rounds. That once left shards without an owner until all worker leases
-//! expired.
+//! The assignment runs in its own loop, apart from the scheduling rounds. While shards have no
+//! owner, their workers repeat their heartbeats every second, and a leader that is busy
+//! rejecting them has no time for its rounds. When the assignment depended on the rounds, shards
+//! stayed without an owner until all worker leases expired.
 //!
-//! A pass gathers its inputs, plans moves by
-//! [`plan_shard_moves`](rushwalk_scheduler::shard_assignment::plan_shard_moves), which is
-//! pure, and commits them in one transaction.
+//! A pass gathers its inputs, plans moves by the pure function
+//! [`plan_shard_moves`](rushwalk_scheduler::shard_assignment::plan_shard_moves), and commits
+//! them in one transaction.
 
 mod assignable;
 mod candidates;
@@ -30,24 +30,24 @@
 use std::sync::Arc;
 use tokio::time::sleep;
 
-/// Passes in each scheduling round.
+/// Number of assignment passes per scheduling round.
 const PASSES_PER_ROUND: u32 = 4;
 
-/// The parts that the assignment uses.
+/// Components that the assignment of shards depends on.
 pub struct ShardAssignerParts {
-    /// This process's context.
+    /// Settings, timing and identity of this process.
     pub context: Arc<Context>,
-    /// Shows members, machines and leases.
+    /// Copy of the cluster's state, with members, machines and shard leases.
     pub replica: Arc<Replica>,
-    /// Only the leader assigns.
+    /// Leadership of this process; shards are assigned only while it leads.
     pub leadership: Arc<Leadership>,
-    /// Shows who has failed.
+    /// Failure detector, with the health and the latest heartbeats of the other controllers.
     pub peers: Arc<PeerMonitor>,
-    /// Shows which controller receives the heartbeats of which machines.
+    /// This controller's own data on unreachable shards and misrouted workers.
     pub heartbeats: Arc<HeartbeatSource>,
-    /// Shows whether this controller keeps up.
+    /// Lag of this controller's event loop.
     pub runtime_lag: Arc<RuntimeLag>,
-    /// Where the time goes.
+    /// Records how long the planning takes.
     pub work_profile: Arc<WorkProfile>,
 }
 
@@ -58,7 +58,7 @@
 }
 
 impl ShardAssigner {
-    /// An assigner that has moved nothing.
+    /// An assigner with an empty history of moves.
     pub fn new(parts: ShardAssignerParts) -> ShardAssigner {
         ShardAssigner {
             parts,
@@ -66,7 +66,8 @@
         }
     }
 
-    /// Assigns shards a few times in each round, for good.
+    /// Assigns shards four times in each scheduling round while this process leads; never
+    /// returns.
     pub async fn run(mut self) {
         let round = self.parts.context.timing.round;
         loop {
@@ -82,8 +83,8 @@
         }
     }
 
-    /// Gathers the inputs, plans the moves, and puts them into a transaction; `None` if
-    /// nothing is to be moved.
+    /// Gathers the inputs, plans the moves, and puts them into a transaction; `None` if no
+    /// shard needs to be moved.
     fn plan(&self, version: LeaderVersion) -> Option<Moves> {
         let context = &self.parts.context;
         let _timer = self.parts.work_profile.start(WorkKind::AssignShards);
@@ -97,13 +98,15 @@
         };
         let ids = gatherer.assignable_shards();
         let inputs = gatherer.gather(&ids);
-        // Each move leads a shard's workers elsewhere: one at a time.
+        // A move redirects all workers of a shard, so at most one shard per scheduling round is
+        // moved for balance.
         let may_rebalance = !self.history.rebalanced_within(context.timing.round);
         let planned = plan_shard_moves(&inputs.candidates, &inputs.statuses, may_rebalance);
         let max_writes = context.settings.site.store.txn_ops;
         Moves::new(&state, version, &inputs, &planned, max_writes)
     }
 
+    /// Records the moves in the history and commits them.
     async fn commit(&mut self, mut moves: Moves) {
         for lease in &moves.cut_off {
             self.parts.peers.record_owner_cut_off(lease);
--- a/crates/rushwalk/src/shards/assignment/candidates.rs
+++ b/crates/rushwalk/src/shards/assignment/candidates.rs
@@ -1,4 +1,4 @@
-//! Which controllers may own shards, and how fit each is for more.
+//! Selection of the controllers that may own shards, with the load and health of each.
 
 use super::inputs::InputGatherer;
 use crate::clock::now_ms;
@@ -6,18 +6,20 @@
 use rushwalk_scheduler::shard_assignment::OwnerCandidate;
 use rushwalk_state::records::MemberRecord;
 
-/// A controller that departed more often than this lately gets no shards while others can
-/// have them.
+/// Recent departures up to which a controller is not considered flapping. A flapping one gets
+/// no shards if fewer than half of the controllers are flapping.
 const MAX_DEPARTURES: usize = 2;
 
 impl<'a> InputGatherer<'a> {
-    /// The members that may own shards, by name: not one that has failed, whether or not its
-    /// lease lasts.
+    /// The members that may own shards, sorted by name. Leaves out flapping members and those
+    /// that have lost their shards by being declared failed, even if their member lease has not
+    /// expired.
     pub(super) fn eligible_members(&self) -> Vec<(&'a String, &'a MemberRecord)> {
         let detector = self.parts.peers.detector();
         let now_s = self.parts.context.uptime_s();
-        // One that crash loops may end before its shards' workers have come to it. Not if
-        // most do: the others could not serve all machines.
+        // A member in a crash loop may end before the workers of a new shard have found it. If
+        // half of the members or more are flapping, none is left out: the others could not
+        // serve all machines.
         let is_flapping = |name: &str| {
             let damping = &detector.damping;
             damping.departures(now_s, name) > MAX_DEPARTURES && !damping.is_eligible(now_s, name)
@@ -38,7 +40,7 @@
         members: &[(&'a String, &'a MemberRecord)],
     ) -> Vec<OwnerCandidate<'a>> {
         let detector = self.parts.peers.detector();
-        // Leading takes about as much as half a share of the machines.
+        // Leading costs about as much as half of an equal share of the machines.
         let leader_load = self.state.machines.len() / members.len().max(1) / 2;
         members
             .iter()
@@ -81,9 +83,11 @@
         }
     }
 
-    /// Whether a member may get shards only for balance. One that has just come back gets
-    /// its zone after a pause, which grows if it is flapping; then step by step, the next
-    /// shard when it has shown that it serves the last.
+    /// Whether a member may get shards that have a working owner, which are moved for balance.
+    /// A member that has just registered must wait for the damping delay, which grows with its
+    /// recent departures. A member that departed more than once, or was recently cut off from
+    /// its machines, then gets at most one shard per interval, so that it shows that it serves
+    /// one before it gets the next.
     fn is_eligible_for_moves(
         &self,
         detector: &FailureDetector,
@@ -93,11 +97,13 @@
         let now_s = self.parts.context.uptime_s();
         let timing = &self.parts.context.timing;
         let damping = &detector.damping;
-        let pause_ms = (damping.delay_s(now_s, name) * 1000.0) as u64;
-        let is_unproven = damping.departures(now_s, name) > 1
+        let delay_ms = (damping.delay_s(now_s, name) * 1000.0) as u64;
+        let is_unstable = damping.departures(now_s, name) > 1
             || self.history.cut_off_within(name, timing.worker_lease);
-        let step = timing.member_lease.max(timing.heartbeat);
-        let is_proven = !is_unproven || !self.history.assigned_within(name, step);
-        now_ms() > member.registered_ms + pause_ms && damping.is_eligible(now_s, name) && is_proven
+        let gain_interval = timing.member_lease.max(timing.heartbeat);
+        let may_gain_now = !is_unstable || !self.history.gained_within(name, gain_interval);
+        now_ms() > member.registered_ms + delay_ms
+            && damping.is_eligible(now_s, name)
+            && may_gain_now
     }
 }
--- a/crates/rushwalk/src/shards/assignment/history.rs
+++ b/crates/rushwalk/src/shards/assignment/history.rs
@@ -1,4 +1,4 @@
-//! When shards were moved, and why.
+//! Times of recent moves of shards, by reason.
 
 use super::moves::Moves;
 use crate::timing::Timing;
@@ -7,41 +7,48 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The moves of the leader's time so far. A new leader starts with nothing.
+/// Times of the moves that this process planned or committed as leader. Not stored: a new
+/// leader starts with an empty history.
 #[derive(Default)]
 pub(super) struct MoveHistory {
-    /// When a shard was last taken from an owner that was cut off, or had none.
-    moved_for_need: HashMap<ShardId, Instant>,
-    /// When a shard was last taken from an owner that its machines don't reach.
+    /// When a shard was last moved because its owner could no longer own shards, or was cut off
+    /// from machines that reached no other controller either.
+    moved_from_unusable_owner: HashMap<ShardId, Instant>,
+    /// When a commit of moves last followed from inputs in which a shard's machines reached other
+    /// controllers, but not its owner.
     moved_to_reachable: HashMap<ShardId, Instant>,
-    /// When a controller was last found cut off from its machines.
+    /// When a controller was last found cut off from machines that others reached.
     owner_cut_off: HashMap<String, Instant>,
-    /// When a shard was last assigned to a controller beyond what had no owner.
-    assigned_to: HashMap<String, Instant>,
-    /// When a shard was last moved only for being better off elsewhere.
-    rebalanced: Option<Instant>,
+    /// When a controller was last planned to get a shard that had a working owner.
+    last_gain: HashMap<String, Instant>,
+    /// When moves were last committed that were all for balance, or first assignments of a
+    /// shard.
+    last_rebalance: Option<Instant>,
 }
 
 impl MoveHistory {
-    /// Notes what the leader found and planned, whether or not it is committed.
+    /// Records planned moves before their commit, whose outcome may stay unknown.
     pub(super) fn record_planned(&mut self, moves: &Moves) {
         let now = Instant::now();
         for controller in &moves.gaining {
-            self.assigned_to.insert(controller.clone(), now);
+            self.last_gain.insert(controller.clone(), now);
         }
         for lease in &moves.cut_off {
             self.owner_cut_off.insert(lease.owner.clone(), now);
         }
     }
 
-    /// Notes that moves were committed.
+    /// Records committed moves.
     pub(super) fn record_committed(&mut self, moves: Moves) {
         let now = Instant::now();
-        if moves.needed.is_empty() && moves.reachable_elsewhere.is_empty() {
-            self.rebalanced = Some(now);
+        if moves.from_unusable_owner.is_empty() && moves.reachable_elsewhere.is_empty() {
+            self.last_rebalance = Some(now);
         }
-        let needed = moves.needed.into_iter().map(|shard| (shard, now));
-        self.moved_for_need.extend(needed);
+        let replaced = moves
+            .from_unusable_owner
+            .into_iter()
+            .map(|shard| (shard, now));
+        self.moved_from_unusable_owner.extend(replaced);
         let reachable = moves
             .reachable_elsewhere
             .into_iter()
@@ -49,36 +56,41 @@
         self.moved_to_reachable.extend(reachable);
     }
 
-    /// Whether a shard was moved for balance within a span.
+    /// Whether a shard was moved for balance within the last `span`.
     pub(super) fn rebalanced_within(&self, span: Duration) -> bool {
-        is_recent(self.rebalanced, span)
+        is_recent(self.last_rebalance, span)
     }
 
-    /// Whether a controller was found cut off from its machines within a span.
+    /// Whether a controller was found cut off from its machines within the last `span`.
     pub(super) fn cut_off_within(&self, controller: &str, span: Duration) -> bool {
         is_recent(self.owner_cut_off.get(controller).copied(), span)
     }
 
-    /// Whether a controller got a shard that had an owner within a span.
-    pub(super) fn assigned_within(&self, controller: &str, span: Duration) -> bool {
-        is_recent(self.assigned_to.get(controller).copied(), span)
+    /// Whether a controller was planned to get a shard that had a working owner within the
+    /// last `span`.
+    pub(super) fn gained_within(&self, controller: &str, span: Duration) -> bool {
+        is_recent(self.last_gain.get(controller).copied(), span)
     }
 
-    /// An owner that receives nothing from most of its machines is cut off from them. Only
-    /// once while their leases last: if the next owner receives nothing either, the machines
-    /// are cut off, and each new owner would have to wait anew for their leases to expire,
-    /// which takes so long.
+    /// Whether a shard was moved from an unusable or unreached owner so recently that the worker
+    /// leases of its machines may still be running. During that time no further owner of the
+    /// shard is considered cut off for receiving nothing from most of its machines: if the next
+    /// owner receives nothing either, the machines themselves are cut off, and each new owner
+    /// would have to wait again for their leases to expire.
     pub(super) fn moved_recently(&self, shard: &ShardId, timing: &Timing) -> bool {
-        let moved = self.moved_for_need.get(shard).copied();
+        let moved = self.moved_from_unusable_owner.get(shard).copied();
         let moved_to_reachable = self.moved_to_reachable.get(shard).copied();
         let span = lease_expiry_span(timing);
         is_recent(moved, span) || is_recent(moved_to_reachable, span)
     }
 
-    /// That machines turn up at another controller shows that they can be reached; but not
-    /// if they turn up at all controllers in turn. Those receive nothing from anybody, and
-    /// with a shard that went round, its tasks' lease expiry was not known for as long as
-    /// that lasted.
+    /// Whether a shard was moved to follow its machines' heartbeats so recently that it must not
+    /// be moved for that reason again. Heartbeats at another controller than the owner usually
+    /// show that it can reach the machines. But machines that receive no responses send their
+    /// heartbeats to all controllers in turn. When their shard followed them from controller to
+    /// controller, no owner kept it long enough to see that the leases of its tasks had expired.
+    /// If some machines of the shard are unreachable, the span is therefore the time for which
+    /// their leases may still be running; otherwise it is a member lease.
     pub(super) fn moved_to_reachable_recently(
         &self,
         shard: &ShardId,
@@ -95,7 +107,8 @@
     }
 }
 
-/// How long after a move of a shard its machines' worker leases may still run.
+/// Time after a move of a shard for which the worker leases of its machines may still be
+/// running, as far as the new owner can tell.
 fn lease_expiry_span(timing: &Timing) -> Duration {
     timing.worker_lease + timing.lease_validity + timing.unreachable_after
 }
--- a/crates/rushwalk/src/shards/assignment/inputs.rs
+++ b/crates/rushwalk/src/shards/assignment/inputs.rs
@@ -1,4 +1,4 @@
-//! What an assignment of shards goes by, gathered for one pass.
+//! Inputs of the shard assignment, gathered for one pass.
 
 use super::ShardAssignerParts;
 use super::history::MoveHistory;
@@ -11,17 +11,18 @@
 
 /// The inputs of one pass.
 pub(super) struct Inputs<'a> {
-    /// Who may own shards.
+    /// The controllers that may own shards, sorted by name.
     pub(super) candidates: Vec<OwnerCandidate<'a>>,
     /// The shards that may be assigned now.
     pub(super) ids: &'a [ShardId],
-    /// The same, as they are now.
+    /// The status of each shard, in the order of `ids`.
     pub(super) statuses: Vec<ShardStatus<'a>>,
-    /// Shards whose machines turned up at other controllers than their owner.
+    /// Shards whose machines send heartbeats to other controllers than their owner, which does
+    /// not receive any.
     pub(super) reachable_elsewhere: Vec<ShardId>,
 }
 
-/// Everything that the inputs are gathered from, at one moment.
+/// Sources of the inputs of one pass.
 pub(super) struct InputGatherer<'a> {
     pub(super) parts: &'a ShardAssignerParts,
     pub(super) history: &'a MoveHistory,
@@ -33,7 +34,7 @@
     /// The inputs for the shards that may be assigned now.
     pub(super) fn gather(&self, ids: &'a [ShardId]) -> Inputs<'a> {
         let members = self.eligible_members();
-        let names: Vec<&str> = members.iter().map(|(name, _)| name.as_str()).collect();
+        let candidate_names: Vec<&str> = members.iter().map(|(name, _)| name.as_str()).collect();
         let mut inputs = Inputs {
             candidates: self.candidates(&members),
             ids,
@@ -45,13 +46,14 @@
             if !reachable_from.is_empty() {
                 inputs.reachable_elsewhere.push(id.clone());
             }
-            let status = self.status(&names, id, &reachable_from);
+            let status = self.status(&candidate_names, id, &reachable_from);
             inputs.statuses.push(status);
         }
         inputs
     }
 
-    /// The controllers that a shard's machines reach in place of its owner.
+    /// The controllers that a shard's machines reach instead of its owner; empty if the owner is
+    /// not registered, or the shard was recently moved for that reason.
     fn reachable_from(&self, id: &ShardId) -> Vec<&'a str> {
         let counts = self.state.shard_counts(id);
         let Some(lease) = self.valid_lease(id) else {
@@ -69,14 +71,20 @@
         self.reachability.reachable_from(id, &lease.owner, machines)
     }
 
-    /// A shard as it is now; `names` are those of the candidates.
-    fn status(&self, names: &[&str], id: &'a ShardId, reachable_from: &[&str]) -> ShardStatus<'a> {
+    /// The current status of a shard. `candidate_names` is sorted, in the order of the
+    /// candidates.
+    fn status(
+        &self,
+        candidate_names: &[&str],
+        id: &'a ShardId,
+        reachable_from: &[&str],
+    ) -> ShardStatus<'a> {
         let lease = self.valid_lease(id);
         let counts = self.state.shard_counts(id);
         let timing = &self.parts.context.timing;
         let moved_recently = self.history.moved_recently(id, timing);
         let looks_cut_off = lease.is_some() && !moved_recently && counts.mostly_unreachable();
-        let position = |name: &str| names.binary_search(&name).ok();
+        let position = |name: &str| candidate_names.binary_search(&name).ok();
         ShardStatus {
             zone: id.zone(),
             machines: self.state.shards.get(id).map_or(0, BTreeSet::len),
@@ -90,7 +98,7 @@
         }
     }
 
-    /// A shard's lease, if its owner is registered.
+    /// A shard's lease; `None` if there is none or the process that owns it is not registered.
     fn valid_lease(&self, shard: &ShardId) -> Option<&'a ShardLease> {
         let lease = &self.state.shard_leases.get(shard)?.value;
         self.state.is_owner_registered(lease).then_some(lease)
--- a/crates/rushwalk/src/shards/assignment/moves.rs
+++ b/crates/rushwalk/src/shards/assignment/moves.rs
@@ -1,4 +1,4 @@
-//! Planned moves of shards as a transaction, and why each was planned.
+//! Planned moves of shards as a transaction, with the reason of each.
 
 use super::inputs::Inputs;
 use crate::leadership::LeaderVersion;
@@ -8,23 +8,29 @@
 use rushwalk_state::records::ShardLease;
 use rushwalk_state::{ClusterState, keys};
 
-/// Moves that are committed together.
+/// Moves that are committed together, grouped by reason for the [`MoveHistory`].
+///
+/// [`MoveHistory`]: super::history::MoveHistory
 pub(super) struct Moves {
-    /// Writes the new leases, while this leadership lasts and the old leases stand.
+    /// Writes the new shard leases, on the condition that this process still leads and the old
+    /// leases are unchanged.
     pub(super) transaction: Transaction,
-    /// Shards that had an owner and need another.
-    pub(super) needed: Vec<ShardId>,
-    /// Shards whose machines turned up at other controllers.
+    /// Shards that were leased to an owner that can no longer own shards, or that is cut off
+    /// from machines which reach no other controller.
+    pub(super) from_unusable_owner: Vec<ShardId>,
+    /// Shards whose machines reach other controllers instead of the owner, whether or not a move
+    /// was planned for them.
     pub(super) reachable_elsewhere: Vec<ShardId>,
-    /// Controllers that get a shard which has a working owner.
+    /// Controllers that get a shard from a working owner.
     pub(super) gaining: Vec<String>,
-    /// Leases of owners that are cut off from machines which others reach.
+    /// Previous leases of moved shards whose owners are cut off from machines which others
+    /// reach.
     pub(super) cut_off: Vec<ShardLease>,
 }
 
 impl Moves {
-    /// Puts planned moves into a transaction of at most `max_writes`; `None` if there are
-    /// none.
+    /// Puts planned moves into a transaction of at most `max_writes` writes; `None` if there
+    /// are none.
     pub(super) fn new(
         state: &ClusterState,
         version: LeaderVersion,
@@ -34,7 +40,7 @@
     ) -> Option<Moves> {
         let mut moves = Moves {
             transaction: version.transaction(),
-            needed: Vec::new(),
+            from_unusable_owner: Vec::new(),
             reachable_elsewhere: inputs.reachable_elsewhere.clone(),
             gaining: Vec::new(),
             cut_off: Vec::new(),
@@ -48,13 +54,13 @@
         (!moves.transaction.writes.is_empty()).then_some(moves)
     }
 
-    /// Adds a move, unless its new owner is not registered any more.
+    /// Adds a move, unless the new owner is no longer registered.
     fn add(&mut self, state: &ClusterState, inputs: &Inputs, shard_move: &ShardMove) {
         let to = inputs.candidates[shard_move.to].name;
         let Some(member) = state.members.get(to) else {
             return;
         };
-        self.note_reason(state, inputs, shard_move.shard, to);
+        self.record_reason(state, inputs, shard_move.shard, to);
         let lease = ShardLease {
             owner: to.into(),
             incarnation: member.incarnation,
@@ -65,8 +71,8 @@
             .put(&key, &lease);
     }
 
-    /// Notes and logs why a shard is assigned to a controller.
-    fn note_reason(&mut self, state: &ClusterState, inputs: &Inputs, shard: usize, to: &str) {
+    /// Logs and records why a shard is assigned to a controller.
+    fn record_reason(&mut self, state: &ClusterState, inputs: &Inputs, shard: usize, to: &str) {
         let id = &inputs.ids[shard];
         let status = &inputs.statuses[shard];
         tracing::info!(
@@ -78,9 +84,10 @@
         );
         let previous = state.shard_leases.get(id);
         let is_reachable_elsewhere = inputs.reachable_elsewhere.contains(id);
-        let is_needed = status.owner_cut_off && !is_reachable_elsewhere || status.owner.is_none();
-        if is_needed && previous.is_some() {
-            self.needed.push(id.clone());
+        let is_owner_unusable =
+            status.owner_cut_off && !is_reachable_elsewhere || status.owner.is_none();
+        if is_owner_unusable && previous.is_some() {
+            self.from_unusable_owner.push(id.clone());
         }
         if status.owner.is_some() && !status.owner_cut_off {
             self.gaining.push(to.into());
@@ -94,7 +101,7 @@
     }
 }
 
-/// Why a shard is assigned anew.
+/// Why a shard gets a new owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum MoveReason {
     NoOwner,
--- a/crates/rushwalk/src/shards/dispatch.rs
+++ b/crates/rushwalk/src/shards/dispatch.rs
@@ -1,5 +1,5 @@
-//! Sends to workers' own addresses what can't wait for their next heartbeat: commands, and
-//! probes of workers without contact.
+//! Calls to workers' own addresses: urgent commands, which can't wait for the response to the
+//! next heartbeat, and probes of workers without contact.
 
 #[cfg(test)]
 mod tests;
@@ -23,39 +23,40 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Workers that may be probed in a tick however few there are.
+/// Number of workers that one tick may always probe, whatever the number of owned machines.
 const MIN_PROBES: f64 = 8.0;
 
-/// Ticks of the owner's loop in a round.
+/// Ticks of the reconciler in a scheduling round.
 const TICKS_PER_ROUND: f64 = 3.0;
 
-/// Sends commands and probes.
+/// Sends commands and probes to workers of the owned shards.
 #[derive(Clone)]
 pub(crate) struct Dispatcher {
-    /// This process's context.
+    /// Settings, timing and identity of this process.
     pub context: Arc<Context>,
-    /// Shows which tasks should be on which machine.
+    /// Copy of the cluster's state, with the owned shards and the placed tasks.
     pub replica: Arc<Replica>,
-    /// Shows what workers report.
+    /// Worker sessions, which the results of calls update.
     pub workers: Arc<WorkerRegistry>,
-    /// Calls the workers.
+    /// HTTP client for the workers' addresses.
     pub client: WorkerClient,
-    /// Shows whether this controller keeps up.
+    /// Lag of this controller's event loop; while it lags, fewer workers are probed.
     pub runtime_lag: Arc<RuntimeLag>,
 }
 
-/// How many workers one tick probes.
+/// How many more workers the current tick may probe.
 struct ProbeBudget {
-    /// All that may be probed.
+    /// Workers of any kind.
     total: usize,
-    /// Of these, workers without any contact since their shard is ours.
+    /// Of these, workers that this process never had contact with.
     never_contacted: usize,
 }
 
 impl ProbeBudget {
-    /// Workers without any contact yet come by themselves, unless this thread is too late for
-    /// them: while it lags few are probed. Not so those whose heartbeats stopped: probed
-    /// later, the failure of a third of the fleet was detected later.
+    /// The budget of a tick. While the event loop lags, few workers without any contact are
+    /// probed: they send heartbeats by themselves, unless the event loop is too late to answer
+    /// them. Workers whose heartbeats stopped are probed regardless: when their probes were
+    /// limited too, the failure of a third of the fleet was detected later.
     fn new(total: usize, is_lagging: bool) -> ProbeBudget {
         let never_contacted = if is_lagging {
             MIN_PROBES as usize
@@ -78,24 +79,25 @@
     }
 }
 
-/// A call to a worker's own address.
-struct Call {
+/// Target of a call to a worker's own address.
+struct WorkerCall {
     machine: MachineId,
     shard: ShardId,
     address: String,
 }
 
-/// What a tick sends to a machine.
-enum Step {
+/// What a tick does about a machine.
+enum Action {
     Nothing,
-    /// It is too early: the next tick tries again.
+    /// A call is due but not allowed yet; the next tick examines the machine again.
     Retry,
-    Probe(Call),
-    Command(Call, CommandBatch),
+    Probe(WorkerCall),
+    Command(WorkerCall, CommandBatch),
 }
 
 impl Dispatcher {
-    /// Sends what is urgent to some machines; returns those to try again.
+    /// Starts the calls that are due to `machines`; returns the machines that the next tick
+    /// must examine again.
     pub(super) fn dispatch(&self, machines: &BTreeSet<MachineId>) -> BTreeSet<MachineId> {
         let mut retry = BTreeSet::new();
         let state = self.replica.state();
@@ -103,15 +105,15 @@
         let owned = self.replica.owned_shards(&state);
         let mut budget = self.probe_budget(&state, &owned);
         for id in machines {
-            match self.next_step(&state, &mut sessions, &owned, &mut budget, id) {
-                Step::Nothing => {}
-                Step::Retry => {
+            match self.next_action(&state, &mut sessions, &owned, &mut budget, id) {
+                Action::Nothing => {}
+                Action::Retry => {
                     retry.insert(id.clone());
                 }
-                Step::Probe(call) => {
+                Action::Probe(call) => {
                     tokio::spawn(self.clone().probe(call));
                 }
-                Step::Command(call, batch) => {
+                Action::Command(call, batch) => {
                     tokio::spawn(self.clone().command(call, batch));
                 }
             }
@@ -119,9 +121,10 @@
         retry
     }
 
-    /// An owner that takes over a thousand machines does not probe them all at once: most
-    /// will report by themselves meanwhile. Twice as many as report in a tick are probed, or
-    /// as many as a small site has.
+    /// Limits the probes of a tick to twice the number of heartbeats that the owned machines
+    /// send in a tick, but at least [`MIN_PROBES`]. Without the limit, an owner that takes over
+    /// a thousand machines would probe all of them in one tick, though most send a heartbeat
+    /// by themselves soon.
     fn probe_budget(
         &self,
         state: &ClusterState,
@@ -135,41 +138,42 @@
         ProbeBudget::new(total as usize, self.runtime_lag.is_lagging())
     }
 
-    fn next_step(
+    fn next_action(
         &self,
         state: &ClusterState,
         sessions: &mut Sessions,
         owned: &BTreeMap<ShardId, Revision>,
         budget: &mut ProbeBudget,
         id: &MachineId,
-    ) -> Step {
+    ) -> Action {
         let Some(machine) = state.machines.get(id) else {
-            return Step::Nothing;
+            return Action::Nothing;
         };
         let record = &machine.record;
         let Some(&token) = owned.get(&record.shard) else {
-            return Step::Nothing;
+            return Action::Nothing;
         };
         if record.ready_ms.is_none() || record.lifecycle == MachineLifecycle::Deleting {
-            return Step::Nothing;
+            return Action::Nothing;
         }
         let session = sessions.session_mut(id);
         if session.owned.is_none_or(|owned| owned.token != token) {
             session.owned = Some(Ownership::new(token));
         }
         if session.call_in_flight.is_some() {
-            return Step::Nothing;
+            return Action::Nothing;
         }
         let timing = &self.context.timing;
-        // Without contact it may report to a previous owner, or be partitioned. Or its
-        // heartbeats come, and our responses do not arrive.
+        // A worker without contact may send its heartbeats to a previous owner, or be
+        // partitioned. A worker with an undelivered response sends heartbeats, but does not
+        // receive the responses.
         if session.heartbeat_overdue(timing) || session.has_undelivered_response() {
-            return probe_step(timing, session, budget, id, machine);
+            return probe_action(timing, session, budget, id, machine);
         }
-        command_step(state, timing, session, id, machine, token)
+        command_action(state, timing, session, id, machine, token)
     }
 
-    async fn command(self, call: Call, batch: CommandBatch) {
+    async fn command(self, call: WorkerCall, batch: CommandBatch) {
         let timeout = self.context.timing.round * 3;
         let result = self.client.command(&call.address, &batch, timeout).await;
         let mut sessions = self.workers.sessions();
@@ -181,7 +185,7 @@
                 sessions.record_contact(&call.shard);
             }
             Err(Error::Unanswered(error)) => {
-                tracing::debug!(machine, error, "commands unanswered");
+                tracing::debug!(machine, error, "worker did not answer the commands");
                 let is_start = |command: &Command| matches!(command, Command::Run { .. });
                 if batch.commands.iter().any(is_start) {
                     session.mark_unresolved_start(UnresolvedStart {
@@ -190,13 +194,14 @@
                     });
                 }
             }
-            Err(error) => tracing::debug!(machine, %error, "commands failed"),
+            Err(error) => tracing::debug!(machine, %error, "sending commands failed"),
         }
     }
 
-    /// Asks a worker without contact for a heartbeat, and shows it our token: a worker that
-    /// still reports to a previous owner is thereby fenced from it.
-    async fn probe(self, call: Call) {
+    /// Asks a worker for a heartbeat, and sends it this owner's fencing token if it has only
+    /// seen a lower one. A worker that still sends heartbeats to a previous owner then ignores
+    /// that owner's responses.
+    async fn probe(self, call: WorkerCall) {
         let timeout = self.context.timing.round * 2;
         let mut result = self.client.heartbeat(&call.address, timeout).await;
         let token = {
@@ -207,7 +212,7 @@
             && heartbeat.token < token
         {
             let session = heartbeat.session;
-            result = self.show_token(&call, token, session, timeout).await;
+            result = self.send_token(&call, token, session, timeout).await;
         }
         let mut sessions = self.workers.sessions();
         let session = finish_call(&mut sessions, &call);
@@ -217,10 +222,10 @@
         }
     }
 
-    /// Sends an empty batch of commands.
-    async fn show_token(
+    /// Sends an empty batch of commands, which makes the worker adopt the fencing token.
+    async fn send_token(
         &self,
-        call: &Call,
+        call: &WorkerCall,
         token: Revision,
         session: u64,
         timeout: Duration,
@@ -230,73 +235,78 @@
             session,
             commands: Vec::new(),
         };
-        let answer = self.client.command(&call.address, &empty, timeout).await;
-        answer.map(|response| response.heartbeat)
+        let response = self.client.command(&call.address, &empty, timeout).await;
+        response.map(|response| response.heartbeat)
     }
 }
 
-/// Records the end of a call, whatever came of it.
-fn finish_call<'a>(sessions: &'a mut Sessions, call: &Call) -> &'a mut WorkerSession {
+/// Records the end of a call, whether or not it succeeded, and returns the machine's session.
+fn finish_call<'a>(sessions: &'a mut Sessions, call: &WorkerCall) -> &'a mut WorkerSession {
     sessions.changed.insert(call.machine.clone());
     let session = sessions.session_mut(&call.machine);
     session.call_in_flight = None;
     session
 }
 
-fn call(session: &WorkerSession, id: &MachineId, machine: &MachineState) -> Call {
+/// The call to a machine: at the address in its latest heartbeat, or in the state if this
+/// process has none.
+fn worker_call(session: &WorkerSession, id: &MachineId, machine: &MachineState) -> WorkerCall {
     let address = if session.address.is_empty() {
         machine.record.address.to_string()
     } else {
         session.address.clone()
     };
-    Call {
+    WorkerCall {
         machine: id.clone(),
         shard: machine.record.shard.clone(),
         address,
     }
 }
 
-fn probe_step(
+fn probe_action(
     timing: &Timing,
     session: &mut WorkerSession,
     budget: &mut ProbeBudget,
     id: &MachineId,
     machine: &MachineState,
-) -> Step {
-    let pause = match session.last_contact {
+) -> Action {
+    let min_interval = match session.last_contact {
         None => timing.heartbeat / 2,
         Some(_) => timing.heartbeat,
     };
-    if session.last_probe.is_some_and(|at| at.elapsed() < pause) {
-        return Step::Nothing;
+    if session
+        .last_probe
+        .is_some_and(|at| at.elapsed() < min_interval)
+    {
+        return Action::Nothing;
     }
     if !budget.try_take(session.last_contact.is_none()) {
-        return Step::Retry;
+        return Action::Retry;
     }
     session.last_probe = Some(Instant::now());
     session.call_in_flight = Some(CallInFlight::Probe);
-    Step::Probe(call(session, id, machine))
+    Action::Probe(worker_call(session, id, machine))
 }
 
-fn command_step(
+fn command_action(
     state: &ClusterState,
     timing: &Timing,
     session: &mut WorkerSession,
     id: &MachineId,
     machine: &MachineState,
     token: Revision,
-) -> Step {
+) -> Action {
     let commands = commands(state, session, id, token);
     let is_urgent = |command: &Command| !matches!(command, Command::Forget { .. });
     if !commands.iter().any(is_urgent) {
-        return Step::Nothing;
+        return Action::Nothing;
     }
     let last_command = session.last_command;
     if last_command.is_some_and(|at| at.elapsed() <= timing.round) {
-        return Step::Retry;
+        return Action::Retry;
     }
     if session.session == 0 {
-        return Step::Nothing;
+        return Action::Nothing;
     }
     session.last_command = Some(Instant::now());
     session.call_in_flight = Some(CallInFlight::Commands);
@@ -305,5 +315,5 @@
         session: session.session,
         commands,
     };
-    Step::Command(call(session, id, machine), batch)
+    Action::Command(worker_call(session, id, machine), batch)
 }
--- a/crates/rushwalk/src/shards/dispatch/tests.rs
+++ b/crates/rushwalk/src/shards/dispatch/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_lagging_thread_probes_few_never_heard_workers_but_all_silent_ones() {
+fn lagging_event_loop_limits_only_probes_of_workers_without_any_contact() {
     let probe = |is_lagging: bool, never_contacted: usize, silent: usize| {
         let mut budget = ProbeBudget::new(100, is_lagging);
         let never_contacted = (0..never_contacted)
--- a/crates/rushwalk/src/shards/fencing.rs
+++ b/crates/rushwalk/src/shards/fencing.rs
@@ -1,4 +1,4 @@
-//! Fencing of starts whose outcome is unknown.
+//! Fencing of start commands that were not answered.
 
 use crate::context::Context;
 use crate::store::{Committer, Replica, WritePriority};
@@ -12,21 +12,25 @@
 use std::sync::Arc;
 use tokio::time::sleep;
 
-/// A start whose outcome is unknown keeps its machine's absences from being proved. A new
-/// fencing token, which the owner of the shard gives itself, makes the worker refuse it.
+/// Fences unresolved starts by advancing the fencing token of their shard.
+///
+/// While a start command that was not answered may still take effect, no task can be proved
+/// absent from its machine. The owner of the shard therefore rewrites its own shard lease: with
+/// the new fencing token the worker refuses the old start.
 pub(crate) struct Fencing {
-    /// This process's context.
+    /// Settings, timing and identity of this process.
     pub context: Arc<Context>,
-    /// Shows the shards that are owned.
+    /// Copy of the cluster's state, with the owned shards and their fencing tokens.
     pub replica: Arc<Replica>,
-    /// Commits the new leases.
+    /// Commits the rewritten shard leases.
     pub committer: Arc<Committer>,
-    /// Shows the unresolved starts.
+    /// Worker sessions, which hold the unresolved starts.
     pub workers: Arc<WorkerRegistry>,
 }
 
 impl Fencing {
-    /// Fences what is unresolved, until the process ends.
+    /// Fences unresolved starts, with pauses of `timing.unreachable_after`, until the process
+    /// ends.
     pub(crate) async fn run(self) {
         loop {
             sleep(self.context.timing.unreachable_after).await;
@@ -51,7 +55,7 @@
     }
 
     async fn fence(&self, shard: &ShardId, token: Revision) {
-        tracing::info!(shard = &**shard, "fencing token advanced");
+        tracing::info!(shard = &**shard, "advancing the fencing token");
         let lease = ShardLease {
             owner: self.context.member().into(),
             incarnation: self.context.incarnation,
@@ -64,7 +68,8 @@
             .committer
             .commit(transaction, WritePriority::Maintenance);
         if let CommitOutcome::Committed(new_token) = commit.await {
-            // No other controller owned it in between: what is known stays known.
+            // No other controller owned the shard in between, so the sessions stay valid under
+            // the new token, with the time since which the shard is owned.
             let mut sessions = self.workers.sessions();
             for session in sessions.by_machine.values_mut() {
                 if let Some(owned) = &mut session.owned
@@ -77,9 +82,9 @@
     }
 }
 
-/// Whether an unresolved start on a machine must be fenced. Not if no task there has to be
-/// proved gone, or the machine is deleted with all on it; an unreachable machine's starts end
-/// with its lease.
+/// Whether an unresolved start on a machine must be fenced. That is not needed if no task is
+/// placed there whose absence must be proved, if the machine is being deleted, which ends its
+/// tasks, or if it is unreachable, as its tasks then end with its worker lease.
 fn needs_fencing(machine: &MachineState) -> bool {
     let record = &machine.record;
     !machine.tasks.is_empty()
--- a/crates/rushwalk/src/shards/findings.rs
+++ b/crates/rushwalk/src/shards/findings.rs
@@ -1,4 +1,4 @@
-//! What heartbeats show of several machines and tasks, combined into few mutations.
+//! Findings from the heartbeats of several machines, combined into few mutations.
 
 use crate::job_attempt::JobAttempt;
 use rushwalk_protocol::ids::{AttemptId, MachineId};
@@ -10,26 +10,28 @@
 use rushwalk_state::{Mutation, UnixMillis};
 use std::collections::BTreeMap;
 
-/// An attempt that ended, and how.
+/// Key by which ended tasks are combined: their job, attempt and outcome.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct EndedAttempt {
     attempt: JobAttempt,
     outcome: AttemptOutcome,
 }
 
-/// What heartbeats show and the state does not hold yet.
+/// Facts that heartbeats show and that the cluster's state does not contain yet.
 #[derive(Default)]
 pub(super) struct HeartbeatFindings {
     ready: Vec<MachineAddress>,
     unreachable: Vec<MachineId>,
     reachable: Vec<MachineId>,
     reclaimed: Vec<ReclaimNotice>,
+    /// Indices of started tasks.
     started: BTreeMap<JobAttempt, Vec<u32>>,
+    /// Indices of ended tasks.
     ended: BTreeMap<EndedAttempt, Vec<u32>>,
 }
 
 impl HeartbeatFindings {
-    /// A machine sent its first heartbeat, or one from another address.
+    /// Adds a machine that sent its first heartbeat, or one with another address.
     pub(super) fn machine_ready(&mut self, machine: &MachineId, address: &str) {
         self.ready.push(MachineAddress {
             machine: machine.clone(),
@@ -37,17 +39,17 @@
         });
     }
 
-    /// A machine is unreachable.
+    /// Adds a machine that became unreachable.
     pub(super) fn machine_unreachable(&mut self, machine: &MachineId) {
         self.unreachable.push(machine.clone());
     }
 
-    /// A machine is reachable again.
+    /// Adds an unreachable machine that became reachable again.
     pub(super) fn machine_reachable(&mut self, machine: &MachineId) {
         self.reachable.push(machine.clone());
     }
 
-    /// A machine will be reclaimed.
+    /// Adds a spot machine that the cloud will reclaim at `reclaim_ms`.
     pub(super) fn machine_reclaimed(&mut self, machine: &MachineId, reclaim_ms: UnixMillis) {
         self.reclaimed.push(ReclaimNotice {
             machine: machine.clone(),
@@ -55,13 +57,13 @@
         });
     }
 
-    /// A task was seen running.
+    /// Adds a task that its worker reports as running.
     pub(super) fn task_started(&mut self, attempt: &AttemptId) {
         let tasks = self.started.entry(JobAttempt::of(attempt)).or_default();
         tasks.push(attempt.task.index);
     }
 
-    /// A task is surely off its machine.
+    /// Adds a task that surely no longer runs on its machine.
     pub(super) fn task_ended(&mut self, attempt: &AttemptId, outcome: AttemptOutcome) {
         let ended = EndedAttempt {
             attempt: JobAttempt::of(attempt),
@@ -71,7 +73,7 @@
         tasks.push(attempt.task.index);
     }
 
-    /// The findings as mutations.
+    /// Converts the findings to mutations, all with the time `now_ms`.
     pub(super) fn into_mutations(self, now_ms: UnixMillis) -> Vec<Mutation> {
         let reclaimed = self.reclaimed.into_iter();
         let mut mutations: Vec<Mutation> = reclaimed.map(Mutation::ReclaimNotice).collect();
--- a/crates/rushwalk/src/shards/outcomes.rs
+++ b/crates/rushwalk/src/shards/outcomes.rs
@@ -1,4 +1,4 @@
-//! Reconciliation of what workers report with the cluster's state.
+//! Reconciliation of the workers' heartbeats with the cluster's state.
 
 use super::findings::HeartbeatFindings;
 use crate::clock::now_ms;
@@ -13,7 +13,8 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Compares the sessions of some machines with the state; returns what must be committed.
+/// Compares the sessions of `machines` with the state, and returns the mutations that bring
+/// the state up to date. Skips machines whose shard is not in `owned`.
 pub(super) fn outcomes(
     state: &ClusterState,
     sessions: &mut Sessions,
@@ -45,17 +46,17 @@
     findings.into_mutations(now_ms())
 }
 
-/// Observes one machine.
+/// Compares the session of one machine with the state.
 struct Observer<'a> {
     state: &'a ClusterState,
     timing: &'a Timing,
     id: &'a MachineId,
     machine: &'a MachineState,
-    /// The fencing token of its shard.
+    /// Fencing token under which this process owns the machine's shard.
     token: Revision,
 }
 
-/// What a heartbeat, or the lack of one, changes about a placed task.
+/// Change to a placed task that a heartbeat, or its absence, shows.
 enum TaskTransition {
     Unchanged,
     Started,
@@ -63,7 +64,8 @@
 }
 
 impl Observer<'_> {
-    /// Records whether the machine is ready, to be reclaimed, or unreachable.
+    /// Adds findings if the machine became ready, reachable or unreachable, or if its
+    /// reclaim was announced.
     fn observe_machine(&self, session: &mut WorkerSession, findings: &mut HeartbeatFindings) {
         let record = &self.machine.record;
         if session.last_contact.is_some() {
@@ -82,8 +84,10 @@
         }
     }
 
-    /// A new owner gives every worker time to find it, and probes those without contact: a
-    /// lost heartbeat does not make a machine unreachable.
+    /// Adds a finding if the machine became reachable or unreachable. A machine is
+    /// unreachable only after [`Timing::unreachable_after`] without contact, counted from the
+    /// start of this ownership at the earliest, and after a probe that it did not answer: a
+    /// worker needs time to find a new owner, and a single heartbeat may be lost.
     fn observe_reachability(&self, session: &mut WorkerSession, findings: &mut HeartbeatFindings) {
         let owned_since = session.owned.map(|owned| owned.since);
         let Some(last) = session.last_contact.max(owned_since) else {
@@ -93,10 +97,11 @@
             || session.has_outbound_loss(self.token, self.timing);
         let is_silent = last.elapsed() > self.timing.unreachable_after;
         if is_silent || has_loss {
-            // One that receives no commands, or can report nothing, is of no more use.
-            let was_asked = has_loss || session.last_probe.is_some_and(|at| at > last);
-            let is_known = self.machine.record.unreachable_since_ms.is_some();
-            if !is_known && was_asked && session.call_in_flight.is_none() {
+            // A machine whose messages are lost in one direction is unreachable without a
+            // probe: it receives no commands, or its heartbeats do not renew its lease.
+            let is_confirmed = has_loss || session.last_probe.is_some_and(|at| at > last);
+            let is_recorded = self.machine.record.unreachable_since_ms.is_some();
+            if !is_recorded && is_confirmed && session.call_in_flight.is_none() {
                 if !std::mem::replace(&mut session.unreachable_logged, true) {
                     tracing::info!(machine = &**self.id, "machine unreachable");
                 }
@@ -109,8 +114,10 @@
         }
     }
 
-    /// Whether heartbeats and responses both arrive: new owners took a machine that receives
-    /// no responses to be healthy, and gave it work.
+    /// Whether messages arrive in both directions: the machine is in contact, and its
+    /// heartbeats carry the current token, which it can only have received from this owner.
+    /// When contact alone counted, new owners took a machine that receives no responses to be
+    /// healthy, and gave it work.
     fn is_reachable_both_ways(&self, session: &WorkerSession) -> bool {
         let last_contact = session.last_contact;
         session.token >= self.token
@@ -140,7 +147,7 @@
         }
     }
 
-    /// Forgets ended attempts that are no longer the current ones.
+    /// Drops ended attempts that are no longer the current attempt of their task.
     fn forget_ended_attempts(&self, session: &mut WorkerSession) {
         session.ended_attempts.retain(|ended| {
             let task = self.state.task(&ended.task);
@@ -148,7 +155,8 @@
         });
     }
 
-    /// What becomes of a placed task; `is_lost` if its worker's lease has surely expired.
+    /// The change to a placed task that the session shows. `is_lost` says that the worker's
+    /// lease has surely expired.
     fn task_transition(
         &self,
         session: &WorkerSession,
@@ -163,7 +171,7 @@
                 TaskTransition::Ended(self.outcome_of_exit(status))
             }
             _ if is_lost => {
-                tracing::info!(task = %id, machine = &**self.id, "task lease expired");
+                tracing::info!(task = %id, machine = &**self.id, "task lost: the worker lease expired");
                 TaskTransition::Ended(AttemptOutcome::Lost)
             }
             Some(status) => {
@@ -177,7 +185,7 @@
                 if !self.is_surely_absent(session, attempt, job, task) {
                     return TaskTransition::Unchanged;
                 }
-                tracing::info!(task = %id, machine = &**self.id, "task gone");
+                tracing::info!(task = %id, machine = &**self.id, "task lost: it is no longer on its machine");
                 TaskTransition::Ended(AttemptOutcome::Lost)
             }
         }
@@ -197,14 +205,14 @@
                 task = status.task,
                 machine = &**self.id,
                 ?cause,
-                "task ended"
+                "task exited without completing"
             );
         }
         outcome
     }
 
-    /// Whether a task that its worker does not report is surely not there, and is not to be
-    /// started there.
+    /// Whether a task that its worker does not report is surely not on the machine, and will
+    /// not be started there under this attempt.
     fn is_surely_absent(
         &self,
         session: &WorkerSession,
@@ -212,14 +220,14 @@
         job: &JobState,
         task: &TaskState,
     ) -> bool {
-        let is_over = job.phase != JobPhase::Active
+        let must_not_start = job.phase != JobPhase::Active
             || task.record.stop_reason.is_some()
             || task.record.started_ms.is_some();
         let has_ended = session.ended_attempts.contains(attempt);
-        // What a machine that receives no commands has not started goes elsewhere.
+        // A task that an unreachable machine has not started is moved to another machine.
         let is_unreachable = self.machine.record.unreachable_since_ms.is_some();
-        let is_unwanted = is_over || has_ended || is_unreachable;
-        is_unwanted && session.proves_absence(self.token) || session.lease_expired(self.token)
+        let will_not_start = must_not_start || has_ended || is_unreachable;
+        will_not_start && session.proves_absence(self.token) || session.lease_expired(self.token)
     }
 
     fn log_start(&self, status: &TaskStatus, job: &JobState, task: &TaskState) {
--- a/crates/rushwalk/src/shards/placement.rs
+++ b/crates/rushwalk/src/shards/placement.rs
@@ -1,4 +1,4 @@
-//! Places the tasks that are assigned to our shards on machines.
+//! Placement of tasks on machines by the owner of the shard that they are assigned to.
 
 use crate::clock::now_ms;
 use crate::context::Context;
@@ -13,7 +13,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// An assigned task that is not placed yet, in the order of placement.
+/// An assigned task that is not placed yet. The order of the fields is the order of placement.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct WaitingTask {
     priority: Priority,
@@ -21,10 +21,11 @@
     task: TaskId,
 }
 
-/// Placed tasks, by job and attempt.
+/// Placed tasks by job and attempt.
 type Placements = BTreeMap<JobAttempt, Vec<TaskOnMachine>>;
 
-/// Places the tasks that are assigned to the owned shards on machines.
+/// Mutations that place the tasks assigned to the owned shards; empty while the machine types
+/// are not known.
 pub(super) fn placements(
     context: &Context,
     state: &ClusterState,
@@ -45,7 +46,7 @@
             now_s: scheduler_inputs::seconds(now_ms),
         };
         let mut round = round_of_shard(context, &inputs, shard);
-        // All tasks of a job at once.
+        // Tasks of the same job are adjacent after sorting, and are placed together.
         for tasks in tasks.chunk_by(|a, b| a.task.job == b.task.job) {
             place_tasks_of_job(state, &types, &mut round, tasks, &mut placements);
         }
@@ -64,8 +65,8 @@
     mutations
 }
 
-/// The tasks that are assigned to our shards and not placed, by shard. A gang is placed
-/// once all of its tasks are assigned.
+/// The tasks that are assigned to the owned shards and not placed, by shard. Tasks of a gang
+/// are left out until all tasks of the gang are assigned.
 fn waiting_tasks<'a>(
     state: &'a ClusterState,
     owned: &BTreeMap<ShardId, Revision>,
@@ -91,7 +92,8 @@
     by_shard
 }
 
-/// A scheduling round with the usable machines of a shard.
+/// A scheduling round over the usable machines of a shard: those that are active, ready and
+/// not unreachable.
 fn round_of_shard<'a>(
     context: &'a Context,
     inputs: &TimelineInputs,
@@ -117,6 +119,8 @@
     round
 }
 
+/// Places `tasks`, which belong to one job, on machines of `round`, as far as they can start
+/// now.
 fn place_tasks_of_job(
     state: &ClusterState,
     types: &MachineTypes,
@@ -153,7 +157,7 @@
     }
 }
 
-/// Machines as the scheduler names them.
+/// Machine ids as the strings by which the scheduler identifies machines.
 fn machine_names(machines: &[MachineId]) -> Vec<Arc<str>> {
     machines.iter().map(|id| id.clone().into()).collect()
 }
--- a/crates/rushwalk/src/shards/reachability.rs
+++ b/crates/rushwalk/src/shards/reachability.rs
@@ -1,4 +1,4 @@
-//! Whether the machines of a shard reach another controller than its owner.
+//! Evidence that the machines of a shard reach another controller than its owner.
 
 use crate::context::Context;
 use crate::failure_detection::HeartbeatSource;
@@ -7,7 +7,7 @@
 use rushwalk_protocol::peers::PeerHeartbeat;
 use std::collections::BTreeMap;
 
-/// Rounds after which a peer's heartbeat is too old to go by.
+/// Age in scheduling rounds from which on a peer's heartbeat is ignored.
 const MAX_HEARTBEAT_ROUNDS: f64 = 2.0;
 
 /// The recent heartbeats of all controllers, this one's included.
@@ -16,7 +16,7 @@
 }
 
 impl ShardReachability {
-    /// What is known at this moment.
+    /// The heartbeats of peers that are recent now, and this controller's own data.
     pub(super) fn now(context: &Context, source: &HeartbeatSource) -> ShardReachability {
         let mut heartbeats: BTreeMap<String, PeerHeartbeat> = {
             let detector = source.peers.detector();
@@ -52,14 +52,14 @@
         }
         let others = self.heartbeats.values().filter(|h| h.member != owner);
         let mut members = Vec::new();
-        let mut workers = 0;
+        let mut misrouted = 0;
         for heartbeat in others {
-            if let Some(count) = misrouted_of(heartbeat, shard) {
+            if let Some(count) = misrouted_count(heartbeat, shard) {
                 members.push(heartbeat.member.as_str());
-                workers += count as usize;
+                misrouted += count as usize;
             }
         }
-        if workers >= evidence_threshold(machines) {
+        if misrouted >= evidence_threshold(machines) {
             members
         } else {
             Vec::new()
@@ -67,7 +67,9 @@
     }
 }
 
-fn misrouted_of(heartbeat: &PeerHeartbeat, shard: &ShardId) -> Option<u32> {
+/// How many workers of a shard the sender of a heartbeat counted as misrouted to it; `None` if
+/// none.
+fn misrouted_count(heartbeat: &PeerHeartbeat, shard: &ShardId) -> Option<u32> {
     let mut counts = heartbeat.misrouted_workers.iter();
     let misrouted = counts.find(|misrouted| *misrouted.shard == **shard)?;
     Some(misrouted.workers)
--- a/crates/rushwalk/src/shards/reconciler.rs
+++ b/crates/rushwalk/src/shards/reconciler.rs
@@ -1,6 +1,5 @@
-//! The loop of a shard owner: it reconciles reports with the state, places tasks, commits
-//! both, and only then commands workers. All that one tick decides and learns goes into
-//! one log entry.
+//! The loop of a shard owner. Each tick reconciles the workers' heartbeats with the state and
+//! places tasks, commits both in one log entry, and only then commands workers.
 
 use super::dispatch::Dispatcher;
 use super::outcomes::outcomes;
@@ -21,39 +20,40 @@
 /// An owned shard.
 struct OwnedShard {
     shard: ShardId,
-    /// Its fencing token.
+    /// Fencing token: the version of its lease.
     token: Revision,
 }
 
-/// Reconciles the owned shards with what workers report.
+/// Reconciles the state of the owned shards with the heartbeats of their workers.
 pub(crate) struct Reconciler {
-    /// This process's context.
+    /// Settings, timing and identity of this process.
     pub context: Arc<Context>,
-    /// Shows which shards are owned, and what should be.
+    /// Copy of the cluster's state, with the owned shards and the assigned tasks.
     pub replica: Arc<Replica>,
-    /// Commits outcomes and placements.
+    /// Commits outcomes and placements as entries of the store's log.
     pub log: Arc<LogWriter>,
-    /// Shows what workers report.
+    /// Worker sessions, which hold the latest heartbeats.
     pub workers: Arc<WorkerRegistry>,
-    /// Sends commands to workers.
+    /// Sends commands and probes to workers.
     pub dispatcher: Dispatcher,
-    /// Measures the work that is done.
+    /// Records how long the reconciliation takes.
     pub work_profile: Arc<WorkProfile>,
 }
 
 /// State that is kept between ticks.
 #[derive(Default)]
 struct TickState {
-    /// When all machines were last examined.
+    /// When the last regular check of all owned machines was made; `None` if the next tick must
+    /// make one.
     last_full_scan: Option<Instant>,
-    /// The shards that were owned then, with their tokens.
-    known: BTreeMap<ShardId, Revision>,
-    /// Machines to examine.
+    /// The shards owned at the last check of all machines, with their fencing tokens.
+    scanned: BTreeMap<ShardId, Revision>,
+    /// Machines that the next tick examines.
     changed: BTreeSet<MachineId>,
 }
 
 impl Reconciler {
-    /// Ticks a few times in each round, until the process ends.
+    /// Ticks three times in each scheduling round, until the process ends.
     pub(crate) async fn run(self) {
         let interval = self.context.timing.round / 3;
         let mut tick = TickState::default();
@@ -63,7 +63,7 @@
                 tick.last_full_scan = None;
                 continue;
             }
-            let owned = self.gather(&mut tick);
+            let owned = self.collect_changed(&mut tick);
             if !self.commit(owned, &tick.changed).await {
                 tick.last_full_scan = None;
                 continue;
@@ -76,10 +76,11 @@
         }
     }
 
-    /// Gathers the machines to look at, and the shards that are owned. What has changed is
-    /// looked at in each tick; once a round also what time alone changes: machines that were
-    /// without contact lately, or that have come under another token.
-    fn gather(&self, tick: &mut TickState) -> Vec<OwnedShard> {
+    /// Collects the machines to examine in this tick, and returns the owned shards. Every tick
+    /// examines the machines whose tasks or sessions changed. Once per scheduling round, and
+    /// when the owned shards change, it also examines those with an overdue heartbeat or a
+    /// session under another token.
+    fn collect_changed(&self, tick: &mut TickState) -> Vec<OwnedShard> {
         let is_full = tick
             .last_full_scan
             .is_none_or(|at| at.elapsed() >= self.context.timing.round);
@@ -92,10 +93,10 @@
         tick.changed.append(&mut state.changed_machines);
         tick.changed.append(&mut sessions.changed);
         let owned = self.replica.owned_shards(&state);
-        if is_full || tick.known != owned {
+        if is_full || tick.scanned != owned {
             sessions.retain_known(&state);
             self.add_due_machines(&state, &sessions, &owned, &mut tick.changed);
-            tick.known.clone_from(&owned);
+            tick.scanned.clone_from(&owned);
         }
         timer.add_items(tick.changed.len());
         let owned = owned.into_iter();
@@ -124,9 +125,9 @@
         }
     }
 
-    /// Commits what is decided and learnt of all owned shards; false if any of it was not
-    /// taken. All shards in one entry, unless the preconditions on their leases would be too
-    /// many: one controller may be left with the shards of nine.
+    /// Commits outcomes and placements of the owned shards; false if any commit failed. All
+    /// shards share one log entry, unless the preconditions on their leases exceed the limit
+    /// of a transaction: a single controller may have to own the shards of nine.
     async fn commit(&self, owned: Vec<OwnedShard>, changed: &BTreeSet<MachineId>) -> bool {
         let max_shards = 2 * self.context.settings.site.store.txn_ops;
         let mut committed = true;
@@ -136,8 +137,9 @@
         committed
     }
 
+    /// Commits the mutations of `shards` on the condition that their leases are unchanged.
     async fn commit_shards(&self, shards: &[OwnedShard], changed: &BTreeSet<MachineId>) -> bool {
-        let mutations = self.decide(shards, changed);
+        let mutations = self.plan_mutations(shards, changed);
         if mutations.is_empty() {
             return true;
         }
@@ -164,11 +166,17 @@
         }
     }
 
-    fn decide(&self, shards: &[OwnedShard], changed: &BTreeSet<MachineId>) -> Vec<Mutation> {
+    /// The mutations for the changed machines and the unplaced tasks of `shards`.
+    fn plan_mutations(
+        &self,
+        shards: &[OwnedShard],
+        changed: &BTreeSet<MachineId>,
+    ) -> Vec<Mutation> {
         let _timer = self.work_profile.start(WorkKind::Reconcile);
         let state = self.replica.state();
         let mut sessions = self.workers.sessions();
-        // Those still ours, as far as is known by now.
+        // The replica may have changed since the shards were collected: leave out those that
+        // this process no longer owns under the same token.
         let owned: BTreeMap<ShardId, Revision> = shards
             .iter()
             .filter(|owned| self.replica.fencing_token(&state, &owned.shard) == Some(owned.token))
