--- a/crates/rushwalk/src/failure_detection.rs
+++ b/crates/rushwalk/src/failure_detection.rs
@@ -1,5 +1,5 @@
-//! How controllers notice that another has failed: heartbeats between them, and the loop
-//! that feeds the failure detector. The detector itself is the package
+//! Detection of failed controllers by their peers: the heartbeats between controllers, and the
+//! loop that passes observations to the failure detector. The detector itself is the crate
 //! `rushwalk-failure-detector`.
 
 pub(crate) mod heartbeats;
--- a/crates/rushwalk/src/failure_detection/heartbeats.rs
+++ b/crates/rushwalk/src/failure_detection/heartbeats.rs
@@ -1,5 +1,6 @@
-//! Heartbeats between controllers. They only help to decide sooner: that one controller
-//! alone acts is ensured by the store, on which every commit is conditioned.
+//! Heartbeats between controllers. They only speed up the detection of failures. Safety does
+//! not depend on them: every commit has preconditions that the store checks, so that a
+//! controller which has lost leadership or a shard can't act.
 
 use crate::context::Context;
 use crate::leadership::Leadership;
@@ -17,29 +18,30 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep};
 
-/// The path at which controllers take heartbeats.
+/// HTTP path at which controllers receive heartbeats of their peers.
 pub(crate) const HEARTBEAT_PATH: &str = "/mesh/hello";
 
 /// Builds the heartbeats that this controller sends to its peers.
 pub struct HeartbeatSource {
-    /// This process's context.
+    /// Settings, timing and identity of this process.
     pub context: Arc<Context>,
-    /// Provides the revision and its age.
+    /// Copy of the cluster's state, with its revision and the age of the last read.
     pub replica: Arc<Replica>,
-    /// Shows whether this process leads and makes its rounds.
+    /// Leadership of this process, with the times of its scheduling rounds.
     pub leadership: Arc<Leadership>,
-    /// Provides the observations of the other peers.
+    /// Failure detector with the observations of peers, the misrouted workers, and the share of
+    /// time in which this process is busy.
     pub peers: Arc<PeerMonitor>,
-    /// Shows which shards' workers are unreachable.
+    /// Worker sessions, from which unreachable shards are derived.
     pub workers: Arc<WorkerRegistry>,
-    /// Measures how late timers fire.
+    /// Lag of this controller's event loop.
     pub runtime_lag: Arc<RuntimeLag>,
 }
 
 impl HeartbeatSource {
-    /// The heartbeat at this moment.
+    /// Builds a heartbeat from the current state.
     pub fn heartbeat(&self) -> PeerHeartbeat {
-        // One lock at a time.
+        // Each value is read in a statement of its own, so that only one lock is held at a time.
         let revision = self.replica.state().revision;
         let observations = self.peers.detector().observations(self.context.uptime_s());
         let misrouted_workers = self.peers.misrouted_workers();
@@ -59,13 +61,14 @@
         }
     }
 
-    /// If this process leads, how long ago its latest scheduling round was finished.
+    /// Time since the latest scheduling round finished, or since leadership was acquired; `None`
+    /// if this process does not lead.
     fn last_round_age(&self) -> Option<Duration> {
         self.leadership.current_version()?;
         self.leadership.last_round().map(|at| at.elapsed())
     }
 
-    /// The shards that this process owns and from whose machines no heartbeat comes.
+    /// Names of the owned shards whose machines' heartbeats do not reach this process.
     pub fn unreachable_shards(&self) -> Vec<String> {
         let state = self.replica.state();
         let owned = self.replica.owned_shards(&state);
@@ -77,11 +80,11 @@
     duration.as_millis() as u64
 }
 
-/// Sends heartbeats to each peer in a loop of its own: a peer that hangs must not delay the
-/// others' heartbeats.
+/// Sends heartbeats to all peers, each in a loop of its own, so that a peer that hangs does not
+/// delay the heartbeats to the others.
 pub(crate) async fn heartbeat_loop(source: Arc<HeartbeatSource>, client: PeerClient) {
     let context = source.context.clone();
-    let each = |peer: &PeerSettings| {
+    let send_loop = |peer: &PeerSettings| {
         let (source, client, peer) = (source.clone(), client.clone(), peer.clone());
         async move {
             loop {
@@ -90,11 +93,13 @@
             }
         }
     };
-    let mut all: JoinSet<()> = context.settings.peers.iter().map(each).collect();
-    // None of them ends; if this loop does, they end with it.
-    all.join_next().await;
+    let mut loops: JoinSet<()> = context.settings.peers.iter().map(send_loop).collect();
+    // The loops never end by themselves. If this future is dropped, the set aborts them.
+    loops.join_next().await;
 }
 
+/// Sends one heartbeat and records the peer's response or failure in the detector. An error
+/// status or an oversized response counts as neither.
 async fn send_heartbeat(source: &HeartbeatSource, client: &PeerClient, peer: &PeerSettings) {
     let heartbeat = source.heartbeat();
     let timeout = source.context.timing.round;
--- a/crates/rushwalk/src/failure_detection/local_health.rs
+++ b/crates/rushwalk/src/failure_detection/local_health.rs
@@ -1,4 +1,4 @@
-//! What this controller knows of its own health.
+//! The health of this controller itself, which the failure detector takes into account.
 
 use crate::leadership::Leadership;
 use crate::observability::runtime_lag::RuntimeLag;
@@ -7,21 +7,21 @@
 use rushwalk_failure_detector::LocalHealth;
 use std::sync::Arc;
 
-/// Collects what the failure detector must know of the observer itself.
+/// Collects the health of this controller as an observer of its peers.
 #[derive(Clone)]
 pub struct LocalHealthSource {
-    /// Shows how stale the replica is.
+    /// Copy of the cluster's state, with its revision and the age of the last read.
     pub replica: Arc<Replica>,
-    /// Shows when leadership last moved.
+    /// Time of the last transfer of leadership between live controllers.
     pub leadership: Arc<Leadership>,
-    /// Measures how late timers fire.
+    /// Lag of this controller's event loop.
     pub runtime_lag: Arc<RuntimeLag>,
-    /// Shows how busy the thread is.
+    /// Share of time in which this controller's thread is busy.
     pub peers: Arc<PeerMonitor>,
 }
 
 impl LocalHealthSource {
-    /// The health at this moment.
+    /// The current health.
     pub fn now(&self) -> LocalHealth {
         let revision = self.replica.state().revision;
         let since_transfer = self.leadership.since_last_transfer();
--- a/crates/rushwalk/src/failure_detection/observation.rs
+++ b/crates/rushwalk/src/failure_detection/observation.rs
@@ -1,5 +1,5 @@
-//! Feeds the failure detector with what the store shows of the others, and acts on its
-//! transitions.
+//! Passes observations of other controllers from the store to the failure detector, and acts on
+//! the detector's health transitions.
 
 use super::local_health::LocalHealthSource;
 use crate::context::Context;
@@ -14,10 +14,10 @@
 use std::sync::Arc;
 use tokio::time::{Instant, sleep};
 
-/// Heartbeat intervals after which a peer without a heartbeat counts as out of contact.
+/// Peer heartbeat intervals without a heartbeat after which a peer counts as out of contact.
 const MAX_MISSED_HEARTBEATS: f64 = 4.0;
 
-/// The loop that watches the other controllers.
+/// The loop that observes and evaluates the other controllers.
 pub(crate) struct FailureDetection {
     context: Arc<Context>,
     replica: Arc<Replica>,
@@ -29,25 +29,30 @@
     busy: BusyShare,
 }
 
-/// What the store showed when it was last looked at.
+/// The state of the store at the last observation.
 #[derive(Default)]
 struct ObservedState {
+    /// Revision of the newest write of each controller.
     last_writes: BTreeMap<String, Revision>,
     leader: Option<ObservedLeader>,
-    /// When a write of this controller itself was last seen.
-    own_write: Option<Instant>,
+    /// When a new write of this controller was last observed.
+    own_write_seen: Option<Instant>,
 }
 
 #[derive(Clone)]
 struct ObservedLeader {
+    /// Version of the leader key, which identifies the leadership term.
     version: Revision,
     member: String,
 }
 
-/// The share of time in which this thread is busy, averaged over some rounds.
+/// The share of time in which this controller's thread is busy.
 struct BusyShare {
-    measured: Instant,
+    /// When the latest measurement was made.
+    measured_at: Instant,
+    /// Busy seconds since the start of the process, at that time.
     busy_s: f64,
+    /// Moving average from 0 to 1, in which each measurement has a weight of a quarter.
     share: f64,
 }
 
@@ -58,12 +63,13 @@
     }
 }
 
-fn tenths(seconds: f64) -> f64 {
+fn rounded_to_tenths(seconds: f64) -> f64 {
     (seconds * 10.0).round() / 10.0
 }
 
 impl FailureDetection {
-    /// A loop that has made no observation.
+    /// A loop without observations, which takes this controller to be fully busy until the first
+    /// measurement.
     pub(crate) fn new(
         context: Arc<Context>,
         membership: Arc<Membership>,
@@ -78,14 +84,14 @@
             local_health,
             observed: ObservedState::default(),
             busy: BusyShare {
-                measured: Instant::now(),
+                measured_at: Instant::now(),
                 busy_s: 0.0,
                 share: 1.0,
             },
         }
     }
 
-    /// Observes and evaluates a few times between two heartbeats, until the process ends.
+    /// Observes and evaluates twice per peer heartbeat interval, until the process ends.
     pub(crate) async fn run(mut self) {
         loop {
             sleep(self.context.timing.peer_heartbeat / 2).await;
@@ -101,21 +107,23 @@
         }
     }
 
+    /// Updates the busy share, at most once per scheduling round.
     fn measure_busy_share(&mut self) {
         let busy = &mut self.busy;
-        let passed_s = busy.measured.elapsed().as_secs_f64();
-        if passed_s < self.context.timing.round.as_secs_f64() {
+        let elapsed_s = busy.measured_at.elapsed().as_secs_f64();
+        if elapsed_s < self.context.timing.round.as_secs_f64() {
             return;
         }
         let busy_s = self.context.process_times().busy_s;
-        let share = ((busy_s - busy.busy_s) / passed_s).clamp(0.0, 1.0);
+        let share = ((busy_s - busy.busy_s) / elapsed_s).clamp(0.0, 1.0);
         busy.share += (share - busy.share) / 4.0;
-        busy.measured = Instant::now();
+        busy.measured_at = Instant::now();
         busy.busy_s = busy_s;
         self.peers.set_busy_share(busy.share);
     }
 
-    /// Takes what the store shows into the evidence.
+    /// Passes the members and the leader in the store to the failure detector. Does nothing
+    /// before the first read of the store.
     fn observe(&mut self) {
         let replica = self.replica.clone();
         let state = replica.state();
@@ -126,6 +134,8 @@
         self.observe_leader(&state);
     }
 
+    /// Records the registrations of all peers, and the members that have written since the last
+    /// observation.
     fn observe_members(&mut self, state: &ClusterState) {
         let now_s = self.context.uptime_s();
         let mut detector = self.peers.detector();
@@ -139,15 +149,16 @@
                 continue;
             }
             if name == self.context.member() {
-                self.observed.own_write = Some(Instant::now());
+                self.observed.own_write_seen = Some(Instant::now());
             } else {
                 detector.record_write(now_s, name);
             }
         }
     }
 
-    /// Notices that leadership was relinquished, or taken from a leader that is still a
-    /// member.
+    /// Records a transfer if the previous leader is still a member but no longer leads. If there
+    /// is no new leader yet, the previous one relinquished leadership, which also counts as a
+    /// departure of it.
     fn observe_leader(&mut self, state: &ClusterState) {
         let leader = state.leader.as_ref().map(|leader| ObservedLeader {
             version: leader.version,
@@ -170,16 +181,18 @@
         self.observed.leader = leader;
     }
 
+    /// Logs a transition and wakes the tasks that wait for a change.
     fn handle(&self, transition: &HealthTransition) {
         let controller = &transition.member;
         let reason = transition.reason;
-        let phi = tenths(transition.phi);
-        let after_s = tenths(transition.previous_lasted_s);
+        let phi = rounded_to_tenths(transition.phi);
+        let after_s = rounded_to_tenths(transition.previous_lasted_s);
         let (agreeing, witnesses) = (transition.agreeing, transition.witnesses);
         match transition.to {
             PeerHealth::Healthy => tracing::info!(controller, after_s, "peer healthy again"),
             PeerHealth::Suspected => {
-                // Declaring it failed needs a read made since; the watch may be waiting.
+                // A suspected peer is declared failed only after a newer read of the store. The
+                // watch request may stay open without a result, so request a read.
                 self.replica.request_read();
                 tracing::info!(
                     controller,
@@ -205,8 +218,8 @@
         self.replica.notify_changed();
     }
 
-    /// A controller that no peer answers proves in the log that it is alive, if none of its
-    /// other writes does.
+    /// If no peer is in contact and this controller has not written recently, rewrites its
+    /// member record, which shows the peers in the log that it is alive.
     async fn prove_liveness(&self) {
         if self.is_known_alive() || !self.replica.shard_leases_valid() {
             return;
@@ -216,7 +229,8 @@
         }
     }
 
-    /// Whether the peers know that this controller is alive, as far as can be told here.
+    /// Whether the peers probably know that this controller is alive: one of them was recently in
+    /// contact, or a recent write of this controller was observed. Also true without peers.
     fn is_known_alive(&self) -> bool {
         let timing = &self.context.timing;
         let max_age_s = MAX_MISSED_HEARTBEATS * timing.peer_heartbeat.as_secs_f64();
@@ -225,8 +239,8 @@
             .detector()
             .last_heartbeats(self.context.uptime_s())
             .any(|last| last.age_s < max_age_s);
-        let own_write = self.observed.own_write;
-        let wrote = own_write.is_some_and(|at| at.elapsed() < timing.round * 2);
-        has_peer_contact || wrote || self.context.settings.peers.is_empty()
+        let own_write_seen = self.observed.own_write_seen;
+        let has_written = own_write_seen.is_some_and(|at| at.elapsed() < timing.round * 2);
+        has_peer_contact || has_written || self.context.settings.peers.is_empty()
     }
 }
--- a/crates/rushwalk/src/reporting.rs
+++ b/crates/rushwalk/src/reporting.rs
@@ -1,5 +1,5 @@
-//! Regular entries in the log: where a controller's time goes, who is served, and how long it
-//! did not serve as usual.
+//! Regular log entries on a controller's load, the least served jobs, and incidents: periods in
+//! which the controller did not serve normally.
 
 pub(crate) mod incidents;
 pub(crate) mod usage;
--- a/crates/rushwalk/src/reporting/incidents.rs
+++ b/crates/rushwalk/src/reporting/incidents.rs
@@ -1,4 +1,4 @@
-//! Observes what keeps this controller from serving as usual.
+//! Observes what keeps this controller from serving normally.
 
 use crate::context::Context;
 use crate::observability::incidents::{IncidentCause, IncidentRecorder};
@@ -13,48 +13,50 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Rounds without a cause after which an incident is over, and that one must last to be
-/// logged: a single late timer is not worth an entry.
+/// Scheduling rounds without a cause after which an incident is over. An incident is logged
+/// only if it lasted longer than this: a single late timer is not worth a log entry.
 const RESOLVE_ROUNDS: u32 = 3;
 
-/// Rounds after which a replica that was not read is a cause.
+/// Scheduling rounds without a successful read of the store after which
+/// [`IncidentCause::StoreUnreachable`] is present.
 const STALE_ROUNDS: u32 = 4;
 
-/// Heartbeats of one in so many workers may be missing.
+/// [`IncidentCause::WorkersUnreachable`] is present if more than one worker in this many is
+/// without contact.
 const WORKERS_PER_MISSING_HEARTBEAT: usize = 20;
 
-/// Checks for causes of incidents once a round.
+/// Checks for causes of incidents once per scheduling round.
 pub(crate) struct IncidentObserver {
-    /// This process's context.
+    /// Settings, timing and identity of this process.
     pub context: Arc<Context>,
-    /// Shows the leader and the shard leases.
+    /// Copy of the cluster's state, with the leader and the shard leases.
     pub replica: Arc<Replica>,
-    /// Shows which workers send heartbeats.
+    /// Worker sessions, with the time of the last contact of each.
     pub workers: Arc<WorkerRegistry>,
-    /// Shows whether this controller keeps up.
+    /// Lag of this controller's event loop.
     pub runtime_lag: Arc<RuntimeLag>,
-    /// Shows rejected requests.
+    /// Number of rejected requests since the last check.
     pub rejections: Arc<RejectionCounter>,
-    /// Where incidents are kept.
+    /// Holds the current incident and the last one.
     pub recorder: Arc<Mutex<IncidentRecorder>>,
 }
 
 impl IncidentObserver {
-    /// Observes until the process ends. A controller that starts has an incident until it
-    /// serves as usual.
+    /// Observes until the process ends. The start of a controller counts as an incident until
+    /// no cause is present.
     pub(crate) async fn run(self) {
         let round = self.context.timing.round;
         let resolve_after = round * RESOLVE_ROUNDS;
-        let mut last = Instant::now();
+        let mut last_check = Instant::now();
         loop {
             sleep(round).await;
-            let passed_s = last.elapsed().as_secs_f64();
-            last = Instant::now();
+            let elapsed_s = last_check.elapsed().as_secs_f64();
+            last_check = Instant::now();
             let causes = self.causes();
             let ended =
                 self.recorder
                     .lock()
-                    .observe(passed_s, &causes, resolve_after.as_secs_f64());
+                    .observe(elapsed_s, &causes, resolve_after.as_secs_f64());
             if let Some(incident) = ended
                 && Duration::from_secs_f64(incident.duration_s) > resolve_after
             {
@@ -68,6 +70,7 @@
         }
     }
 
+    /// The causes that are present now.
     fn causes(&self) -> Vec<IncidentCause> {
         let state = self.replica.state();
         let is_stale = self.replica.staleness() > self.context.timing.round * STALE_ROUNDS;
@@ -87,8 +90,8 @@
         .collect()
     }
 
-    /// Whether heartbeats of too many workers of the owned shards are missing. Machines that
-    /// are known to be unreachable are no incident of this controller.
+    /// Whether too many workers of the owned shards are without contact. Machines that the state
+    /// already shows as unreachable do not count: they are no fault of this controller.
     fn has_missing_heartbeats(&self, state: &ClusterState) -> bool {
         let sessions = self.workers.sessions();
         let limit = self.context.timing.unreachable_after;
@@ -109,6 +112,7 @@
     }
 }
 
+/// Whether a shard that has machines is not leased to a registered controller.
 fn has_unowned_shards(state: &ClusterState) -> bool {
     state.shards.iter().any(|(shard, machines)| {
         let lease = state.shard_leases.get(shard);
--- a/crates/rushwalk/src/reporting/usage.rs
+++ b/crates/rushwalk/src/reporting/usage.rs
@@ -1,4 +1,5 @@
-//! Logs regularly where the time went, and which jobs are served least.
+//! Logs the load of this process, and which class and team have the smallest share of started
+//! jobs.
 
 use crate::connections::ConnectionTable;
 use crate::context::Context;
@@ -8,17 +9,17 @@
 use std::sync::Arc;
 use tokio::time::sleep;
 
-/// Logs once in a worker lease.
+/// Writes its log entries once per worker lease.
 pub(crate) struct UsageReport {
-    /// This process's context.
+    /// Settings, timing and identity of this process.
     pub context: Arc<Context>,
-    /// Counts the jobs that are served.
+    /// Copy of the cluster's state, with the counts of started jobs by class and team.
     pub replica: Arc<Replica>,
-    /// Counts the connections.
+    /// Connections that are open at the public address.
     pub connections: Arc<ConnectionTable>,
-    /// Shows whether this controller keeps up.
+    /// Lag of this controller's event loop.
     pub runtime_lag: Arc<RuntimeLag>,
-    /// Measures the work that is done.
+    /// Time spent on each kind of work since the start of the process.
     pub work_profile: Arc<WorkProfile>,
 }
 
@@ -27,12 +28,12 @@
     pub(crate) async fn run(self) {
         loop {
             sleep(self.context.timing.worker_lease).await;
-            self.log_time();
+            self.log_load();
             self.log_least_served();
         }
     }
 
-    fn log_time(&self) {
+    fn log_load(&self) {
         let times = self.context.process_times();
         let (up_s, busy_s) = (times.up_s, times.busy_s);
         let connections = self.connections.count();
@@ -70,6 +71,7 @@
     }
 }
 
+/// Rounds a share to thousandths.
 fn rounded(share: f64) -> f64 {
     (share * 1000.0).round() / 1000.0
 }
