--- a/crates/rushwalk/src/failure_detection/observation.rs
+++ b/crates/rushwalk/src/failure_detection/observation.rs
@@ -191,8 +191,9 @@
         match transition.to {
             PeerHealth::Healthy => tracing::info!(controller, after_s, "peer healthy again"),
             PeerHealth::Suspected => {
-                // A suspected peer is declared failed only after a newer read of the store. The
-                // watch request may stay open without a result, so request a read.
+                // Unless its lease has expired, a suspected peer is declared failed only after a
+                // newer read of the store. The watch request may stay open without a result, so
+                // request a read.
                 self.replica.request_read();
                 tracing::info!(
                     controller,
--- a/crates/rushwalk/src/shards/assignment.rs
+++ b/crates/rushwalk/src/shards/assignment.rs
@@ -88,7 +88,7 @@
     fn plan(&self, version: LeaderVersion) -> Option<Moves> {
         let context = &self.parts.context;
         let _timer = self.parts.work_profile.start(WorkKind::AssignShards);
-        let reachability = ShardReachability::now(context, &self.parts.heartbeats);
+        let reachability = ShardReachability::collect(context, &self.parts.heartbeats);
         let state = self.parts.replica.state();
         let gatherer = InputGatherer {
             parts: &self.parts,
--- a/crates/rushwalk/src/shards/assignment/history.rs
+++ b/crates/rushwalk/src/shards/assignment/history.rs
@@ -14,8 +14,8 @@
     /// When a shard was last moved because its owner could no longer own shards, or was cut off
     /// from machines that reached no other controller either.
     moved_from_unusable_owner: HashMap<ShardId, Instant>,
-    /// When a commit of moves last followed from inputs in which a shard's machines reached other
-    /// controllers, but not its owner.
+    /// When moves were last committed while a shard's machines reached other controllers, but not
+    /// its owner. The shard need not be among the moved ones.
     moved_to_reachable: HashMap<ShardId, Instant>,
     /// When a controller was last found cut off from machines that others reached.
     owner_cut_off: HashMap<String, Instant>,
--- a/crates/rushwalk/src/shards/dispatch.rs
+++ b/crates/rushwalk/src/shards/dispatch.rs
@@ -124,7 +124,7 @@
     /// Limits the probes of a tick to twice the number of heartbeats that the owned machines
     /// send in a tick, but at least [`MIN_PROBES`]. Without the limit, an owner that takes over
     /// a thousand machines would probe all of them in one tick, though most send a heartbeat
-    /// by themselves soon.
+    /// by themselves shortly after.
     fn probe_budget(
         &self,
         state: &ClusterState,
--- a/crates/rushwalk/src/shards/reachability.rs
+++ b/crates/rushwalk/src/shards/reachability.rs
@@ -16,8 +16,8 @@
 }
 
 impl ShardReachability {
-    /// The heartbeats of peers that are recent now, and this controller's own data.
-    pub(super) fn now(context: &Context, source: &HeartbeatSource) -> ShardReachability {
+    /// Collects the recent heartbeats of peers, and this controller's own data.
+    pub(super) fn collect(context: &Context, source: &HeartbeatSource) -> ShardReachability {
         let mut heartbeats: BTreeMap<String, PeerHeartbeat> = {
             let detector = source.peers.detector();
             let max_age_s = detector.config().round_s * MAX_HEARTBEAT_ROUNDS;
--- a/crates/rushwalk/src/workers/heartbeats.rs
+++ b/crates/rushwalk/src/workers/heartbeats.rs
@@ -17,7 +17,7 @@
     /// This controller owns the worker's shard: its response.
     Accepted(HeartbeatResponse),
     /// Another controller owns the worker's shard. Holds its name; `None` if the name is not
-    /// known yet, or if that controller has failed or does not receive from the shard.
+    /// known yet, or if that controller has failed or reports the shard unreachable.
     Redirected(Option<String>),
     /// The machine is unknown, or its shard has no other owner and this controller may not
     /// act as the owner.
--- a/crates/rushwalk/src/workers/session.rs
+++ b/crates/rushwalk/src/workers/session.rs
@@ -106,7 +106,7 @@
     pub tasks: Vec<ReportedTask>,
     /// A start that the worker may still execute; `None` once a heartbeat shows a later
     /// token or session. While it is set, a task that is missing from the heartbeats may
-    /// still start, and the worker must not forget exited attempts.
+    /// still start, and the worker is not commanded to forget exited attempts.
     pub unresolved_start: Option<UnresolvedStart>,
     /// The call to the worker's own address that has not ended yet.
     pub call_in_flight: Option<CallInFlight>,
