--- a/crates/rushwalk/src/shards/assignment.rs
+++ b/crates/rushwalk/src/shards/assignment.rs
@@ -5,8 +5,7 @@
 //! rejecting them has no time for its rounds. When the assignment depended on the rounds, shards
 //! stayed without an owner until all worker leases expired.
 //!
-//! A pass gathers its inputs, plans moves by the pure function
-//! [`plan_shard_moves`](rushwalk_scheduler::shard_assignment::plan_shard_moves), and commits
+//! A pass gathers its inputs, plans moves by the pure function [`plan_shard_moves`], and commits
 //! them in one transaction.
 
 mod assignable;
