--- a/crates/failure-detector/src/accrual.rs
+++ b/crates/failure-detector/src/accrual.rs
@@ -1,45 +1,48 @@
-//! Suspicion that accrues with the time since a peer's last heartbeat, relative to the peer's
-//! own history.
+//! The φ accrual failure detector: a suspicion level that rises with the time since a peer's
+//! last heartbeat, relative to the peer's own history.
 //!
-//! After Hayashibara, Défago, Yared and Katayama, "The φ Accrual Failure Detector"
-//! (2004): φ is the negative decimal logarithm of the probability that a live peer is
-//! silent for this long. A fixed time-out is either slow on a quiet network or
-//! over-sensitive on a slow one; φ adapts to the peer's recent heartbeats.
+//! After Hayashibara, Défago, Yared and Katayama, "The φ Accrual Failure Detector" (2004):
+//! φ is the negative decimal logarithm of the probability that a live peer sends nothing for
+//! this long. A fixed time-out detects failures late on a fast network or reports false
+//! failures on a slow one; φ adapts to the intervals between the peer's recent heartbeats.
 
 use statrs::function::erf::erfc;
 use std::collections::VecDeque;
 
-/// Intervals in the history. Heartbeats come a few times a second, so this is about the last
-/// half minute.
+/// The number of intervals in the history. Heartbeats are sent a few times a second, so this
+/// covers about the last half minute.
 const WINDOW: usize = 100;
 
-/// Upper bound of φ: beyond it the normal distribution is no model of a network.
+/// Upper bound of φ: beyond it the normal distribution is not a valid model of a network.
 const MAX_PHI: f64 = 100.0;
 
-/// The expected interval counts as so many samples: a few observed ones are no evidence yet.
+/// The expected interval counts as this many samples, since the first few observed intervals
+/// are not yet enough to estimate the distribution.
 const PRIOR_WEIGHT: f64 = 8.0;
 
-/// A longer silence enters the history as so many expected intervals.
+/// The longest interval in the history, as a multiple of the expected interval. Longer ones
+/// are shortened to it.
 const MAX_INTERVALS_PER_SAMPLE: f64 = 8.0;
 
-/// Arrival times of one peer's heartbeats.
+/// The latest intervals between the heartbeats of one peer.
 #[derive(Debug, Clone)]
 pub struct HeartbeatHistory {
     /// In seconds, the oldest first.
     intervals: VecDeque<f64>,
+    /// When the latest heartbeat was recorded, in seconds of the observer's clock.
     last_s: Option<f64>,
-    /// The interval expected of a peer of which little is known, in seconds.
+    /// The interval at which the peer should send heartbeats, in seconds.
     expected_s: f64,
 }
 
-/// The distribution of intervals, in seconds.
+/// The normal distribution that models the intervals between heartbeats.
 struct IntervalDistribution {
     mean_s: f64,
     deviation_s: f64,
 }
 
 impl HeartbeatHistory {
-    /// An empty history of a peer that should send a heartbeat each `expected_s` seconds.
+    /// An empty history of a peer that should send a heartbeat every `expected_s` seconds.
     pub fn new(expected_s: f64) -> HeartbeatHistory {
         HeartbeatHistory {
             intervals: VecDeque::with_capacity(WINDOW),
@@ -48,7 +51,7 @@
         }
     }
 
-    /// Records a heartbeat; one that is not after the last is ignored.
+    /// Records a heartbeat; ignored if `now_s` is not after the previous one.
     pub fn record(&mut self, now_s: f64) {
         if let Some(last) = self.last_s {
             if now_s <= last {
@@ -57,25 +60,27 @@
             if self.intervals.len() == WINDOW {
                 self.intervals.pop_front();
             }
-            // A long silence that ended belongs to the history, but not with all of
-            // its length: one outage would hide the next for half a minute.
+            // The history includes long intervals, but shortened: at full length, one outage
+            // would hide the next for half a minute.
             let longest = MAX_INTERVALS_PER_SAMPLE * self.expected_s;
             self.intervals.push_back((now_s - last).min(longest));
         }
         self.last_s = Some(now_s);
     }
 
-    /// Clears the history, because the peer's process is another one.
+    /// Clears the history, for instance for a new process of the peer.
     pub fn reset(&mut self) {
         self.intervals.clear();
         self.last_s = None;
     }
 
-    /// When the latest heartbeat was recorded, in seconds of the observer's clock.
+    /// When the latest heartbeat was recorded, in seconds of the observer's clock; `None` if
+    /// none was since the last reset.
     pub fn last_s(&self) -> Option<f64> {
         self.last_s
     }
 
+    /// The distribution of the recorded intervals, with the expected interval as prior samples.
     fn distribution(&self) -> IntervalDistribution {
         let samples = PRIOR_WEIGHT + self.intervals.len() as f64;
         let sum: f64 = self.intervals.iter().sum();
@@ -83,7 +88,7 @@
         let squared = |interval: f64| (interval - mean) * (interval - mean);
         let observed = self.intervals.iter().map(|i| squared(*i)).sum::<f64>();
         let squares = PRIOR_WEIGHT * squared(self.expected_s) + observed;
-        // Never more certain than by half an interval: packets are lost and resent.
+        // The deviation is at least half an interval, since packets are lost and retransmitted.
         let deviation = (squares / samples).sqrt().max(self.expected_s / 2.0);
         IntervalDistribution {
             mean_s: mean,
@@ -91,18 +96,19 @@
         }
     }
 
-    /// How improbable it is that a live peer has sent nothing since its last heartbeat.
-    /// `lag_s` is the observer's own event-loop lag: a response may wait in its own
-    /// queue for as long (the local health of Lifeguard: Dadgar, Phillips and Currey,
-    /// 2018), so a controller that is short of processor time suspects no peer.
+    /// φ at `now_s`: how improbable it is that a live peer has sent nothing since its last
+    /// heartbeat; 0 before the first heartbeat. `lag_s` is the observer's own event-loop lag. A
+    /// response may have waited that long in the observer's queue (the local health of
+    /// Lifeguard: Dadgar, Phillips and Currey, 2018), so an observer that is short of
+    /// processor time suspects no peer.
     pub fn phi(&self, now_s: f64, lag_s: f64) -> f64 {
         let Some(last) = self.last_s else {
             return 0.0;
         };
         let intervals = self.distribution();
-        let silent = now_s - last - lag_s;
+        let silence_s = now_s - last - lag_s;
         let deviation = intervals.deviation_s + lag_s;
-        let deviations = (silent - intervals.mean_s) / (deviation * std::f64::consts::SQRT_2);
+        let deviations = (silence_s - intervals.mean_s) / (deviation * std::f64::consts::SQRT_2);
         let tail = 0.5 * erfc(deviations);
         (-tail.log10()).clamp(0.0, MAX_PHI)
     }
--- a/crates/failure-detector/src/accrual/tests.rs
+++ b/crates/failure-detector/src/accrual/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the accrual of suspicion.
+//! Tests of the φ accrual failure detector.
 
 use super::*;
 use proptest::prelude::*;
@@ -11,11 +11,11 @@
 
 #[test]
 fn phi_depends_on_the_peers_own_history() {
-    let quick = regular(0.3);
-    let last = quick.last_s().unwrap();
-    assert!(quick.phi(last + 0.5, 0.0) < 2.0, "a lost heartbeat");
-    assert!(quick.phi(last + 1.5, 0.0) > 8.0);
-    // One that was always irregular is given more time.
+    let frequent = regular(0.3);
+    let last = frequent.last_s().unwrap();
+    assert!(frequent.phi(last + 0.5, 0.0) < 2.0, "a lost heartbeat");
+    assert!(frequent.phi(last + 1.5, 0.0) > 8.0);
+    // For a peer with irregular heartbeats φ rises more slowly.
     let mut irregular = HeartbeatHistory::new(0.3);
     let mut at = 0.0;
     for i in 0..100 {
@@ -26,33 +26,33 @@
 }
 
 #[test]
-fn a_lagging_observer_suspects_nobody() {
+fn phi_stays_low_for_a_lagging_observer() {
     let peer = regular(0.3);
     let last = peer.last_s().unwrap();
     assert!(peer.phi(last + 2.0, 2.0) < 1.0);
     assert_eq!(
         HeartbeatHistory::new(0.3).phi(100.0, 0.0),
         0.0,
-        "never heard from"
+        "no heartbeat was recorded"
     );
 }
 
 proptest! {
-    /// Whatever came before: φ is a number, grows with the time since the last
-    /// heartbeat, and shrinks with the observer's own lag.
+    /// For any history φ is finite, grows with the time since the last heartbeat, and does not
+    /// grow with the observer's own lag.
     #[test]
-    fn phi_accrues(gaps in prop::collection::vec(0.001f64..20.0, 0..200), a in 0.0f64..30.0, b in 0.0f64..30.0, late in 0.0f64..5.0) {
+    fn phi_grows_with_silence(gaps in prop::collection::vec(0.001f64..20.0, 0..200), first_s in 0.0f64..30.0, second_s in 0.0f64..30.0, lag_s in 0.0f64..5.0) {
         let mut history = HeartbeatHistory::new(0.3);
         let mut at = 0.0;
         for gap in gaps {
             at += gap;
             history.record(at);
         }
-        let (short, long) = (a.min(b), a.max(b));
-        let phi = |silent: f64, late: f64| history.phi(at + silent, late);
+        let (short, long) = (first_s.min(second_s), first_s.max(second_s));
+        let phi = |silence_s: f64, lag_s: f64| history.phi(at + silence_s, lag_s);
         prop_assert!(phi(short, 0.0).is_finite());
         prop_assert!(phi(short, 0.0) <= phi(long, 0.0) + 1e-9);
-        // Below a probability of one half there is no suspicion either way.
-        prop_assert!(phi(long, late) <= phi(long, 0.0).max(0.31));
+        // φ up to 0.31 means a probability of about one half or more: no suspicion.
+        prop_assert!(phi(long, lag_s) <= phi(long, 0.0).max(0.31));
     }
 }
--- a/crates/failure-detector/src/damping.rs
+++ b/crates/failure-detector/src/damping.rs
@@ -1,26 +1,27 @@
-//! Flap damping: a member that left lately gets its work back after a delay, which
-//! doubles with each further departure and is bounded.
+//! Flap damping: a member that has left gets work back only after a delay. The delay doubles
+//! with each further departure, up to a maximum.
 
 use std::collections::BTreeMap;
 
-/// Delays double up to so many times the first.
+/// The longest delay, as a multiple of the first.
 const MAX_DELAY_FACTOR: f64 = 8.0;
 
-/// A departure counts for so many first delays. That is longer than the longest delay, so
-/// that a member that leaves again right after it still counts as flapping.
-const MEMORY_FACTOR: f64 = 16.0;
+/// How long a departure counts, as a multiple of the first delay. This is longer than the
+/// longest delay, so that a member that leaves again right after that delay still counts as
+/// flapping.
+const RETENTION_FACTOR: f64 = 16.0;
 
-/// Bounds the exponent of the doubling.
+/// The largest number of departures that double the delay; bounds the exponent.
 const MAX_COUNTED_DEPARTURES: usize = 8;
 
-/// One term of a member, which a departure ends. If a member is declared failed and its
-/// lease expires afterwards, that is one departure.
+/// One term of a member, which ends with a departure. Each term counts as one departure at
+/// most, for instance if a member is declared failed and its lease expires afterwards.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MembershipTerm {
     /// The member's process.
     pub incarnation: u64,
-    /// Distinguishes the terms of a process; mostly the time of its registration, in
-    /// milliseconds since the Unix epoch.
+    /// Distinguishes the terms of the same process. For a term as a registered member, the
+    /// time of registration in milliseconds since the Unix epoch.
     pub since: u64,
 }
 
@@ -30,7 +31,7 @@
     at_s: f64,
 }
 
-/// Departures of all members, and the delays that follow from them.
+/// The departures of all members, and the delays that follow from them.
 #[derive(Debug, Clone)]
 pub struct FlapDamping {
     first_delay_s: f64,
@@ -38,7 +39,7 @@
 }
 
 impl FlapDamping {
-    /// Damping whose first delay lasts `first_delay_s` seconds.
+    /// Flap damping without departures, whose first delay lasts `first_delay_s` seconds.
     pub fn new(first_delay_s: f64) -> FlapDamping {
         FlapDamping {
             first_delay_s,
@@ -46,29 +47,31 @@
         }
     }
 
-    fn memory_s(&self) -> f64 {
-        MEMORY_FACTOR * self.first_delay_s
+    /// How long a departure counts, in seconds.
+    fn retention_s(&self) -> f64 {
+        RETENTION_FACTOR * self.first_delay_s
     }
 
-    /// Records that a member left, was declared failed, or stepped down; once for each term.
+    /// Records that a member left, was declared failed, or stepped down. Only the first
+    /// departure of a term counts.
     pub fn record_departure(&mut self, now_s: f64, member: &str, term: MembershipTerm) {
-        let memory = self.memory_s();
+        let retention_s = self.retention_s();
         let departures = self.departures.entry(member.to_string()).or_default();
-        departures.retain(|departure| now_s - departure.at_s < memory);
+        departures.retain(|departure| now_s - departure.at_s < retention_s);
         if departures.iter().all(|known| known.term != term) {
             departures.push(Departure { term, at_s: now_s });
         }
     }
 
-    /// The number of departures that still count.
+    /// The number of a member's departures that still count.
     pub fn departures(&self, now_s: f64, member: &str) -> usize {
-        let memory = self.memory_s();
+        let retention_s = self.retention_s();
         self.departures_of(member)
-            .filter(|departure| now_s - departure.at_s < memory)
+            .filter(|departure| now_s - departure.at_s < retention_s)
             .count()
     }
 
-    /// For how long after its return a member does not yet get its work back, in seconds.
+    /// How long after its latest departure a member does not get work back, in seconds.
     pub fn delay_s(&self, now_s: f64, member: &str) -> f64 {
         let factor = match self.departures(now_s, member) {
             0 => 1.0,
@@ -80,7 +83,7 @@
         factor * self.first_delay_s
     }
 
-    /// Whether the delay after its latest departure is over.
+    /// Whether the delay after a member's latest departure is over; true without departures.
     pub fn is_eligible(&self, now_s: f64, member: &str) -> bool {
         let latest = self
             .departures_of(member)
--- a/crates/failure-detector/src/damping/tests.rs
+++ b/crates/failure-detector/src/damping/tests.rs
@@ -11,14 +11,14 @@
 }
 
 #[test]
-fn delays_double_and_end() {
+fn delays_double_up_to_the_maximum_and_expire() {
     let mut damping = FlapDamping::new(5.0);
     assert!(damping.is_eligible(0.0, "a"));
     let mut delays = Vec::new();
     for n in 0..6 {
         let now = 12.0 * n as f64;
         damping.record_departure(now, "a", term(n));
-        // Its lease expires after it was declared failed: the same departure.
+        // The lease expires after the member was declared failed: still the same departure.
         damping.record_departure(now + 2.0, "a", term(n));
         delays.push(damping.delay_s(now, "a"));
     }
@@ -30,7 +30,7 @@
 }
 
 proptest! {
-    /// However often a member flaps, its delay ends.
+    /// The delay ends however often a member flaps.
     #[test]
     fn every_delay_ends(gaps in prop::collection::vec(0.1f64..100.0, 1..60)) {
         let mut damping = FlapDamping::new(5.0);
--- a/crates/failure-detector/src/detector.rs
+++ b/crates/failure-detector/src/detector.rs
@@ -1,16 +1,24 @@
-//! One controller's view of the health of the others, with the reasons for it.
+//! One controller's view of the health of its peers, with the reasons for it.
 //!
-//! | health | what it allows | how it ends |
+//! | health | what other controllers do | how it ends |
 //! | --- | --- | --- |
-//! | healthy | everything | a reason for suspicion |
-//! | suspected | reversible measures: nothing new is assigned to it, no user's request is forwarded to it, a successor prepares | a response of the same process to a later heartbeat |
-//! | failed | what the store fences: leadership and shards are taken by conditional commits | another process of that name, or responses for the length of a member lease |
+//! | healthy | treat the peer as working | a reason for suspicion appears |
+//! | suspected | take reversible measures: they assign no new work to the peer, forward no user requests to it, and a successor prepares to take over | the reason no longer holds, for example because the process responds to a later heartbeat |
+//! | failed | take over leadership and shards by conditional commits, which the store fences | the member registers again, or the same process responds for the length of a member lease |
 //!
-//! A suspected peer is declared failed only if, since the suspicion began, most of the other
-//! controllers that send heartbeats and reach the store have the same suspicion, none of
-//! them has seen the peer, the peer has written nothing to the log, and the observer itself
-//! has read the store. So a controller that is partitioned from the others can declare none
-//! failed, and neither can any behind a packet filter between all controllers.
+//! A peer that is unresponsive or refuses connections is declared failed only if all of this
+//! holds since the suspicion began:
+//!
+//! - Of the other controllers that send heartbeats and reach the store, most have the same
+//!   suspicion and none has had contact with the peer.
+//! - The peer has written nothing to the log.
+//! - The observer itself has read the store.
+//!
+//! So a controller that is partitioned from the others can't declare any of them failed, and
+//! if a packet filter separates all controllers, none of them can. There are three
+//! exceptions: with a single peer there are no witnesses to ask; a peer whose member lease
+//! has expired is failed without further evidence; and a leader that finishes no scheduling
+//! rounds is judged by its own heartbeats.
 
 mod assessment;
 mod evaluation;
@@ -33,22 +41,25 @@
 /// Intervals and thresholds that follow from the settings.
 #[derive(Debug, Clone)]
 pub struct DetectorConfig {
-    /// Between two heartbeats to the same peer, in seconds.
+    /// The interval between two heartbeats to the same peer, in seconds.
     pub heartbeat_s: f64,
-    /// A scheduling round, in seconds.
+    /// The interval of the leader's scheduling rounds, in seconds.
     pub round_s: f64,
-    /// The member lease, in seconds: by its end the store itself shows who is gone.
+    /// The lease of a member's record in the store, in seconds. Its expiry shows that the
+    /// member is gone.
     pub member_lease_s: f64,
-    /// The workers' lease, in seconds.
+    /// The lease of a worker, in seconds. A stalled leader is declared failed only if
+    /// leadership has not moved between live controllers for this long.
     pub worker_lease_s: f64,
-    /// Suspicion begins above this φ.
+    /// A peer is suspected as unresponsive if its φ exceeds this (see [`crate::accrual`]).
     pub phi_threshold: f64,
-    /// Heartbeats refused in a row from which on suspicion begins.
+    /// A peer is suspected once its port has refused this many heartbeats in a row; 0 counts
+    /// as 1.
     pub refusal_threshold: u32,
 }
 
 impl DetectorConfig {
-    /// The intervals by which lag and load are compared.
+    /// The intervals from which the thresholds of lag and load follow.
     pub fn timing(&self) -> DetectorTiming {
         DetectorTiming {
             heartbeat_s: self.heartbeat_s,
@@ -57,19 +68,21 @@
     }
 }
 
-/// One controller's view of the health of all others.
+/// One controller's view of the health of its peers, with the evidence behind it.
 #[derive(Debug, Clone)]
 pub struct FailureDetector {
     config: DetectorConfig,
     peers: BTreeMap<String, PeerState>,
-    /// Departures of all members, this controller included.
+    /// Flap damping of all members, including this controller.
     pub damping: FlapDamping,
-    /// When peers were declared failed by evidence, in seconds, the latest last.
+    /// When peers were declared failed within the latest member lease, in seconds, the latest
+    /// last. Does not count peers whose member lease expired.
     declared_failed_at_s: Vec<f64>,
 }
 
 impl FailureDetector {
-    /// A detector to which all `peers` are healthy.
+    /// A detector that starts with all `peers` as healthy. Evidence about other members is
+    /// ignored.
     pub fn new<'a>(
         config: DetectorConfig,
         peers: impl Iterator<Item = &'a str>,
@@ -84,7 +97,7 @@
         }
     }
 
-    /// The intervals and thresholds given at the start.
+    /// The intervals and thresholds, which do not change.
     pub fn config(&self) -> &DetectorConfig {
         &self.config
     }
--- a/crates/failure-detector/src/detector/assessment.rs
+++ b/crates/failure-detector/src/detector/assessment.rs
@@ -1,54 +1,60 @@
-//! Whether there is enough evidence to declare a suspected peer failed.
+//! Decides whether there is enough evidence to declare a suspected peer failed.
 
 use super::FailureDetector;
 use super::health::{LocalHealth, PeerHealth, SuspicionReason};
 use super::peer::PeerState;
 
-/// A witness that has not seen a peer for so many heartbeat intervals agrees that it is
-/// unresponsive.
+/// A witness without contact to a peer for more than this many heartbeat intervals agrees that
+/// the peer is unresponsive.
 const SILENT_HEARTBEATS: f64 = 4.0;
 
-/// A witness counts if its heartbeat and its read of the store are younger than so many
-/// rounds; so long after its last log entry a peer counts as idle.
+/// Age limit in scheduling rounds. A witness counts only if its last heartbeat and its last
+/// read of the store are younger than this. A peer whose last log entry is older than this
+/// counts as idle. Without witnesses, a suspicion must last this long.
 const RECENT_ROUNDS: f64 = 2.0;
 
-/// An unresponsive peer is declared failed after this share of the member lease.
+/// An unresponsive peer may be declared failed after this share of the member lease without
+/// any sign of life.
 const SILENCE_LEASE_SHARE: f64 = 0.75;
 
-/// The evidence on a suspected peer at a moment.
+/// The result of weighing the evidence about a suspected peer.
 pub(super) struct Assessment {
-    /// Whether it is enough to declare the peer failed.
+    /// Whether the evidence is enough to declare the peer failed.
     pub conclusive: bool,
-    /// Whether most witnesses have the same suspicion, and the log does not contradict it.
+    /// Whether most witnesses have the same suspicion and the log does not contradict it.
     pub majority_agrees: bool,
+    /// The number of other controllers whose observations count.
     pub witnesses: usize,
+    /// The number of witnesses with the same suspicion.
     pub agreeing: usize,
 }
 
-/// What the other controllers report of a suspected peer.
+/// The combined reports of the other controllers about a suspected peer.
 #[derive(Default)]
 struct WitnessReports {
     witnesses: usize,
-    /// Those that have the same suspicion.
+    /// The number of witnesses with the same suspicion.
     agreeing: usize,
-    /// Whether any has seen it since the suspicion began.
-    contact_since: bool,
+    /// Whether any witness has had contact with the peer since the suspicion began.
+    contact_since_suspicion: bool,
 }
 
 impl WitnessReports {
     fn majority_agrees(&self) -> bool {
-        self.agreeing > 0 && 2 * self.agreeing > self.witnesses && !self.contact_since
+        self.agreeing > 0 && 2 * self.agreeing > self.witnesses && !self.contact_since_suspicion
     }
 }
 
-/// What one controller reports of a suspected peer.
+/// The report of one other controller about a suspected peer.
 struct WitnessReport {
+    /// Whether the peer refuses connections from the witness too, or is unresponsive to it.
     agrees: bool,
-    contact_since: bool,
+    /// Whether the witness has had contact with the peer since the suspicion began.
+    contact_since_suspicion: bool,
 }
 
 impl FailureDetector {
-    /// Weighs the evidence on a peer for the reason for which it is suspected.
+    /// Weighs the evidence about a peer against the reason for suspecting it.
     pub(super) fn assess(
         &self,
         member: &str,
@@ -57,10 +63,10 @@
         local: &LocalHealth,
     ) -> Assessment {
         let reports = self.witness_reports(member, peer, now_s);
-        let idle = self.is_idle_in_log(peer, now_s);
+        let idle_in_log = self.is_idle_in_log(peer, now_s);
         Assessment {
-            conclusive: self.is_conclusive(peer, &reports, idle, now_s, local),
-            majority_agrees: reports.majority_agrees() && idle,
+            conclusive: self.is_conclusive(peer, &reports, idle_in_log, now_s, local),
+            majority_agrees: reports.majority_agrees() && idle_in_log,
             witnesses: reports.witnesses,
             agreeing: reports.agreeing,
         }
@@ -70,23 +76,24 @@
         &self,
         peer: &PeerState,
         reports: &WitnessReports,
-        idle: bool,
+        idle_in_log: bool,
         now_s: f64,
         local: &LocalHealth,
     ) -> bool {
         let config = &self.config;
         let suspected_s = now_s - peer.health_since_s;
-        // Only an observer that is well itself can judge others.
+        // An observer that lags, or has not read the store since the suspicion began, may itself
+        // be the cause of the suspicion.
         let can_observe = local.recent_lag_s < config.round_s && local.staleness_s < suspected_s;
         let agreed = reports.majority_agrees();
         let only_peer = self.peers.len() == 1;
         match peer.reason {
             Some(SuspicionReason::LeaseExpired) => true,
             Some(SuspicionReason::Refused) if only_peer => {
-                can_observe && idle && suspected_s >= RECENT_ROUNDS * config.round_s
+                can_observe && idle_in_log && suspected_s >= RECENT_ROUNDS * config.round_s
             }
             Some(SuspicionReason::Refused) => {
-                can_observe && idle && agreed && suspected_s >= config.heartbeat_s
+                can_observe && idle_in_log && agreed && suspected_s >= config.heartbeat_s
             }
             Some(SuspicionReason::Unresponsive) => {
                 can_observe
@@ -94,8 +101,8 @@
                     && self.is_silent_for_long(peer, now_s)
                     && config.timing().is_on_time(local.mean_lag_s)
             }
-            // Once in a lease, whoever it was: if the next one can't keep up either, it is
-            // the load, and leadership would circulate.
+            // At most once per worker lease, whichever controller led: if the next leader is
+            // stalled too, the load is the cause, and leadership would only circulate.
             Some(SuspicionReason::Stalled) => {
                 can_observe
                     && suspected_s >= config.round_s
@@ -105,8 +112,9 @@
         }
     }
 
-    /// Whether a peer's member lease is about to expire, unless its process still renews it
-    /// and does nothing else.
+    /// Whether a peer has sent no heartbeat and written no log entry for so long that its member
+    /// lease is about to expire, unless its process still renews the lease but does nothing
+    /// else.
     fn is_silent_for_long(&self, peer: &PeerState, now_s: f64) -> bool {
         let long_s = SILENCE_LEASE_SHARE * self.config.member_lease_s;
         let suspected_s = now_s - peer.health_since_s;
@@ -114,8 +122,9 @@
             && peer.since_last_write_s(now_s) >= long_s
     }
 
-    /// Whether no entry in the log shows that a peer still runs. An entry that it wrote before
-    /// its end may be seen a little after.
+    /// Whether the log shows no recent entry of a peer. Entries that are seen within half a
+    /// heartbeat interval of the start of the suspicion do not count: the peer may have written
+    /// them before it ended.
     fn is_idle_in_log(&self, peer: &PeerState, now_s: f64) -> bool {
         let allowance_s = self.config.heartbeat_s / 2.0;
         peer.last_write_s
@@ -123,6 +132,7 @@
             || peer.since_last_write_s(now_s) > RECENT_ROUNDS * self.config.round_s
     }
 
+    /// The combined reports of all witnesses about a peer.
     fn witness_reports(&self, member: &str, peer: &PeerState, now_s: f64) -> WitnessReports {
         let mut reports = WitnessReports::default();
         for (name, witness) in &self.peers {
@@ -132,14 +142,15 @@
             if let Some(report) = self.witness_report(witness, member, peer, now_s) {
                 reports.witnesses += 1;
                 reports.agreeing += usize::from(report.agrees);
-                reports.contact_since |= report.contact_since;
+                reports.contact_since_suspicion |= report.contact_since_suspicion;
             }
         }
         reports
     }
 
-    /// What a witness reported since the suspicion began, if it reaches the store and is
-    /// not suspected itself.
+    /// What a witness has reported about a peer since the suspicion began. `None` if the witness
+    /// has sent no recent heartbeat, does not reach the store, is not healthy, or does not
+    /// know the peer's current process.
     fn witness_report(
         &self,
         witness: &PeerState,
@@ -165,10 +176,11 @@
             .contact_age_ms
             .map(|ms| ms as f64 / 1000.0 + age_s);
         let suspected_s = now_s - peer.health_since_s;
-        let silent = contact_age_s.is_none_or(|ago| ago > SILENT_HEARTBEATS * config.heartbeat_s);
+        let silent =
+            contact_age_s.is_none_or(|age_s| age_s > SILENT_HEARTBEATS * config.heartbeat_s);
         Some(WitnessReport {
             agrees: observation.refused || silent,
-            contact_since: contact_age_s.is_some_and(|ago| ago < suspected_s),
+            contact_since_suspicion: contact_age_s.is_some_and(|age_s| age_s < suspected_s),
         })
     }
 }
--- a/crates/failure-detector/src/detector/evaluation.rs
+++ b/crates/failure-detector/src/detector/evaluation.rs
@@ -1,4 +1,4 @@
-//! From evidence to health: the transitions of all peers.
+//! Derives the health of all peers from the evidence.
 
 use super::FailureDetector;
 use super::assessment::Assessment;
@@ -7,8 +7,8 @@
 use crate::damping::MembershipTerm;
 
 impl FailureDetector {
-    /// Derives the health of all peers anew and returns what changed. Called a few times
-    /// a second.
+    /// Derives the health of all peers from the current evidence and returns the changes.
+    /// Should be called several times per heartbeat interval.
     pub fn evaluate(&mut self, now_s: f64, local: LocalHealth) -> Vec<HealthTransition> {
         let members: Vec<String> = self.peers.keys().cloned().collect();
         members
@@ -53,27 +53,28 @@
         Some(transition)
     }
 
-    /// The health that the evidence leads to, within the bound on declared failures.
-    fn permitted_health(&mut self, next: Next, now_s: f64) -> PeerHealth {
+    /// The next health of a peer, within the limit on declared failures (see
+    /// [`Self::may_declare_failed`]).
+    fn permitted_health(&mut self, next: NextHealth, now_s: f64) -> PeerHealth {
         match next {
-            Next::Health(health) => health,
-            Next::FailedIfAllowed if self.may_declare_failed(now_s) => PeerHealth::Failed,
-            Next::FailedIfAllowed => PeerHealth::Suspected,
+            NextHealth::Definite(health) => health,
+            NextHealth::FailedIfAllowed if self.may_declare_failed(now_s) => PeerHealth::Failed,
+            NextHealth::FailedIfAllowed => PeerHealth::Suspected,
         }
     }
 
-    /// Whether a peer that was declared failed responds for the length of a member lease.
+    /// Whether a peer that was declared failed has responded for the length of a member lease.
     fn has_recovered(&self, peer: &PeerState, now_s: f64) -> bool {
         peer.responding_since_s
             .is_some_and(|at| now_s - at >= self.config.member_lease_s)
     }
 
-    /// Whether one more peer may be declared failed: within a member lease no more
-    /// than half of all controllers by this observer's own evidence. Lease expiries, which
-    /// the store reports, are not bounded.
+    /// Whether one more peer may be declared failed. By its own evidence an observer declares
+    /// no more than half of all controllers failed within a member lease. Expired leases,
+    /// which the store reports, are not limited.
     fn may_declare_failed(&mut self, now_s: f64) -> bool {
-        let span = self.config.member_lease_s;
-        self.declared_failed_at_s.retain(|at| now_s - at < span);
+        let window_s = self.config.member_lease_s;
+        self.declared_failed_at_s.retain(|at| now_s - at < window_s);
         2 * self.declared_failed_at_s.len() < self.peers.len().max(2)
     }
 
@@ -89,30 +90,32 @@
         peer.term_at_change = term;
         peer.revision_at_change = revision;
         peer.responding_since_s = None;
-        let by_evidence = transition.reason != Some(SuspicionReason::LeaseExpired);
-        if transition.to == PeerHealth::Failed && by_evidence {
+        let is_own_evidence = transition.reason != Some(SuspicionReason::LeaseExpired);
+        if transition.to == PeerHealth::Failed && is_own_evidence {
             self.declared_failed_at_s.push(now_s);
-            self.damp(&transition.member, now_s, term);
+            self.record_departure_of_term(&transition.member, now_s, term);
         }
         if transition.to == PeerHealth::Healthy && was_slow {
-            // It gets its work back as one that was away.
+            // A peer that was slow is damped as if it had left: it gets its work back after
+            // the same delay. The time of recovery makes the term distinct from others.
             let since = (now_s * 1000.0) as u64;
             let recovered = term.map(|term| MembershipTerm { since, ..term });
-            self.damp(&transition.member, now_s, recovered);
+            self.record_departure_of_term(&transition.member, now_s, recovered);
         }
     }
 
-    fn damp(&mut self, member: &str, now_s: f64, term: Option<MembershipTerm>) {
+    /// Records a departure; does nothing if the member has no term.
+    fn record_departure_of_term(&mut self, member: &str, now_s: f64, term: Option<MembershipTerm>) {
         if let Some(term) = term {
             self.damping.record_departure(now_s, member, term);
         }
     }
 }
 
-/// What the evidence on a peer leads to.
-enum Next {
-    Health(PeerHealth),
-    /// Failed, unless too many were declared failed of late: then suspected.
+/// The health of a peer according to the evidence, before the limit on declared failures.
+enum NextHealth {
+    Definite(PeerHealth),
+    /// Failed if the limit on declared failures allows one more, otherwise suspected.
     FailedIfAllowed,
 }
 
@@ -121,10 +124,10 @@
     suspicion: Option<SuspicionReason>,
     assessment: &Assessment,
     has_recovered: bool,
-) -> Next {
+) -> NextHealth {
     let to = match (peer.health, suspicion) {
-        // Another process, or the same one that has responded for a while: a single late
-        // response does not undo the failover.
+        // The member has registered again, or the same process has responded for the length of
+        // a member lease. A single late response does not undo the failover.
         (PeerHealth::Failed, None) if peer.term != peer.term_at_change || has_recovered => {
             PeerHealth::Healthy
         }
@@ -134,9 +137,9 @@
         (PeerHealth::Suspected, Some(reason))
             if assessment.conclusive && peer.reason == Some(reason) =>
         {
-            return Next::FailedIfAllowed;
+            return NextHealth::FailedIfAllowed;
         }
         (_, Some(_)) => PeerHealth::Suspected,
     };
-    Next::Health(to)
+    NextHealth::Definite(to)
 }
--- a/crates/failure-detector/src/detector/evidence.rs
+++ b/crates/failure-detector/src/detector/evidence.rs
@@ -1,4 +1,4 @@
-//! Evidence about peers as it comes in.
+//! Recording of evidence about peers.
 
 use super::FailureDetector;
 use super::health::{PeerHealth, ProbeFailure};
@@ -12,20 +12,21 @@
         self.record_alive(now_s, heartbeat, true);
     }
 
-    /// Records a heartbeat from a peer. The network may have delayed it for minutes, so it
-    /// counts as evidence only if its sender had read the revision at which the suspicion
-    /// began.
+    /// Records a heartbeat from a peer. The network may have delayed it for minutes, so a
+    /// heartbeat from a peer that is not healthy counts as evidence only if its sender had
+    /// already read the revision at which the peer's health changed. A heartbeat with a lower
+    /// revision than the previous one is out of order and ignored.
     pub fn record_heartbeat(&mut self, now_s: f64, heartbeat: PeerHeartbeat) {
         let Some(peer) = self.peers.get(&heartbeat.member) else {
             return;
         };
-        let before_suspicion =
+        let predates_health_change =
             peer.health != PeerHealth::Healthy && heartbeat.revision < peer.revision_at_change;
         let out_of_order = peer
             .last_heartbeat
             .as_ref()
             .is_some_and(|last| heartbeat.revision < last.heartbeat.revision);
-        if !before_suspicion && !out_of_order {
+        if !predates_health_change && !out_of_order {
             self.record_alive(now_s, heartbeat, false);
         }
     }
@@ -40,11 +41,12 @@
         }
         peer.arrivals.record(now_s);
         peer.clear_probe_failures();
-        let lag = heartbeat.lag_ms as f64 / 1000.0;
-        // Well below the threshold again, not just below, or its shards would flap.
-        if timing.is_on_time(lag) {
+        let lag_s = heartbeat.lag_ms as f64 / 1000.0;
+        // The peer counts as on time again only well below the threshold: with the same
+        // threshold in both directions its shards would flap.
+        if timing.is_on_time(lag_s) {
             peer.lagging_since_s = None;
-        } else if lag >= timing.slow_threshold_s() {
+        } else if lag_s >= timing.slow_threshold_s() {
             peer.lagging_since_s.get_or_insert(now_s);
         }
         if is_response && peer.health == PeerHealth::Failed {
@@ -64,9 +66,10 @@
         match failure {
             ProbeFailure::Refused if peer.probe_timed_out => {}
             ProbeFailure::Refused => peer.consecutive_refusals += 1,
-            // It hangs: if it refuses connections next, it has more callers than it can
-            // take, or no sockets left. Under an overload of all controllers, live ones
-            // were declared failed for that again and again.
+            // The peer hangs. If it refuses connections next, it has more connections than it
+            // can accept, or no sockets left. Counting those refusals declared live
+            // controllers failed again and again while all controllers were overloaded, so
+            // refusals after a time-out are ignored.
             ProbeFailure::TimedOut => {
                 peer.consecutive_refusals = 0;
                 peer.probe_timed_out = true;
@@ -76,16 +79,17 @@
         peer.responding_since_s = None;
     }
 
-    /// An entry written by a peer was seen in the log. One that was written before its
-    /// end may be seen late, so it only defers a declaration of failure for a while.
+    /// Records that the observer saw a new log entry written by a peer. An entry may be seen
+    /// only after the process that wrote it has ended, so it just defers a declaration of
+    /// failure.
     pub fn record_write(&mut self, now_s: f64, member: &str) {
         if let Some(peer) = self.peers.get_mut(member) {
             peer.last_write_s = Some(now_s);
         }
     }
 
-    /// The store's present record of a member: its process and the time of its
-    /// registration, or none.
+    /// Records the current term of a member according to the store; `None` if the member is
+    /// not registered.
     pub fn record_membership(&mut self, now_s: f64, member: &str, term: Option<MembershipTerm>) {
         let Some(peer) = self.peers.get_mut(member) else {
             return;
@@ -106,7 +110,8 @@
         }
     }
 
-    /// In a term, a member stepped down by itself, or was cut off from a shard's machines.
+    /// Records that, within `term`, a member gave up leadership by itself or was found to be
+    /// cut off from a shard's machines.
     pub fn record_departure(&mut self, now_s: f64, member: &str, term: MembershipTerm) {
         self.damping.record_departure(now_s, member, term);
     }
--- a/crates/failure-detector/src/detector/health.rs
+++ b/crates/failure-detector/src/detector/health.rs
@@ -1,30 +1,31 @@
-//! The states of a peer, the reasons for them, and their changes.
+//! The health states of a peer, the reasons for suspicion, and the transitions between states.
 
 use serde::Serialize;
 
 /// Why a heartbeat to a peer got no response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProbeFailure {
-    /// The connection was refused: its process has ended or has no sockets left, or a packet
-    /// filter refuses it.
+    /// The connection was refused: the peer's process has ended or has no sockets left, or a
+    /// packet filter rejects connections to it.
     Refused,
-    /// No response in time.
+    /// There was no response before the time-out.
     TimedOut,
-    /// The connection broke: that may be the process's end, or a packet filter.
+    /// An established connection broke: the peer's process has ended, or a packet filter
+    /// interrupts it.
     ConnectionBroken,
 }
 
-/// A peer's state of health, as this controller sees it.
+/// The health of a peer, as this controller sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PeerHealth {
-    /// There is no reason to suspect it.
+    /// There is no reason to suspect the peer.
     #[serde(rename = "trusted")]
     Healthy,
-    /// There is a reason to suspect it, but not enough evidence to declare it failed.
+    /// There is a reason to suspect the peer, but not enough evidence to declare it failed.
     #[serde(rename = "suspect")]
     Suspected,
-    /// Declared failed: its work may be taken over.
+    /// The peer was declared failed: its work may be taken over.
     #[serde(rename = "judged")]
     Failed,
 }
@@ -33,61 +34,63 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SuspicionReason {
-    /// Its port refuses connections.
+    /// The peer's port refuses connections.
     Refused,
-    /// It has sent nothing for longer than its history explains.
+    /// The time since the peer's last heartbeat is improbably long, given its heartbeat history.
     #[serde(rename = "silent")]
     Unresponsive,
-    /// It leads, reports that its event loop lags, and finishes no scheduling rounds.
+    /// The peer is the leader, reports event-loop lag, and finishes no scheduling rounds.
     Stalled,
-    /// It reports that its event loop lags, round after round.
+    /// The peer has reported event-loop lag for several rounds.
     Slow,
-    /// Its member lease has expired, according to the store.
+    /// The peer's member lease has expired, according to the store.
     #[serde(rename = "left")]
     LeaseExpired,
 }
 
 impl SuspicionReason {
-    /// Whether the process runs, but too slowly.
+    /// Whether the process still runs, but too slowly.
     pub(super) fn is_slowness(self) -> bool {
         matches!(self, SuspicionReason::Slow | SuspicionReason::Stalled)
     }
 }
 
-/// A change of a peer's health, for the log.
+/// A change of a peer's health, or of the reason for it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct HealthTransition {
     /// The peer's name as a member.
     pub member: String,
-    /// Its health before.
+    /// The health before.
     pub from: PeerHealth,
-    /// Its health now.
+    /// The health now; the same as before if only the reason has changed.
     pub to: PeerHealth,
-    /// Why it is suspected or was declared failed, if it is.
+    /// Why the peer is suspected or was declared failed; `None` if it is healthy.
     pub reason: Option<SuspicionReason>,
-    /// How long the state before had lasted, in seconds.
+    /// How long the previous health and reason had lasted, in seconds.
     pub previous_lasted_s: f64,
-    /// φ for the time since its last heartbeat.
+    /// φ for the time since the peer's last heartbeat (see [`crate::accrual`]).
     pub phi: f64,
-    /// Other controllers whose observations counted.
+    /// The number of other controllers whose observations counted.
     pub witnesses: usize,
-    /// Those of them that had the same suspicion.
+    /// The number of witnesses with the same suspicion.
     pub agreeing: usize,
 }
 
-/// What the observer knows of itself.
+/// The observer's measurements of itself.
 #[derive(Debug, Clone, Copy)]
 pub struct LocalHealth {
-    /// Its event-loop lag of late, in seconds.
+    /// The event-loop lag of the latest samples, in seconds: rises with one sample and decays
+    /// over several.
     pub recent_lag_s: f64,
-    /// Its event-loop lag in the mean of a round, in seconds.
+    /// The mean event-loop lag over about one scheduling round, in seconds.
     pub mean_lag_s: f64,
-    /// The share of time in which its thread is busy, 0 to 1.
+    /// The share of time in which the observer's thread is busy, 0 to 1.
     pub busy_share: f64,
-    /// How long ago its last answered read of the store was sent, in seconds.
+    /// How long ago the latest successful read of the store was sent, in seconds.
     pub staleness_s: f64,
-    /// How long ago leadership last passed from a live controller to another, in seconds.
+    /// How long ago leadership last passed from one live controller to another, in seconds;
+    /// infinite if it never did.
     pub since_leadership_moved_s: f64,
-    /// The newest revision of the store that it has seen.
+    /// The newest revision of the store that the observer has seen.
     pub revision: u64,
 }
--- a/crates/failure-detector/src/detector/peer.rs
+++ b/crates/failure-detector/src/detector/peer.rs
@@ -1,49 +1,53 @@
-//! What is known of one peer.
+//! The evidence and health of one peer.
 
 use super::health::{PeerHealth, SuspicionReason};
 use crate::accrual::HeartbeatHistory;
 use crate::damping::MembershipTerm;
 use rushwalk_protocol::peers::PeerHeartbeat;
 
-/// A heartbeat, and when it came.
+/// A heartbeat with its time of arrival.
 #[derive(Debug, Clone)]
 pub(super) struct ReceivedHeartbeat {
-    /// In seconds of the observer's clock.
+    /// When it arrived, in seconds of the observer's clock.
     pub(super) at_s: f64,
     pub(super) heartbeat: PeerHeartbeat,
 }
 
-/// Evidence about a peer, and the health that was derived from it. Times are in seconds
-/// of the observer's clock.
+/// Evidence about a peer, and the health derived from it. Times are in seconds of the
+/// observer's clock.
 #[derive(Debug, Clone)]
 pub(super) struct PeerState {
-    /// Its present process, as far as is known; 0 if it never was a member.
+    /// The latest known process of the peer, by its member record or its heartbeats; 0 before
+    /// the first of either.
     pub(super) incarnation: u64,
-    /// Its present term as a member.
+    /// The current term of the peer as a member; `None` if it is not registered in the store.
     pub(super) term: Option<MembershipTerm>,
-    /// Whether its term was seen to end and none has begun since.
+    /// Whether a term of the peer has ended and none has begun since. False for a peer that
+    /// was never a member.
     pub(super) membership_ended: bool,
     pub(super) arrivals: HeartbeatHistory,
     pub(super) last_heartbeat: Option<ReceivedHeartbeat>,
-    /// Heartbeats that its port refused in a row.
+    /// Heartbeats to the peer that its port refused in a row.
     pub(super) consecutive_refusals: u32,
-    /// Whether a heartbeat to it has timed out since the last one from it.
+    /// Whether a heartbeat to the peer has timed out since the last one received from it.
     pub(super) probe_timed_out: bool,
-    /// When an entry of its in the log was last seen.
+    /// When the observer last saw a new log entry written by the peer.
     pub(super) last_write_s: Option<f64>,
-    /// Since when it reports that its event loop lags.
+    /// Since when the peer has reported event-loop lag; `None` once it is on
+    /// time again.
     pub(super) lagging_since_s: Option<f64>,
     pub(super) health: PeerHealth,
     pub(super) reason: Option<SuspicionReason>,
     /// Whether most witnesses have the same suspicion.
     pub(super) majority_agrees: bool,
-    /// When its present health or the reason for it began.
+    /// When the current health or the reason for it began.
     pub(super) health_since_s: f64,
-    /// The term that it had at that time.
+    /// The peer's term at `health_since_s`.
     pub(super) term_at_change: Option<MembershipTerm>,
-    /// The newest revision that the observer had seen at that time.
+    /// The newest store revision that the observer had seen at `health_since_s`.
     pub(super) revision_at_change: u64,
-    /// Since when it responds again after it was declared failed.
+    /// Since when the peer has responded to every heartbeat again after it was declared failed;
+    /// `None` if it does not.
     pub(super) responding_since_s: Option<f64>,
 }
 
@@ -69,31 +73,32 @@
         }
     }
 
-    /// Whether its port refused so many heartbeats in a row, one at least.
+    /// Whether the peer's port refused at least `threshold` heartbeats in a row; a threshold of
+    /// 0 counts as 1.
     pub(super) fn refuses(&self, threshold: u32) -> bool {
         self.consecutive_refusals >= threshold.max(1)
     }
 
-    /// Clears refused and timed-out heartbeats.
+    /// Forgets that heartbeats to the peer were refused or timed out.
     pub(super) fn clear_probe_failures(&mut self) {
         self.consecutive_refusals = 0;
         self.probe_timed_out = false;
     }
 
-    /// Replaces the process, and clears what was measured of the one before.
+    /// Switches to a new process of the peer and drops the measurements of the previous one.
     pub(super) fn begin_incarnation(&mut self, incarnation: u64) {
         self.incarnation = incarnation;
         self.arrivals.reset();
         self.lagging_since_s = None;
     }
 
-    /// How long ago its last heartbeat came, in seconds.
+    /// How long ago the last heartbeat of the current process arrived, in seconds; `None` if
+    /// none has.
     pub(super) fn contact_age_s(&self, now_s: f64) -> Option<f64> {
         self.arrivals.last_s().map(|at| now_s - at)
     }
 
-    /// How long ago an entry of its in the log was last seen, in seconds; infinite if
-    /// none was.
+    /// How long ago a new log entry of the peer was last seen, in seconds; infinite if none was.
     pub(super) fn since_last_write_s(&self, now_s: f64) -> f64 {
         self.last_write_s.map_or(f64::INFINITY, |at| now_s - at)
     }
--- a/crates/failure-detector/src/detector/queries.rs
+++ b/crates/failure-detector/src/detector/queries.rs
@@ -1,4 +1,4 @@
-//! Queries of the peers' health and heartbeats.
+//! Queries about the health and the heartbeats of peers.
 
 use super::FailureDetector;
 use super::health::{PeerHealth, SuspicionReason};
@@ -6,13 +6,14 @@
 use crate::succession::LeaderCandidate;
 use rushwalk_protocol::peers::{PeerHeartbeat, PeerObservation};
 
-/// A peer whose last heartbeat is younger than so many rounds counts as reachable.
+/// A peer counts as reachable if its last heartbeat is younger than this many scheduling
+/// rounds.
 const RECENT_ROUNDS: f64 = 2.0;
 
 /// A peer's latest heartbeat.
 #[derive(Debug, Clone, Copy)]
 pub struct AgedHeartbeat<'a> {
-    /// How long ago it came, in seconds.
+    /// How long ago it arrived, in seconds.
     pub age_s: f64,
     /// The heartbeat.
     pub heartbeat: &'a PeerHeartbeat,
@@ -26,24 +27,24 @@
         }
     }
 
-    /// How old the sender's last read of the store is now, in seconds.
+    /// The age of the sender's last successful read of the store, in seconds.
     pub fn staleness_s(&self) -> f64 {
         self.age_s + self.heartbeat.staleness_ms as f64 / 1000.0
     }
 }
 
 impl FailureDetector {
-    /// A member's health; one that is not known is healthy.
+    /// A member's health. A member that is not a known peer counts as healthy.
     pub fn health(&self, member: &str) -> PeerHealth {
         self.peers
             .get(member)
             .map_or(PeerHealth::Healthy, |peer| peer.health)
     }
 
-    /// Whether a member has failed or is suspected with the agreement of most witnesses; then
-    /// nothing new should be assigned to it. A suspicion of this controller alone does not
-    /// count: behind a packet filter between controllers all suspect all, and each still
-    /// serves.
+    /// Whether a member has failed, or is suspected and most witnesses agree. No new work should
+    /// be assigned to such a member. A suspicion of this controller alone does not count: if
+    /// a packet filter separates the controllers, all suspect each other though each still
+    /// works.
     pub fn is_suspected_by_majority(&self, member: &str) -> bool {
         self.peers
             .get(member)
@@ -54,8 +55,8 @@
             })
     }
 
-    /// Whether a process has lost its shards: it was declared failed, and not only as a leader
-    /// that finishes no rounds.
+    /// Whether a process has lost its shards: it was declared failed for another reason than
+    /// being a stalled leader, which loses only leadership.
     pub fn has_lost_shards(&self, member: &str, incarnation: u64) -> bool {
         self.failed_peer(member, incarnation)
             .is_some_and(|peer| peer.reason != Some(SuspicionReason::Stalled))
@@ -67,20 +68,23 @@
             .is_some_and(|peer| peer.reason == Some(SuspicionReason::Refused))
     }
 
-    /// Whether this process of a member was declared failed: a new one of its name was
-    /// not.
+    /// Whether this process of a member was declared failed. A new process of the same member
+    /// was not.
     pub fn is_failed(&self, member: &str, incarnation: u64) -> bool {
         self.failed_peer(member, incarnation).is_some()
     }
 
+    /// The peer if it has failed and was registered with `incarnation` when it was declared
+    /// failed. `None` for a peer that failed because its member lease expired: at that time it
+    /// was not registered.
     fn failed_peer(&self, member: &str, incarnation: u64) -> Option<&PeerState> {
         let peer = self.peers.get(member)?;
         let same_process = peer.term_at_change?.incarnation == incarnation;
         (peer.health == PeerHealth::Failed && same_process).then_some(peer)
     }
 
-    /// Whether a process whose lease expired not longer than `grace_s` ago still sends
-    /// heartbeats, and so is only partitioned from the store.
+    /// Whether a process whose member lease expired less than `grace_s` ago still sends
+    /// heartbeats: then it still runs and is only partitioned from the store.
     pub fn is_alive_after_expiry(
         &self,
         member: &str,
@@ -95,24 +99,24 @@
                 && now_s - peer.health_since_s < grace_s
                 && peer
                     .contact_age_s(now_s)
-                    .is_some_and(|silent| silent < recent_s)
+                    .is_some_and(|age_s| age_s < recent_s)
                 && peer.consecutive_refusals == 0
         })
     }
 
-    /// Whether a member is too slow for what it has.
+    /// Whether a member is suspected as slow, or suspected or declared failed as a stalled leader.
     pub fn is_slow(&self, member: &str) -> bool {
         let reason = self.peers.get(member).and_then(|peer| peer.reason);
         reason.is_some_and(SuspicionReason::is_slowness)
     }
 
-    /// A member's latest heartbeat.
+    /// The latest heartbeat of a member; `None` if none has arrived.
     pub fn last_heartbeat(&self, member: &str, now_s: f64) -> Option<AgedHeartbeat<'_>> {
         let received = self.peers.get(member)?.last_heartbeat.as_ref()?;
         Some(AgedHeartbeat::new(received, now_s))
     }
 
-    /// The latest heartbeats of all peers, by name.
+    /// The latest heartbeats of all peers that have sent one, in the order of their names.
     pub fn last_heartbeats(&self, now_s: f64) -> impl Iterator<Item = AgedHeartbeat<'_>> {
         let received = self
             .peers
@@ -121,7 +125,8 @@
         received.map(move |received| AgedHeartbeat::new(received, now_s))
     }
 
-    /// This controller's observations of its peers, for its own heartbeats.
+    /// This controller's observations of its peers, which its own heartbeats carry. Leaves out
+    /// peers of which no process is known.
     pub fn observations(&self, now_s: f64) -> Vec<PeerObservation> {
         let known = self.peers.iter().filter(|(_, peer)| peer.incarnation != 0);
         let observation = |(member, peer): (&String, &PeerState)| PeerObservation {
@@ -129,13 +134,14 @@
             incarnation: peer.incarnation,
             contact_age_ms: peer
                 .contact_age_s(now_s)
-                .map(|silent| (silent * 1000.0).max(0.0) as u64),
+                .map(|age_s| (age_s * 1000.0).max(0.0) as u64),
             refused: peer.refuses(self.config.refusal_threshold),
         };
         known.map(observation).collect()
     }
 
-    /// All peers that have sent a heartbeat, as candidates for leadership.
+    /// All peers that have sent a heartbeat, as candidates for leadership, in the order of
+    /// their names.
     pub fn candidates(&self, now_s: f64) -> Vec<LeaderCandidate<'_>> {
         self.peers
             .iter()
--- a/crates/failure-detector/src/detector/status.rs
+++ b/crates/failure-detector/src/detector/status.rs
@@ -1,46 +1,46 @@
-//! The peers as an operator sees them, for the administration API.
+//! The status of the peers in the administration API.
 
 use super::FailureDetector;
 use super::health::{LocalHealth, PeerHealth, SuspicionReason};
 use super::peer::PeerState;
 use serde::Serialize;
 
-/// One peer as an operator sees it. Times are in seconds ago.
+/// The status of one peer. Times are ages in seconds, rounded to tenths.
 #[derive(Debug, Clone, Serialize)]
 pub struct PeerStatus {
-    /// Its name as a member.
+    /// The peer's name as a member.
     pub member: String,
-    /// Its health, as this controller sees it.
+    /// The peer's health, as this controller sees it.
     #[serde(rename = "standing")]
     pub health: PeerHealth,
-    /// Why it is suspected or was declared failed, if it is.
+    /// Why the peer is suspected or was declared failed; `None` if it is healthy.
     #[serde(rename = "why")]
     pub reason: Option<SuspicionReason>,
-    /// When its health or the reason for it last changed.
+    /// How long ago the health or the reason for it last changed.
     pub since_s: f64,
-    /// φ for the time since its last heartbeat.
+    /// φ for the time since the peer's last heartbeat (see [`crate::accrual`]), to a tenth.
     pub phi: f64,
-    /// When its last heartbeat came.
+    /// How long ago the peer's last heartbeat arrived; `None` if none has.
     #[serde(rename = "heard_s")]
     pub contact_age_s: Option<f64>,
-    /// Heartbeats that its port refused in a row.
+    /// Heartbeats to the peer that its port refused in a row.
     #[serde(rename = "refused")]
     pub consecutive_refusals: u32,
-    /// When its latest entry in the log was seen.
+    /// How long ago a new log entry of the peer was last seen; `None` if none was.
     #[serde(rename = "wrote_s")]
     pub last_write_s: Option<f64>,
-    /// The mean event-loop lag that it reports, in milliseconds.
+    /// The mean event-loop lag that the peer last reported, in milliseconds.
     #[serde(rename = "late_ms")]
     pub lag_ms: u64,
-    /// Departures that still lengthen its delay.
+    /// The number of the peer's departures that still count in flap damping.
     pub departures: usize,
-    /// Whether the delay after the latest is over.
+    /// Whether the flap-damping delay after the peer's latest departure is over.
     #[serde(rename = "fit")]
     pub eligible: bool,
 }
 
 impl FailureDetector {
-    /// Each peer with its health, the reason and the evidence, by name.
+    /// The status of each peer, in the order of their names.
     pub fn statuses(&self, now_s: f64, local: LocalHealth) -> Vec<PeerStatus> {
         self.peers
             .iter()
--- a/crates/failure-detector/src/detector/tests.rs
+++ b/crates/failure-detector/src/detector/tests.rs
@@ -47,7 +47,7 @@
     }
 }
 
-/// What another controller reports of `a`.
+/// Another controller's observation of `a`.
 fn observation_of_a(contact_age_ms: u64, refused: bool) -> PeerObservation {
     PeerObservation {
         member: "a".into(),
@@ -57,8 +57,14 @@
     }
 }
 
-/// `a` refuses from 10 s on; `b` responds, and reports what it observes of `a`.
-fn health_of_refusing(heard_ms: u64, refuses: bool, own: LocalHealth, wrote: bool) -> PeerHealth {
+/// The health of `a` after it has refused heartbeats from 10 s on. Meanwhile `b` responds and
+/// reports its observation of `a`.
+fn health_of_refusing(
+    contact_age_ms: u64,
+    refuses: bool,
+    local: LocalHealth,
+    wrote: bool,
+) -> PeerHealth {
     let mut detector = new_detector(&["a", "b"]);
     detector.record_response(9.9, heartbeat("a", 1, &[]));
     for step in 0..10u32 {
@@ -66,33 +72,33 @@
         detector.record_probe_failure("a", ProbeFailure::Refused);
         detector.record_response(
             now,
-            heartbeat("b", 2, &[observation_of_a(heard_ms, refuses)]),
+            heartbeat("b", 2, &[observation_of_a(contact_age_ms, refuses)]),
         );
         if wrote {
             detector.record_write(now, "a");
         }
-        detector.evaluate(now, own);
+        detector.evaluate(now, local);
     }
     detector.health("a")
 }
 
 #[test]
-fn a_refusing_peer_fails_if_a_witness_agrees_and_nothing_shows_that_it_lives() {
+fn a_refusing_peer_fails_if_a_witness_agrees_and_nothing_shows_that_it_still_runs() {
     assert_eq!(
         health_of_refusing(9000, true, LOCAL, false),
         PeerHealth::Failed
     );
-    // The other has seen it since.
+    // The witness has had contact with it since the suspicion began.
     assert_eq!(
         health_of_refusing(10, false, LOCAL, false),
         PeerHealth::Suspected
     );
-    // It writes: it lives behind a packet filter, or has no sockets.
+    // It writes to the log: it runs behind a packet filter, or has no sockets left.
     assert_eq!(
         health_of_refusing(9000, true, LOCAL, true),
         PeerHealth::Suspected
     );
-    // The observer is the one that is cut off, or lags.
+    // The observer itself is cut off from the store, or lags.
     let cut_off = LocalHealth {
         staleness_s: 30.0,
         ..LOCAL
@@ -124,7 +130,7 @@
     assert_eq!(
         detector.health("a"),
         PeerHealth::Healthy,
-        "it was overloaded"
+        "refusals after a time-out do not count"
     );
     for step in 0..100u32 {
         let now = 20.0 + 0.3 * f64::from(step);
@@ -134,11 +140,11 @@
     assert_ne!(
         detector.health("b"),
         PeerHealth::Failed,
-        "no other controller was heard"
+        "there are no witnesses"
     );
     assert!(
         !detector.is_suspected_by_majority("b"),
-        "it is assigned work as before"
+        "a suspicion without witnesses must not stop assignments"
     );
 }
 
@@ -146,7 +152,7 @@
 fn a_response_ends_suspicion_but_not_failure_and_a_delayed_heartbeat_ends_neither() {
     let mut detector = new_detector(&["a", "b"]);
     detector.record_response(9.9, heartbeat("a", 1, &[]));
-    let suspect = |detector: &mut FailureDetector, from: f64, steps: u32| {
+    let refuse_heartbeats = |detector: &mut FailureDetector, from: f64, steps: u32| {
         for step in 0..steps {
             let now = from + 0.3 * f64::from(step);
             detector.record_probe_failure("a", ProbeFailure::Refused);
@@ -154,9 +160,9 @@
             detector.evaluate(now, LOCAL);
         }
     };
-    suspect(&mut detector, 10.0, 2);
+    refuse_heartbeats(&mut detector, 10.0, 2);
     assert_eq!(detector.health("a"), PeerHealth::Suspected);
-    // Delayed by the network since before.
+    // This heartbeat was sent before the suspicion began and delayed by the network.
     detector.record_heartbeat(
         10.5,
         PeerHeartbeat {
@@ -169,20 +175,24 @@
     detector.record_response(10.6, heartbeat("a", 1, &[]));
     detector.evaluate(10.6, LOCAL);
     assert_eq!(detector.health("a"), PeerHealth::Healthy);
-    suspect(&mut detector, 11.0, 6);
+    refuse_heartbeats(&mut detector, 11.0, 6);
     assert!(detector.is_failed("a", 1));
     detector.record_response(13.0, heartbeat("a", 1, &[]));
     detector.evaluate(13.0, LOCAL);
-    assert_eq!(detector.health("a"), PeerHealth::Failed, "too late");
+    assert_eq!(
+        detector.health("a"),
+        PeerHealth::Failed,
+        "a single response"
+    );
     detector.record_response(18.5, heartbeat("a", 1, &[]));
     detector.evaluate(18.5, LOCAL);
     assert_eq!(
         detector.health("a"),
         PeerHealth::Healthy,
-        "it responds for a while"
+        "it has responded for the length of a member lease"
     );
-    // The same name, but not the process that failed.
-    suspect(&mut detector, 30.0, 6);
+    // A new process of the same member has not failed.
+    refuse_heartbeats(&mut detector, 30.0, 6);
     detector.record_membership(
         33.0,
         "a",
@@ -194,10 +204,11 @@
     assert!(!detector.is_failed("a", 7) && detector.is_failed("a", 1));
 }
 
-/// Two restarted controllers took leadership from each other six times in 0.2 s.
+/// Without the limit of once per worker lease and the check for headroom, two restarted
+/// controllers took leadership from each other six times in 0.2 s.
 #[test]
-fn a_stalled_leader_fails_once_in_a_lease_to_a_peer_with_headroom() {
-    let stalls = |own: LocalHealth| {
+fn a_stalled_leader_fails_once_per_lease_and_only_for_an_observer_with_headroom() {
+    let health_of_stalled = |local: LocalHealth| {
         let mut detector = new_detector(&["a", "b"]);
         for step in 0..30u32 {
             let now = 10.0 + 0.3 * f64::from(step);
@@ -207,27 +218,27 @@
                 ..heartbeat("a", 1, &[])
             };
             detector.record_response(now, slow);
-            detector.evaluate(now, own);
+            detector.evaluate(now, local);
         }
         detector.health("a")
     };
-    assert_eq!(stalls(LOCAL), PeerHealth::Failed);
+    assert_eq!(health_of_stalled(LOCAL), PeerHealth::Failed);
     assert_eq!(
-        stalls(LocalHealth {
+        health_of_stalled(LocalHealth {
             since_leadership_moved_s: 9.0,
             ..LOCAL
         }),
         PeerHealth::Suspected
     );
     assert_eq!(
-        stalls(LocalHealth {
+        health_of_stalled(LocalHealth {
             busy_share: 0.6,
             ..LOCAL
         }),
         PeerHealth::Healthy
     );
     assert_eq!(
-        stalls(LocalHealth {
+        health_of_stalled(LocalHealth {
             mean_lag_s: 0.2,
             ..LOCAL
         }),
@@ -235,7 +246,7 @@
     );
 }
 
-/// The names that the administration API has shown since its first version.
+/// The JSON names and values are part of the administration API and must not change.
 #[test]
 fn the_status_of_a_peer_keeps_its_json_form() {
     let mut detector = new_detector(&["a"]);
--- a/crates/failure-detector/src/lib.rs
+++ b/crates/failure-detector/src/lib.rs
@@ -1,9 +1,10 @@
-//! Failure detection between controllers: evidence in, health and succession out.
+//! Failure detection between controllers: derives the health of the peers and the order of
+//! succession for leadership from recorded evidence.
 //!
-//! No input or output and no clock of its own: every call names the observer's
-//! time, in seconds of its steady clock. Health decides only who should do a piece of
-//! work; that only one controller does it is enforced by the consensus-backed store, on
-//! which every commit is conditioned. So a false positive costs time, never safety.
+//! The crate does no I/O and has no clock: the caller passes the current time to every call,
+//! in seconds of its monotonic clock. Health decides only which controller should do a piece
+//! of work. That no two controllers do it is enforced by the consensus-backed store, where
+//! every commit is conditional. So a false positive costs time, never safety.
 
 #![deny(missing_docs)]
 
--- a/crates/failure-detector/src/reachability.rs
+++ b/crates/failure-detector/src/reachability.rs
@@ -1,31 +1,32 @@
-//! Whether a shard's owner still receives the heartbeats of its workers.
+//! Detection of a network partition between a shard's owner and the shard's workers.
 //!
-//! Two things together show a network partition that another controller can help with:
-//! the owner receives no heartbeat of a shard's machines though some are overdue, and workers
-//! of that shard send theirs to another controller. The first alone may be the machines' own
-//! fault; the second alone may come from a single lost response.
+//! Another controller should take over a shard if two things are observed together: the owner
+//! receives no heartbeats from the shard's machines though some are overdue, and workers of
+//! the shard send heartbeats to another controller. The first alone may be caused by the
+//! machines themselves, the second alone by a single lost response.
 
 use rushwalk_protocol::peers::MisroutedCount;
 use std::collections::BTreeMap;
 
-/// A worker's heartbeat comes at most so many intervals after the one before.
+/// A worker's heartbeat arrives at most this many intervals after the previous one.
 const LATEST_INTERVALS: f64 = 1.25;
 
-/// Heartbeat intervals within which a worker finds a new owner of its shard.
+/// A worker finds the new owner of its shard within this many heartbeat intervals.
 const DISCOVERY_INTERVALS: f64 = 0.5;
 
-/// No heartbeat of a shard must have arrived for this fraction of an interval.
+/// Inbound loss is assumed only after this fraction of a heartbeat interval without any
+/// heartbeat from a shard.
 const MIN_SILENCE_INTERVALS: f64 = 1.0 / 8.0;
 
-/// When the next heartbeat of a worker is due at the latest, in seconds of the same clock.
-/// The last one came at `last_heartbeat_s`, if any since this owner has the shard, which is
-/// since `owned_since_s`. A worker that is new to an owner has half an interval more to
-/// find it.
+/// The latest time at which the next heartbeat of a worker is due, in seconds of the same clock
+/// as the arguments. `last_heartbeat_s` is when the last one arrived; it counts only if that
+/// was after `owned_since_s`, when this owner got the shard. A worker without a heartbeat to
+/// this owner has half an interval more, in which it finds the owner.
 ///
-/// The time since the last heartbeat of any worker is no substitute: workers that started
+/// The time since the last heartbeat of any worker can't replace this. Workers that started
 /// together, or moved together after a crash, send their heartbeats together, and none
-/// arrives in between. Judged by that time, owners that received all heartbeats lost a
-/// shard every three seconds.
+/// arrives in between. With that check, owners that received all heartbeats lost a shard
+/// every three seconds.
 pub fn next_heartbeat_due_s(
     last_heartbeat_s: Option<f64>,
     owned_since_s: f64,
@@ -37,20 +38,20 @@
     }
 }
 
-/// What a shard's owner receives from the shard's machines.
+/// Which heartbeats a shard's owner receives from the shard's machines.
 #[derive(Debug, Clone, Copy)]
 pub struct ShardReception {
-    /// Machines that should send heartbeats.
+    /// The number of machines that should send heartbeats.
     pub machines: usize,
-    /// Those of them whose next heartbeat is overdue.
+    /// The number of these machines whose next heartbeat is overdue.
     pub overdue: usize,
-    /// Seconds since the last heartbeat of any of them.
+    /// Seconds since the last heartbeat of any of these machines.
     pub contact_age_s: f64,
 }
 
 impl ShardReception {
-    /// Whether heartbeats of the shard do not reach the owner: enough of its machines are
-    /// overdue, and none at all sent one for an eighth of a heartbeat interval.
+    /// Whether heartbeats of the shard do not reach the owner: enough machines are overdue, and
+    /// no heartbeat at all has arrived for an eighth of a heartbeat interval.
     pub fn has_inbound_loss(&self, heartbeat_s: f64) -> bool {
         self.machines > 0
             && self.overdue >= evidence_threshold(self.machines)
@@ -58,29 +59,31 @@
     }
 }
 
-/// Machines of a shard that must be overdue, or misrouted to another controller: one in
-/// sixteen, at least three, at most one more than half of a small
-/// shard.
+/// How many machines of a shard must be overdue, or send heartbeats to another controller, to
+/// count as evidence of a partition: one in sixteen and at least three, but in a small shard
+/// no more than half of the machines plus one.
 pub fn evidence_threshold(machines: usize) -> usize {
     (machines / 16).max(3).min(machines / 2 + 1)
 }
 
 #[derive(Debug, Clone, Default)]
 struct MisroutedShard {
-    /// The fencing token under which the shard was leased then.
+    /// The fencing token of the shard's lease when the heartbeats arrived.
     token: u64,
-    /// When each machine sent its latest heartbeat here, in seconds.
+    /// When the latest heartbeat of each machine arrived here, in seconds.
     machines: BTreeMap<String, f64>,
 }
 
-/// Workers of others' shards whose heartbeats arrived here, by shard. Each counts once.
+/// Workers of shards owned by other controllers whose heartbeats arrived at this controller,
+/// by shard. Each worker counts once.
 #[derive(Debug, Clone, Default)]
 pub struct MisroutedWorkers {
     shards: BTreeMap<String, MisroutedShard>,
 }
 
 impl MisroutedWorkers {
-    /// A worker sent a heartbeat here while its shard is leased to another under `token`.
+    /// Records a heartbeat of a worker whose shard is leased to another controller under the
+    /// fencing token `token`.
     pub fn record(&mut self, now_s: f64, shard: &str, token: u64, machine: &str) {
         if !self.shards.contains_key(shard) {
             self.shards.insert(shard.to_string(), Default::default());
@@ -89,7 +92,8 @@
             return;
         };
         if misrouted.token != token {
-            // The shard has a new lease: its workers are expected to look for the owner.
+            // The shard has a new lease: heartbeats under the previous one don't count, since
+            // workers are expected to search for the new owner.
             misrouted.token = token;
             misrouted.machines = BTreeMap::new();
         }
@@ -101,8 +105,8 @@
         }
     }
 
-    /// The number of workers of each shard in the last `window_s` seconds; older ones are
-    /// dropped.
+    /// The number of misrouted workers of each shard within the last `window_s` seconds. Drops
+    /// older ones.
     pub fn counts(&mut self, now_s: f64, window_s: f64) -> Vec<MisroutedCount> {
         self.shards.retain(|_, misrouted| {
             misrouted.machines.retain(|_, at| now_s - *at < window_s);
--- a/crates/failure-detector/src/reachability/tests.rs
+++ b/crates/failure-detector/src/reachability/tests.rs
@@ -1,8 +1,13 @@
-//! Tests of the detection of inbound loss.
+//! Tests of the detection of partitions between owners and workers.
 
 use super::*;
 
-fn lost(machines: usize, overdue: usize, contact_age_s: f64, heartbeat_s: f64) -> bool {
+fn has_inbound_loss_of(
+    machines: usize,
+    overdue: usize,
+    contact_age_s: f64,
+    heartbeat_s: f64,
+) -> bool {
     let reception = ShardReception {
         machines,
         overdue,
@@ -12,21 +17,21 @@
 }
 
 #[test]
-fn silence_between_simultaneous_heartbeats_is_no_loss() {
+fn a_gap_between_simultaneous_heartbeats_is_not_inbound_loss() {
     let heartbeat = 8.0;
-    // All send at 0.5 s; by 9 s none is due, though none has sent in between.
+    // All workers send at 0.5 s. At 9 s none is overdue, though nothing arrived since.
     let due: Vec<f64> = (0..20)
         .map(|_| next_heartbeat_due_s(Some(0.5), 0.0, heartbeat))
         .collect();
     let overdue = |now: f64| due.iter().filter(|at| **at < now).count();
-    assert!(!lost(20, overdue(9.0), 8.5, heartbeat));
-    assert!(lost(20, overdue(11.0), 10.5, heartbeat));
-    // Heartbeats of some are lost, those of the others arrive.
-    assert!(!lost(200, 60, 0.1, heartbeat));
-    assert!(lost(200, 12, 1.5, heartbeat));
-    // A new owner is given time.
+    assert!(!has_inbound_loss_of(20, overdue(9.0), 8.5, heartbeat));
+    assert!(has_inbound_loss_of(20, overdue(11.0), 10.5, heartbeat));
+    // Many workers are overdue, but heartbeats of others still arrive.
+    assert!(!has_inbound_loss_of(200, 60, 0.1, heartbeat));
+    assert!(has_inbound_loss_of(200, 12, 1.5, heartbeat));
+    // Workers get more time to find a new owner.
     assert_eq!(next_heartbeat_due_s(Some(3.0), 100.0, heartbeat), 114.0);
-    assert!(!lost(0, 0, 100.0, heartbeat));
+    assert!(!has_inbound_loss_of(0, 0, 100.0, heartbeat));
     assert_eq!([1, 4, 30, 256].map(evidence_threshold), [1, 3, 3, 16]);
 }
 
--- a/crates/failure-detector/src/succession.rs
+++ b/crates/failure-detector/src/succession.rs
@@ -1,39 +1,39 @@
-//! Who leads next, and when a controller should step down by itself.
+//! Which controller should lead next, and when a controller should step down by itself.
 
 use crate::timing::DetectorTiming;
 
-/// A controller that could lead, as an observer sees it.
+/// A candidate for leadership, as an observer sees it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LeaderCandidate<'a> {
-    /// Its name as a member.
+    /// The candidate's name as a member.
     pub name: &'a str,
-    /// Neither suspected nor failed, and a heartbeat of it came lately.
+    /// Whether the candidate is a registered member, neither suspected nor failed, and has sent
+    /// a heartbeat recently.
     pub trusted: bool,
-    /// The delay after its latest departure is over.
+    /// Whether the flap-damping delay after the candidate's latest departure is over.
     pub eligible: bool,
-    /// Its event-loop lag in the mean of a round, in seconds.
+    /// The candidate's mean event-loop lag over about one scheduling round, in seconds.
     pub mean_lag_s: f64,
-    /// The share of time in which its thread is busy, 0 to 1.
+    /// The share of time in which the candidate's thread is busy, 0 to 1.
     pub busy_share: f64,
-    /// How old its last read of the store is, in seconds.
+    /// The age of the candidate's last successful read of the store, in seconds.
     pub staleness_s: f64,
 }
 
 impl LeaderCandidate<'_> {
-    /// Whether it has read the store within two rounds.
+    /// Whether the candidate has read the store within the last two rounds.
     fn reaches_store(&self, timing: DetectorTiming) -> bool {
         self.staleness_s <= 2.0 * timing.round_s
     }
 }
 
-/// What puts one candidate before another; fields in the order of their weight, the
-/// smaller the better. The name comes last, so that controllers with the same observations
-/// agree on the order.
+/// The sort key of a candidate: the smallest is best, and earlier fields take precedence. The
+/// name comes last, so that controllers with the same observations agree on the order.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Rank<'a> {
     ineligible: bool,
     stale: bool,
-    /// Lag in whole heartbeat intervals.
+    /// The mean event-loop lag in whole heartbeat intervals.
     lag_heartbeats: u64,
     name: &'a str,
 }
@@ -48,8 +48,8 @@
     }
 }
 
-/// How many trusted candidates rank before `me`. Nothing relies on all controllers agreeing
-/// on it: the store lets only one of them win.
+/// How many trusted candidates rank before `me`. Controllers need not agree on the ranks: the
+/// store lets only one of them win an election.
 pub fn election_rank(
     me: &LeaderCandidate,
     others: &[LeaderCandidate],
@@ -60,15 +60,17 @@
     others.iter().filter(before).count()
 }
 
-/// Whether this controller has been too slow for its work for long enough to step down.
+/// Tracks whether this controller has been too slow for long enough to step down.
 #[derive(Debug, Clone, Default)]
 pub struct SlownessTracker {
+    /// Since when the mean lag has reached the threshold, in seconds of the observer's clock.
     slow_since_s: Option<f64>,
 }
 
 impl SlownessTracker {
-    /// Records the mean event-loop lag, in seconds. A controller is slow once it has lagged for
-    /// `rounds` rounds; a single long iteration of its loop does not count.
+    /// Records the mean event-loop lag in seconds; returns whether it has stayed at or above the
+    /// threshold for `rounds` scheduling rounds. A single long iteration of the event loop
+    /// does not count.
     pub fn observe(&mut self, now_s: f64, lag_s: f64, timing: DetectorTiming, rounds: f64) -> bool {
         if lag_s < timing.slow_threshold_s() {
             self.slow_since_s = None;
@@ -79,14 +81,14 @@
     }
 }
 
-/// The best candidate to take over from a controller that lags: trusted, eligible, in
-/// reach of the store, and with headroom. If all are equally slow there is none, so
-/// that leadership does not circulate.
+/// The best candidate to take over from a controller that lags: it is trusted and eligible,
+/// reaches the store, and has headroom. `None` if no candidate meets this, for instance if
+/// all controllers are slow, so that leadership does not circulate.
 pub fn preferred_successor<'a>(
     others: &[LeaderCandidate<'a>],
     timing: DetectorTiming,
 ) -> Option<&'a str> {
-    let able = |candidate: &&LeaderCandidate| {
+    let is_suitable = |candidate: &&LeaderCandidate| {
         candidate.trusted
             && candidate.eligible
             && candidate.reaches_store(timing)
@@ -94,7 +96,7 @@
     };
     others
         .iter()
-        .filter(able)
+        .filter(is_suitable)
         .min_by(|a, b| rank(a, timing).cmp(&rank(b, timing)))
         .map(|candidate| candidate.name)
 }
--- a/crates/failure-detector/src/succession/tests.rs
+++ b/crates/failure-detector/src/succession/tests.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn observers_that_see_alike_rank_alike() {
+fn observers_with_the_same_observations_agree_on_the_ranks() {
     let mut all: Vec<_> = ["a", "b", "c", "d"].map(candidate).into();
     all[0].eligible = false;
     all[1].mean_lag_s = 1.0;
@@ -34,7 +34,10 @@
 #[test]
 fn a_slow_leader_steps_down_only_for_a_better_candidate() {
     let mut tracker = SlownessTracker::default();
-    assert!(!tracker.observe(0.0, 0.4, TIMING, 1.0), "one long turn");
+    assert!(
+        !tracker.observe(0.0, 0.4, TIMING, 1.0),
+        "one long iteration"
+    );
     assert!(!tracker.observe(0.5, 0.1, TIMING, 1.0));
     assert!(!tracker.observe(0.6, 0.8, TIMING, 1.0));
     assert!(tracker.observe(1.6, 0.7, TIMING, 1.0));
@@ -42,10 +45,10 @@
     assert_eq!(preferred_successor(&others, TIMING), Some("b"));
     others[0].trusted = false;
     assert_eq!(preferred_successor(&others, TIMING), Some("c"));
-    // After an outage of all controllers all lag: none steps down.
+    // If all lag, as after an outage of all controllers, there is no better candidate.
     others.iter_mut().for_each(|c| c.mean_lag_s = 0.1);
     assert_eq!(preferred_successor(&others, TIMING), None);
-    // Nor under a load that takes half of everybody's time.
+    // The same if all are on time but busy for half of the time.
     others
         .iter_mut()
         .for_each(|c| (c.mean_lag_s, c.busy_share) = (0.0, 0.5));
--- a/crates/failure-detector/src/timing.rs
+++ b/crates/failure-detector/src/timing.rs
@@ -1,27 +1,30 @@
-//! Intervals by which event-loop lag and load are compared.
+//! The intervals from which the thresholds of event-loop lag and load follow.
 
 /// Intervals that follow from the settings, in seconds.
 #[derive(Debug, Clone, Copy)]
 pub struct DetectorTiming {
-    /// Between two heartbeats to the same peer: a smaller difference in lag is none.
+    /// The interval between two heartbeats to the same peer. Candidates for leadership are
+    /// compared by their lag in whole intervals.
     pub heartbeat_s: f64,
-    /// A scheduling round.
+    /// The interval of the leader's scheduling rounds.
     pub round_s: f64,
 }
 
 impl DetectorTiming {
-    /// Mean event-loop lag from which on a controller is too slow, in seconds.
+    /// The mean event-loop lag at which a controller is too slow, in seconds.
     pub fn slow_threshold_s(&self) -> f64 {
         self.round_s / 8.0
     }
 
-    /// Whether a mean lag is well below the threshold: a few milliseconds are usual.
+    /// Whether a mean lag is below a quarter of the slowness threshold. A few milliseconds of
+    /// lag are usual.
     pub fn is_on_time(&self, lag_s: f64) -> bool {
         lag_s < self.slow_threshold_s() / 4.0
     }
 
-    /// Whether a controller can take over another's work: on time, and idle for two
-    /// thirds of the time. A lag that comes from the load would follow the work.
+    /// Whether a controller can take over another's work: it is on time, and idle for more than
+    /// two thirds of the time. Otherwise the work, if it causes the lag, would only make the
+    /// next controller lag.
     pub fn has_headroom(&self, lag_s: f64, busy_share: f64) -> bool {
         self.is_on_time(lag_s) && busy_share < 1.0 / 3.0
     }
