--- a/crates/rushwalk/src/scheduler_inputs.rs
+++ b/crates/rushwalk/src/scheduler_inputs.rs
@@ -1,4 +1,4 @@
-//! Machines and jobs as the scheduler sees them, made from the cluster's state.
+//! Converts machines and jobs of the cluster state into the scheduler's inputs.
 
 use crate::context::Context;
 use rushwalk_protocol::cloud::MachineType;
@@ -15,26 +15,26 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// What a task that is to be stopped takes beyond saving its checkpoint, in seconds.
+/// How long a task takes to stop in addition to saving its checkpoint, in seconds.
 const STOP_MARGIN_S: f64 = 1.0;
 
-/// A task that runs longer than predicted is expected to take this share of its predicted
-/// time more.
+/// The shortest predicted remaining time of a task, as a share of its predicted run time. Applies
+/// also to a task that has run for longer than predicted.
 const OVERRUN_SHARE: f64 = 0.25;
 
-/// A time in seconds since the Unix epoch, as the scheduler counts.
+/// Converts a time to seconds since the Unix epoch, the unit of the scheduler.
 pub(crate) fn seconds(time_ms: UnixMillis) -> f64 {
     time_ms as f64 / 1000.0
 }
 
-/// All zones, in their order.
+/// All zones of the machine types and the settings, in the order of their names.
 pub(crate) fn zones(types: &MachineTypes, site: &SiteSettings) -> Vec<Arc<str>> {
     let offered = types.types.iter().flat_map(|t| &t.zones);
     let all: BTreeSet<&String> = offered.chain(&site.zones).collect();
     all.into_iter().map(|zone| zone.as_str().into()).collect()
 }
 
-/// A round of scheduling without machines, with room for some.
+/// A scheduling round without machines, with memory reserved for `machines` of them.
 pub(crate) fn empty_round<'a>(
     context: &'a Context,
     now_s: f64,
@@ -55,14 +55,14 @@
     }
 }
 
-/// Whether tasks of a job may run on a type of machine, and fit it.
+/// Whether tasks of a job may run on a machine type and fit on it.
 pub(crate) fn is_usable_type(spec: &JobSpec, machine_type: &MachineType) -> bool {
     let names = spec.types.as_ref();
     names.is_none_or(|names| names.contains(&machine_type.name))
         && Resources::of_task(spec).fits_in(&Resources::of_type(machine_type))
 }
 
-/// A job without tasks, with what a task takes on machines of each type.
+/// A pending job with estimates for each machine type, but without any tasks yet.
 pub(crate) fn pending_job(
     state: &ClusterState,
     spec: &Arc<JobSpec>,
@@ -94,21 +94,21 @@
     }
 }
 
-/// The inputs of a machine's timeline.
+/// The inputs from which the timelines of machines are built.
 pub(crate) struct TimelineInputs<'a> {
-    /// The state.
+    /// The cluster state.
     pub state: &'a ClusterState,
     /// The machine types that the cloud offers.
     pub types: &'a MachineTypes,
-    /// All zones, in their order.
+    /// All zones, in the order of [`zones`].
     pub zones: &'a [Arc<str>],
     /// The current time, in seconds since the Unix epoch.
     pub now_s: f64,
 }
 
 impl TimelineInputs<'_> {
-    /// The timeline of a machine that is ready, or that boots until `ready_s`, with its tasks.
-    /// `None` if its type or zone is not known.
+    /// The timeline of a machine with its tasks. The machine is ready, or boots until `ready_s`.
+    /// `None` if its type or zone is unknown.
     pub(crate) fn timeline(
         &self,
         id: &MachineId,
@@ -140,7 +140,8 @@
         Some(timeline)
     }
 
-    /// Reserves what a placed task takes, with the fetch of its image.
+    /// Reserves the resources of a placed task on the timeline and, if the task has not started,
+    /// records the fetch of its image.
     fn add_task(
         &self,
         timeline: &mut MachineTimeline,
@@ -168,7 +169,8 @@
     }
 }
 
-/// When a placed task should be off its machine, in seconds.
+/// When a placed task is predicted to leave its machine, in seconds since the Unix epoch;
+/// infinite if its run time is.
 pub(crate) fn predicted_end(
     state: &ClusterState,
     job: &JobState,
--- a/crates/rushwalk/src/scheduling.rs
+++ b/crates/rushwalk/src/scheduling.rs
@@ -1,5 +1,5 @@
-//! The leader's rounds: which waiting tasks are assigned to which shard, what keeps jobs
-//! going, and how many machines there should be.
+//! The leader's scheduling rounds: they maintain running jobs and machines, assign pending
+//! tasks to shards, and adapt the number of machines.
 
 mod assignment;
 mod expected_demand;
--- a/crates/rushwalk/src/scheduling/assignment.rs
+++ b/crates/rushwalk/src/scheduling/assignment.rs
@@ -1,5 +1,5 @@
-//! Assigned tasks in the plan, and the assignment of tasks that can start now to the shards
-//! of their machines.
+//! Reserves resources for tasks that are already assigned, and assigns planned tasks that can
+//! start now to the shards of their machines.
 
 #[cfg(test)]
 mod tests;
@@ -14,13 +14,14 @@
 use rushwalk_state::{AssignedTask, ClusterState, Mutation, UnixMillis};
 use std::collections::BTreeMap;
 
-/// The most tasks whose mutation, with their machines, fits the smallest value of the store. A
-/// larger gang, which is assigned at once, is assigned without machines, and the owners of its
-/// shards choose them.
+/// The largest gang that is assigned with placement hints, the machines for which its tasks are
+/// planned. A gang is assigned by a single mutation. With the hints of more tasks it would
+/// not fit into the smallest value size of a store, so a larger gang is assigned without
+/// hints, and the owners of its shards choose the machines.
 const MAX_GANG_WITH_HINTS: usize = 8 * MAX_BATCH;
 
-/// Counts assigned tasks into the usage, and plans places for those that the owner of their
-/// shard has not placed yet.
+/// Adds assigned tasks to the usage of their teams, and reserves places for those that the owner
+/// of their shard has not placed yet.
 pub(super) fn reserve_assigned(
     state: &ClusterState,
     types: &MachineTypes,
@@ -38,13 +39,13 @@
     reserve_unplaced(state, types, round);
 }
 
-/// A job whose tasks are being reserved.
+/// A job for whose tasks places are being reserved.
 struct ReservedJob<'a> {
     id: &'a JobId,
     pending: PendingJob,
 }
 
-/// Plans places for assigned tasks that are not placed yet.
+/// Reserves places for assigned tasks that are not placed yet and have a placement hint.
 fn reserve_unplaced(state: &ClusterState, types: &MachineTypes, round: &mut SchedulingRound) {
     let mut last: Option<ReservedJob> = None;
     for id in &state.unplaced {
@@ -66,9 +67,11 @@
     }
 }
 
-/// Plans a task on the machine for which it was assigned.
+/// Reserves a place for a task on the machine in its placement hint, if that machine is in the
+/// round.
 fn reserve_hinted_machine(round: &mut SchedulingRound, pending: &PendingJob, hint: &MachineId) {
-    // Machines come in the order of their names.
+    // The machines of the state come first, in the order of their names. Planned rentals follow
+    // and have no name.
     let index = round
         .machines
         .partition_point(|machine| !machine.name.is_empty() && *machine.name < **hint);
@@ -83,9 +86,10 @@
     }
 }
 
-/// Assigns tasks that can start now to the shards of their machines. Not to a shard that
-/// takes no more work, whose owner has failed or is suspected: the place stays reserved for
-/// this round, since renting another would cost more.
+/// Assigns tasks that can start now to the shards of their machines. Leaves out tasks of shards
+/// that accept no more work, for instance because the owner has failed or is suspected; a
+/// gang with such a task is left out as a whole. Their places stay reserved in this round,
+/// since renting others would cost more.
 pub(super) fn assign(
     state: &ClusterState,
     round: &SchedulingRound,
@@ -99,29 +103,30 @@
         let Some((id, job)) = state.jobs.get_key_value(&*placements[0].job) else {
             continue;
         };
-        let open = placements.iter().filter(|placement| {
+        let assignable = placements.iter().filter(|placement| {
             let shard = &*round.machines[placement.machine].shard;
             *accepting
                 .entry(shard)
                 .or_insert_with(|| accepts_more_work(shard))
         });
-        let open: Vec<&Placement> = open.collect();
+        let assignable: Vec<&Placement> = assignable.collect();
         let is_gang = job.spec.shape == Shape::Gang;
-        if open.is_empty() || (is_gang && open.len() < placements.len()) {
+        if assignable.is_empty() || (is_gang && assignable.len() < placements.len()) {
             continue;
         }
         if is_gang {
             tracing::info!(job = &**id, tasks = placements.len(), "gang assigned");
         }
-        let by_shard = by_shard(round, &open);
+        let by_shard = by_shard(round, &assignable);
         mutations.extend(assignments(id, job.spec.shape, now_ms, by_shard));
     }
     mutations
 }
 
-/// Tasks to assign, by shard.
+/// Tasks to assign, with their planned machines, by shard.
 type TasksByShard = BTreeMap<ShardId, Vec<TaskOnMachine>>;
 
+/// Groups placements by the shards of their machines.
 fn by_shard(round: &SchedulingRound, placements: &[&Placement]) -> TasksByShard {
     let mut by_shard = TasksByShard::new();
     for placement in placements {
@@ -136,9 +141,10 @@
     by_shard
 }
 
-/// The mutations that assign a job's tasks to shards. An array's are split: with 900 places
-/// free at a time its one mutation fitted no value, so none of it started, in any
-/// round, for as long as there was room for so many.
+/// The mutations that assign a job's tasks to shards. Only a gang is assigned by a single
+/// mutation; other jobs are split into batches. Without that, an array with 900 free places
+/// needed a mutation too large for a value of the store, so none of its tasks started in
+/// any round while that many places were free.
 fn assignments(
     id: &JobId,
     shape: Shape,
@@ -167,6 +173,7 @@
     mutations
 }
 
+/// The tasks of a gang by shard, without placement hints if there are too many tasks.
 fn gang_shards(by_shard: TasksByShard) -> Vec<ShardTasks> {
     let tasks: usize = by_shard.values().map(Vec::len).sum();
     let shards = by_shard.into_iter().map(|(shard, mut tasks_of_shard)| {
--- a/crates/rushwalk/src/scheduling/assignment/tests.rs
+++ b/crates/rushwalk/src/scheduling/assignment/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// The smallest value that a store has held so far, less its frame.
+/// The value size of the most restrictive store so far (16 KiB), less the frame of a value.
 const MIN_VALUE_BYTES: usize = (16 << 10) - 64;
 
 fn tasks_by_shard(tasks_per_shard: u32) -> TasksByShard {
@@ -23,17 +23,22 @@
 }
 
 #[test]
-fn whatever_is_assigned_in_a_round_fits_the_values() {
+fn every_assignment_fits_into_a_value_of_the_store() {
     let id: JobId = "j-000001".into();
-    for (shape, n) in [
+    for (shape, tasks_per_shard) in [
         (Shape::Array, 700),
         (Shape::Service, 266),
         (Shape::Gang, 266),
         (Shape::Gang, 400),
     ] {
-        let mutations = assignments(&id, shape, 1_700_000_000_000, tasks_by_shard(n));
+        let mutations = assignments(
+            &id,
+            shape,
+            1_700_000_000_000,
+            tasks_by_shard(tasks_per_shard),
+        );
         let tasks: usize = mutations.iter().map(count_tasks).sum();
-        assert_eq!(tasks, 3 * n as usize, "{shape:?}");
+        assert_eq!(tasks, 3 * tasks_per_shard as usize, "{shape:?}");
         for mutation in &mutations {
             let bytes = serde_json::to_string(mutation).unwrap().len();
             assert!(bytes < MIN_VALUE_BYTES, "{shape:?}: {bytes} bytes");
--- a/crates/rushwalk/src/scheduling/expected_demand.rs
+++ b/crates/rushwalk/src/scheduling/expected_demand.rs
@@ -1,6 +1,6 @@
-//! Expected demand: jobs that may arrive, and services that may have to start anew.
+//! Expected demand: jobs that are likely to arrive, and services that may have to restart.
 
-use super::queue::MIN_TASKS_PER_JOB;
+use super::queue::MIN_TASK_LIMIT;
 use crate::context::Context;
 use crate::scheduler_inputs::{self, is_usable_type, seconds};
 use rushwalk_protocol::ids::JobId;
@@ -13,40 +13,44 @@
 use rushwalk_state::{ClusterState, UnixMillis};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The length of a bucket in which arrivals are counted, in milliseconds.
+/// The length of the time buckets in which arrivals are counted, in milliseconds.
 const BUCKET_MS: UnixMillis = 30_000;
 
-/// The latest buckets from which the rate of arrivals is estimated.
+/// The number of latest buckets from which the arrival rate is estimated.
 const MAX_BUCKETS: u64 = 5;
 
-/// Boot times before the end of a worker lease at which a place is made ready for a service.
-const LEAD_BOOT_TIMES: f64 = 1.5;
+/// How early a place is planned for the restart of a service, before the worker lease of its
+/// machine expires, as a multiple of the longest boot time.
+const RESTART_LEAD_BOOT_TIMES: f64 = 1.5;
 
-/// A job that is expected.
+/// A job whose tasks are expected to become pending.
 pub(super) struct ExpectedJob {
-    /// In how many seconds.
-    pub(super) in_s: f64,
-    /// The job.
+    /// When the job is expected, in seconds from now.
+    pub(super) due_in_s: f64,
+    /// The job with its expected tasks.
     pub(super) job: PendingJob,
 }
 
-/// A class of jobs.
+/// A class of jobs with recent arrivals.
 struct JobClass<'a> {
-    /// Its latest arrivals, in order.
+    /// The latest arrivals, the oldest first.
     arrivals: &'a VecDeque<Arrival>,
-    /// The job that arrived last.
+    /// The specification of the job that arrived last.
     spec: &'a JobSpec,
 }
 
-/// Tasks of a service that may have to start anew.
-struct ReturningTasks {
-    /// In how many seconds.
-    in_s: f64,
+/// Tasks of a service that may have to restart.
+struct ExpectedRestart {
+    /// When the worker lease of the first of the tasks' machines, in the order of their names,
+    /// expires, in seconds from now; 0 if it has expired.
+    due_in_s: f64,
+    /// The indices of the tasks.
     tasks: Vec<u32>,
 }
 
-/// Arrivals to be expected while a machine would boot, and services that may come back:
-/// they are planned as pending jobs are, so that they find a machine that is ready.
+/// Jobs that are expected to arrive within the boot time of a machine, and services that may have
+/// to restart, in the order of their times. They are planned like pending jobs, so that a
+/// machine is ready when they come.
 pub(super) fn expected_jobs(
     context: &Context,
     state: &ClusterState,
@@ -60,18 +64,18 @@
         let deviations = deviations(context, spec);
         let times = expected_arrival_times(rate, lead_s, deviations);
         let latest = arrivals.iter().rev().cycle();
-        for (in_s, arrival) in times.into_iter().zip(latest) {
+        for (due_in_s, arrival) in times.into_iter().zip(latest) {
             let mut job = scheduler_inputs::pending_job(state, &arrival.spec, types);
-            job.tasks = (0..arrival.spec.tasks.min(MIN_TASKS_PER_JOB as u32)).collect();
-            expected.push(ExpectedJob { in_s, job });
+            job.tasks = (0..arrival.spec.tasks.min(MIN_TASK_LIMIT as u32)).collect();
+            expected.push(ExpectedJob { due_in_s, job });
         }
     }
-    expected.extend(returning_services(context, state, types, now_ms));
-    expected.sort_by(|a, b| a.in_s.total_cmp(&b.in_s));
+    expected.extend(expected_restarts(context, state, types, now_ms));
+    expected.sort_by(|a, b| a.due_in_s.total_cmp(&b.due_in_s));
     expected
 }
 
-/// The classes of which jobs have arrived, the most urgent first.
+/// The classes with recent arrivals, the most urgent first.
 fn job_classes(state: &ClusterState) -> Vec<JobClass<'_>> {
     let with_arrivals = state.arrivals.values().filter_map(|arrivals| {
         let spec = &arrivals.back()?.spec;
@@ -82,7 +86,7 @@
     classes
 }
 
-/// Arrivals a second.
+/// The estimated number of arrivals per second.
 fn recent_arrival_rate(arrivals: &VecDeque<Arrival>, now_ms: UnixMillis) -> f64 {
     let first_ms = arrivals.front().map_or(now_ms, |first| first.accepted_ms);
     let known = now_ms.saturating_sub(first_ms) / BUCKET_MS + 1;
@@ -96,7 +100,7 @@
     arrival_rate(&buckets, seconds(BUCKET_MS))
 }
 
-/// The longest boot time of a machine that a job may use, in seconds.
+/// The longest boot time of the machine types that a job can use, in seconds.
 fn slowest_boot_s(spec: &JobSpec, types: &MachineTypes) -> f64 {
     let types = types.types.iter();
     let usable = types.filter(|machine_type| is_usable_type(spec, machine_type));
@@ -105,8 +109,9 @@
         .fold(0.0, f64::max)
 }
 
-/// How many standard deviations above the mean number of arrivals there should be room for. A
-/// job that only has a deadline can wait a little for the end of a burst.
+/// The number of standard deviations above the mean number of arrivals for which capacity is
+/// planned. A job without an objective for its start can wait for the end of a burst, unless
+/// its priority is high.
 fn deviations(context: &Context, spec: &JobSpec) -> f64 {
     let objectives = &context.settings.site.objectives;
     let has_start_objective = objectives.iter().any(|objective| {
@@ -119,47 +124,47 @@
     }
 }
 
-/// Services on unreachable machines that may have to start anew when the worker leases have
-/// expired: a place is made ready for them while a machine would boot.
-fn returning_services(
+/// Services on unreachable machines that may have to restart when the worker leases have expired.
+/// They are planned early enough for a machine to boot.
+fn expected_restarts(
     context: &Context,
     state: &ClusterState,
     types: &MachineTypes,
     now_ms: UnixMillis,
 ) -> Vec<ExpectedJob> {
-    let returning = returning_tasks(context, state, types, now_ms).into_iter();
-    let expected = returning.filter_map(|(id, returning)| {
+    let restarts = expected_restarts_by_job(context, state, types, now_ms).into_iter();
+    let expected = restarts.filter_map(|(id, restart)| {
         let mut job = scheduler_inputs::pending_job(state, &state.jobs.get(id)?.spec, types);
-        job.tasks = returning.tasks;
+        job.tasks = restart.tasks;
         Some(ExpectedJob {
-            in_s: returning.in_s,
+            due_in_s: restart.due_in_s,
             job,
         })
     });
     expected.collect()
 }
 
-/// The services' tasks on machines whose worker lease expires within the time that it takes
-/// to make a place ready, by job.
-fn returning_tasks<'a>(
+/// The service tasks on unreachable machines whose worker lease has expired or expires within
+/// [`RESTART_LEAD_BOOT_TIMES`] of the longest boot time, by job.
+fn expected_restarts_by_job<'a>(
     context: &Context,
     state: &'a ClusterState,
     types: &MachineTypes,
     now_ms: UnixMillis,
-) -> BTreeMap<&'a JobId, ReturningTasks> {
+) -> BTreeMap<&'a JobId, ExpectedRestart> {
     let timing = &context.timing;
-    let expiry = (timing.worker_lease + timing.lease_validity)
+    let lease_expiry_s = (timing.worker_lease + timing.lease_validity)
         .saturating_sub(timing.unreachable_after)
         .as_secs_f64();
     let boot_times = types.types.iter().map(|t| t.boot_s);
-    let lead_s = boot_times.fold(0.0, f64::max) * LEAD_BOOT_TIMES;
-    let mut by_job: BTreeMap<&JobId, ReturningTasks> = BTreeMap::new();
+    let lead_s = boot_times.fold(0.0, f64::max) * RESTART_LEAD_BOOT_TIMES;
+    let mut by_job: BTreeMap<&JobId, ExpectedRestart> = BTreeMap::new();
     for machine in state.machines.values() {
         let Some(unreachable_since_ms) = machine.record.unreachable_since_ms else {
             continue;
         };
-        let in_s = seconds(unreachable_since_ms) + expiry - seconds(now_ms);
-        if in_s > lead_s {
+        let due_in_s = seconds(unreachable_since_ms) + lease_expiry_s - seconds(now_ms);
+        if due_in_s > lead_s {
             continue;
         }
         let services = machine
@@ -167,11 +172,11 @@
             .iter()
             .filter(|id| is_active_service(state, &id.job));
         for id in services {
-            let returning = by_job.entry(&id.job).or_insert_with(|| ReturningTasks {
-                in_s: in_s.max(0.0),
+            let restart = by_job.entry(&id.job).or_insert_with(|| ExpectedRestart {
+                due_in_s: due_in_s.max(0.0),
                 tasks: Vec::new(),
             });
-            returning.tasks.push(id.index);
+            restart.tasks.push(id.index);
         }
     }
     by_job
--- a/crates/rushwalk/src/scheduling/maintenance.rs
+++ b/crates/rushwalk/src/scheduling/maintenance.rs
@@ -1,5 +1,5 @@
-//! Broken gangs, assignments that no owner placed, evictions, and machines that are
-//! quarantined or deleted.
+//! Maintenance of running jobs and existing machines: unassigns tasks that were not placed in
+//! time, stops broken gangs, evicts tasks, and quarantines or deletes machines.
 
 use crate::context::Context;
 use crate::job_attempt::JobAttempt;
@@ -14,44 +14,48 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// So many jobs that fail on a machine, with none completing in between, show that it is
-/// faulty; one or two may have been submitted with a mistake.
+/// A machine is quarantined as faulty once this many jobs have failed on it without a task
+/// completing in between. One or two failing jobs may have been submitted with a mistake.
 const FAULTY_JOBS: usize = 3;
 
-/// Rounds after which an assigned task that its owner has not placed becomes unassigned.
+/// The number of scheduling rounds after which an assigned task is unassigned if the owner of
+/// its shard has not placed it.
 const STUCK_ROUNDS: f64 = 4.0;
 
-/// Rounds after its notice for which a reclaimed machine may still be there.
+/// For this many scheduling rounds after the announced time a reclaimed machine may still exist.
 const RECLAIM_ROUNDS: u64 = 3;
 
-/// Why a machine is deleted at once, with the tasks on it.
+/// Why a machine is deleted without waiting for the tasks on it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum DeletionReason {
-    /// It does not boot.
+    /// The machine takes too long to boot.
     NotBooting,
-    /// The cloud has reclaimed it.
+    /// The cloud has reclaimed the machine.
     Reclaimed,
-    /// It has been unreachable for too long.
+    /// The machine has been unreachable for too long.
     Unreachable,
 }
 
-/// An attempt that is stopped, and why.
+/// An attempt whose tasks are stopped, with the reason.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct StoppedAttempt {
     attempt: JobAttempt,
     reason: StopReason,
 }
 
-/// Tasks and machines that maintenance changes.
+/// The changes that one round of maintenance makes.
 #[derive(Default)]
 struct Changes {
+    /// The indices of the tasks to unassign.
     unassigned: BTreeMap<JobAttempt, Vec<u32>>,
+    /// The indices of the tasks to stop.
     stopped: BTreeMap<StoppedAttempt, Vec<u32>>,
     quarantined: Vec<MachineId>,
     deleted: Vec<MachineId>,
 }
 
-/// The mutations that maintain jobs and machines. `abandoned` are machines that do not boot.
+/// The mutations that maintain jobs and machines. `abandoned` are machines that take too long to
+/// boot.
 pub(super) fn maintenance(
     context: &Context,
     state: &ClusterState,
@@ -72,7 +76,7 @@
             deletion_reason(context, state, &machine.record, now_ms)
         };
         if let Some(reason) = reason {
-            tracing::info!(machine = &**id, ?reason, "machine given up");
+            tracing::info!(machine = &**id, ?reason, "deleting machine");
             changes.deleted.push(id.clone());
             continue;
         }
@@ -87,8 +91,8 @@
     changes.into_mutations()
 }
 
-/// Unassigns tasks that the owner of their shard has not placed in time: it found no room,
-/// or has failed.
+/// Unassigns tasks that the owner of their shard has not placed in time, because it found no
+/// free machine or has failed.
 fn unassign_stuck_tasks(
     context: &Context,
     state: &ClusterState,
@@ -114,7 +118,7 @@
     }
 }
 
-/// Stops all tasks of a gang of which a task has ended or is stopping.
+/// Stops all tasks of each gang in which a task has ended or is stopping.
 fn stop_broken_gangs(state: &ClusterState, changes: &mut Changes) {
     for id in &state.jobs_with_tasks {
         let Some(job) = state.jobs.get(id) else {
@@ -136,6 +140,7 @@
     }
 }
 
+/// Stops the tasks of a draining machine that should leave it.
 fn evict_tasks(
     state: &ClusterState,
     machine: &MachineState,
@@ -146,17 +151,17 @@
         let Some(AssignedTask { job, task }) = state.task(id) else {
             continue;
         };
-        let is_open = task.record.stop_reason.is_none() && job.phase == JobPhase::Active;
-        if is_open && must_leave(state, job, task, machine, now_ms) {
+        let is_active = task.record.stop_reason.is_none() && job.phase == JobPhase::Active;
+        if is_active && should_be_evicted(state, job, task, machine, now_ms) {
             changes.stop(&id.job, task, id.index, StopReason::Evicted);
         }
     }
 }
 
-/// Whether a task should leave a draining machine: a service always, others if the machine
-/// is reclaimed and they save checkpoints, or would not be finished by then. On one that is
-/// only to be returned they run to their end.
-fn must_leave(
+/// Whether to evict a task from a draining machine. A service is always evicted. Another task is
+/// evicted if the machine is to be reclaimed and the task saves checkpoints or would not
+/// finish before that; on a machine that is not reclaimed, it runs to its end.
+fn should_be_evicted(
     state: &ClusterState,
     job: &JobState,
     task: &TaskState,
@@ -172,6 +177,7 @@
     })
 }
 
+/// Why to delete a machine now; `None` to keep it.
 fn deletion_reason(
     context: &Context,
     state: &ClusterState,
@@ -182,22 +188,23 @@
     if let Some(reclaim_ms) = machine.reclaim_ms
         && now_ms > reclaim_ms + timing.round.as_millis() as u64 * RECLAIM_ROUNDS
     {
-        // Its notice has run out: it is gone, or will be in a moment.
+        // The announced time is over: the machine is gone or will be very soon.
         return Some(DeletionReason::Reclaimed);
     }
     let unreachable_since_ms = machine.unreachable_since_ms?;
-    // Spot instances whose heartbeats stop were mostly reclaimed without notice. Other machines
-    // rarely fail, and whole shards rarely do: that is rather a network partition, behind
-    // which the tasks continue. Until their leases expire they are kept, and after that the
-    // machine may still return, empty but with its images.
+    // A spot instance whose heartbeats stop was mostly reclaimed without notice, so it is
+    // deleted without delay. On-demand machines rarely fail, and most machines of a shard
+    // rarely fail together. In both cases a network partition is more likely, behind which
+    // the tasks continue, so the machine is kept until the worker leases have expired. It is
+    // kept for one more lease, since it may return without tasks but with its cached images.
     let is_partitioned = state.shard_counts(&machine.shard).mostly_unreachable();
     let grace = if machine.spot && !is_partitioned {
         Duration::ZERO
     } else {
         2 * timing.worker_lease + timing.lease_validity
     };
-    let is_over = now_ms >= unreachable_since_ms + grace.as_millis() as u64;
-    is_over.then_some(DeletionReason::Unreachable)
+    let is_grace_over = now_ms >= unreachable_since_ms + grace.as_millis() as u64;
+    is_grace_over.then_some(DeletionReason::Unreachable)
 }
 
 impl Changes {
@@ -237,6 +244,7 @@
     }
 }
 
+/// The mutations that set the lifecycle of machines, in batches.
 fn set_lifecycle(
     machines: &[MachineId],
     lifecycle: MachineLifecycle,
--- a/crates/rushwalk/src/scheduling/queue.rs
+++ b/crates/rushwalk/src/scheduling/queue.rs
@@ -1,5 +1,5 @@
-//! The queue: jobs with tasks that are neither assigned nor completed, in the order in which
-//! they are planned.
+//! The queue of pending jobs, those with tasks that are neither assigned nor completed, in the
+//! order in which they are planned.
 
 use crate::context::Context;
 use crate::scheduler_inputs::{self, seconds};
@@ -16,23 +16,26 @@
 use rushwalk_state::{ClusterState, JobState, UnixMillis};
 use std::sync::Arc;
 
-/// Tasks of one job planned in a round, at least; as many as there are machines on a larger
-/// fleet. The rest is planned in the next rounds.
-pub(super) const MIN_TASKS_PER_JOB: usize = 160;
+/// The limit on the tasks of one job planned in a round, if there are no more machines than
+/// this; otherwise the limit is the number of machines. The remaining tasks are planned in
+/// later rounds. Does not apply to gangs, which are planned as a whole.
+pub(super) const MIN_TASK_LIMIT: usize = 160;
 
-/// A job that failed on more machines than this may as well be tried on any.
+/// A job avoids the machines on which it failed, unless there are more than this: then the
+/// machines are unlikely to be the cause.
 const MAX_AVOIDED_MACHINES: usize = 3;
 
-/// A job with the keys of its place in the order.
+/// A job with the keys by which the queue is sorted.
 struct QueuedJob {
     priority: Priority,
-    /// The time by which it should start, in seconds.
+    /// The time by which the job should start, in seconds since the Unix epoch.
     start_by_s: f64,
     accepted_ms: UnixMillis,
     id: JobId,
 }
 
-/// Jobs with tasks that are neither assigned nor completed, in order.
+/// The pending jobs with the tasks to plan in this round: by priority, then by the time by which
+/// they should start, then by arrival.
 pub(super) fn pending_jobs(
     context: &Context,
     state: &mut ClusterState,
@@ -52,7 +55,7 @@
     pending
 }
 
-/// The jobs with tasks that are neither assigned nor completed, in order of arrival.
+/// The jobs with tasks that are neither assigned nor completed, in the order of arrival.
 fn queued_jobs(
     context: &Context,
     state: &ClusterState,
@@ -60,7 +63,7 @@
     now_ms: UnixMillis,
 ) -> Vec<QueuedJob> {
     let site = &context.settings.site;
-    // Of all unfinished jobs in order of arrival, per team.
+    // The resources of the unfinished jobs that arrived earlier, per team.
     let mut unfinished = QuotaUsage::default();
     let mut by_arrival: Vec<&QueueKey> = state.queue.iter().collect();
     by_arrival.sort_unstable_by_key(|key| (key.accepted_ms, &key.job));
@@ -90,8 +93,8 @@
     queued
 }
 
-/// Whether a job fits into its team's guarantee together with the unfinished jobs before it;
-/// it is added to these.
+/// Whether a job fits into its team's guaranteed resources together with the `unfinished` jobs
+/// that arrived earlier. Adds the job to them.
 fn is_within_guarantee(teams: &[Team], unfinished: &mut QuotaUsage, job: &JobState) -> bool {
     let spec = &job.spec;
     let resources = resources_of_job(job);
@@ -101,7 +104,8 @@
     is_within
 }
 
-/// What all tasks of a job use together, as far as quotas count it.
+/// The resources of all tasks of a job together. Memory is left out, since quotas do not count
+/// it.
 fn resources_of_job(job: &JobState) -> Resources {
     let task = Resources::of_task(&job.spec);
     let tasks = f64::from(job.spec.tasks);
@@ -112,8 +116,8 @@
     }
 }
 
-/// How long a task takes, as if on a machine of the first type without the job's image: its
-/// machine is not known yet.
+/// How long a task takes on a machine of the first type without the job's image. The machine on
+/// which the task will run is not known yet.
 fn task_durations(
     state: &ClusterState,
     job: &JobState,
@@ -135,7 +139,8 @@
     }
 }
 
-/// The tasks of a job to be planned in this round, if any.
+/// A job with its tasks to plan in this round. `None` if it has none, is backing off after
+/// failures, or is a gang with tasks that are still assigned.
 fn pending_job(
     context: &Context,
     state: &mut ClusterState,
@@ -156,28 +161,33 @@
     pending.tasks_per_zone = tasks_per_zone(state, job);
     pending.avoided_machines = avoided_machines(job);
     pending.single_probe = retry == RetryDecision::SingleProbe;
-    let is_retried = pending.single_probe && job.tasks.is_empty();
+    let is_new_probe = pending.single_probe && job.tasks.is_empty();
     let machines = job.failures.machines.len();
     pending.tasks = state.unassigned_tasks(id, max_tasks);
     if pending.tasks.is_empty() {
         return None;
     }
-    if is_retried {
-        tracing::debug!(job = &**id, machines, "failing job probed once more");
+    if is_new_probe {
+        tracing::debug!(
+            job = &**id,
+            machines,
+            "probing failing job with a single task or gang"
+        );
     }
     Some(pending)
 }
 
-/// How many tasks of a job are planned in a round at most.
+/// The largest number of tasks of a job to plan in a round.
 fn max_planned_tasks(state: &ClusterState, job: &JobState, retry: RetryDecision) -> usize {
     match (job.spec.shape, retry) {
         (Shape::Gang, _) => job.spec.tasks as usize,
         (_, RetryDecision::SingleProbe) => 1,
-        _ => MIN_TASKS_PER_JOB.max(state.machines.len()),
+        _ => MIN_TASK_LIMIT.max(state.machines.len()),
     }
 }
 
-/// How many active tasks a job has in each zone.
+/// The number of assigned tasks of a job in each zone. A task that is not placed yet counts in
+/// the zone of its shard.
 fn tasks_per_zone(state: &ClusterState, job: &JobState) -> TasksPerZone {
     let mut per_zone = TasksPerZone::default();
     for task in job.tasks.values() {
@@ -189,7 +199,8 @@
     per_zone
 }
 
-/// The machines on which a job has failed, unless they are too many to be the cause.
+/// The machines on which a job has failed; empty if there are more than
+/// [`MAX_AVOIDED_MACHINES`].
 fn avoided_machines(job: &JobState) -> Vec<Arc<str>> {
     let failed = &job.failures.machines;
     if failed.len() > MAX_AVOIDED_MACHINES {
@@ -198,6 +209,7 @@
     failed.iter().map(|id| id.clone().into()).collect()
 }
 
+/// How to plan a job after its failures.
 fn decide_retry(context: &Context, job: &JobState, now_ms: UnixMillis) -> RetryDecision {
     let mut tasks = job.tasks.values();
     let is_running = tasks.any(|task| task.record.started_ms.is_some());
--- a/crates/rushwalk/src/scheduling/scheduler.rs
+++ b/crates/rushwalk/src/scheduling/scheduler.rs
@@ -1,4 +1,4 @@
-//! The scheduling loop of the leader, one round after the other.
+//! The scheduling loop of the leader.
 
 use super::assignment::{assign, reserve_assigned};
 use super::expected_demand::{ExpectedJob, expected_jobs};
@@ -33,42 +33,42 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// One in so many of the expected tasks may be late, beyond those that are late on all
-/// machines.
-const LATE_TOLERANCE: usize = 50;
+/// A trial with fewer machines succeeds if no more expected tasks have to wait than with all
+/// machines, plus one in this many.
+const WAITING_TOLERANCE_DIVISOR: usize = 50;
 
-/// Why jobs are pending, by job, as of the latest round. The administration API shows it.
+/// Why jobs are pending, as of the latest scheduling round, for the administration API.
 #[derive(Default)]
 pub struct PendingReasons {
     by_job: Mutex<BTreeMap<String, PendingReason>>,
 }
 
 impl PendingReasons {
-    /// The reasons by job.
+    /// The reasons by job. The leader replaces them in each round.
     pub fn by_job(&self) -> MutexGuard<'_, BTreeMap<String, PendingReason>> {
         self.by_job.lock()
     }
 }
 
-/// The parts that scheduling uses.
+/// The components that scheduling uses.
 pub(crate) struct SchedulerParts {
-    /// This process's context.
+    /// The settings and intervals of this process.
     pub context: Arc<Context>,
-    /// Shows jobs and machines.
+    /// The replica of the cluster state, with jobs and machines.
     pub replica: Arc<Replica>,
-    /// Only the leader schedules.
+    /// Whether this process leads; commits the mutations of a round.
     pub leadership: Arc<Leadership>,
-    /// Shows which owners may get more work.
+    /// The health of the other controllers, which decides whose shards accept more work.
     pub peers: Arc<PeerMonitor>,
-    /// Limits how often the cloud is called.
+    /// The cloud client, whose rate limit bounds the rental calls of a round.
     pub cloud: Arc<CloudClient>,
-    /// Shows what the cloud has to rent.
+    /// Rentals in progress, and an estimate of what the cloud can rent out.
     pub tracker: Arc<RentalTracker>,
-    /// Where the reasons of pending jobs are shown.
+    /// Receives the reasons of the pending jobs in each round.
     pub pending_reasons: Arc<PendingReasons>,
-    /// Yields to the other tasks of this thread.
+    /// The event-loop lag of this thread; yields to other tasks between time slices.
     pub runtime_lag: Arc<RuntimeLag>,
-    /// Measures the work that is done.
+    /// Measures the time that each kind of work takes.
     pub work_profile: Arc<WorkProfile>,
 }
 
@@ -80,13 +80,14 @@
     scale_in: ScaleIn,
     stragglers: Stragglers,
     planner: TimeSlicedPlanner,
-    /// When the number of machines was last planned by the expected demand.
-    expected_planned: Option<Instant>,
-    /// Expected tasks that would have to wait on the whole fleet.
-    expected_late: usize,
+    /// When the expected jobs were last planned; `None` before the first time.
+    expected_planned_at: Option<Instant>,
+    /// The number of expected tasks that would have to wait when they were last planned on
+    /// all machines.
+    waiting_on_full_fleet: usize,
 }
 
-/// The inputs of a round.
+/// The inputs of a scheduling round.
 struct RoundStart<'a> {
     round: SchedulingRound<'a>,
     pending: Vec<PendingJob>,
@@ -108,12 +109,12 @@
             scale_out: ScaleOut::default(),
             scale_in: ScaleIn::default(),
             stragglers: Stragglers::default(),
-            expected_planned: None,
-            expected_late: 0,
+            expected_planned_at: None,
+            waiting_on_full_fleet: 0,
         }
     }
 
-    /// Makes rounds until the process ends.
+    /// Makes scheduling rounds, while this process leads, until the process ends.
     pub(crate) async fn run(mut self) {
         let context = self.parts.context.clone();
         let leadership = self.parts.leadership.clone();
@@ -123,15 +124,18 @@
                 self.make_round(&context, version).await;
                 leadership.record_round();
             }
-            // A round each second or so; one that took long leaves as much time to the
-            // others on this thread.
+            // A round starts one round interval after the previous one. After a long round the
+            // pause is as long as the round took, so that other tasks of this thread get at
+            // least half of the time.
             let took = started.elapsed();
             let pause = context.timing.round.saturating_sub(took).max(took);
-            // Who has just come to lead begins at once.
+            // A new leader starts a round without waiting for the end of the pause.
             leadership.wait_acquired(pause).await;
         }
     }
 
+    /// Commits the maintenance of jobs and machines, then plans and commits the assignments. Ends
+    /// early if a commit fails or this process no longer leads.
     async fn make_round(&mut self, context: &Context, version: LeaderVersion) {
         let leadership = self.parts.leadership.clone();
         let mutations = self.maintain(context);
@@ -146,6 +150,7 @@
         leadership.append(version, &mutations, priority).await;
     }
 
+    /// The mutations that maintain running jobs and existing machines.
     fn maintain(&mut self, context: &Context) -> Vec<Mutation> {
         let work_profile = self.parts.work_profile.clone();
         let _timer = work_profile.start(WorkKind::Schedule);
@@ -159,6 +164,7 @@
         maintenance(context, &state, &abandoned, now_ms)
     }
 
+    /// Machines that boot for so long that they should be replaced.
     fn abandon_late_machines(
         &mut self,
         context: &Context,
@@ -171,8 +177,7 @@
         let heartbeat_s = timing.heartbeat.as_secs_f64();
         self.boot_supervisor
             .update(state, types, &zones, now_ms, heartbeat_s);
-        // A controller that has just come to lead does not know what the shards' owners are
-        // about to commit.
+        // A new leader does not yet know what the shards' owners are about to commit.
         let leading_for = self.parts.leadership.leading_for();
         if leading_for.is_none_or(|leading| leading <= timing.unreachable_after) {
             return BTreeSet::new();
@@ -182,7 +187,8 @@
             .abandon_late(state, types, &zones, jobs_wait)
     }
 
-    /// Plans the pending jobs, then how many machines there should be.
+    /// Plans the pending jobs, then adapts the number of machines. Returns the mutations that are
+    /// not committed yet.
     async fn schedule(&mut self, context: &Context, version: LeaderVersion) -> Vec<Mutation> {
         let now_ms = now_ms();
         let Some(start) = self.begin_round(context, now_ms) else {
@@ -205,11 +211,13 @@
             mutations.extend(self.rent(context, &round, &types, basis, PlannedDemand::Pending));
             return mutations;
         }
-        // Would fewer machines do, for what waits and what is expected? Tried before what
-        // was placed shows in the state: a machine with a new task is not emptied.
+        // Tests whether fewer machines are enough for the pending and the expected jobs. This
+        // must come before the commit of the assignments: until then a machine with a task
+        // planned in this round has more tasks in the round than in the state, and is
+        // therefore not emptied.
         let emptied = self.try_to_empty_machines(&mut round, &types, now_ms);
-        // What was placed need not wait for the rest, which took seconds on the largest
-        // fleets.
+        // The assignments are committed before the expected jobs are planned, since planning
+        // those took seconds on the largest fleets.
         let appended = self
             .parts
             .leadership
@@ -223,6 +231,7 @@
         self.scale(context, &round, &types, basis, emptied)
     }
 
+    /// Builds the round from the state. `None` until the machine types are known.
     fn begin_round<'a>(
         &mut self,
         context: &'a Context,
@@ -252,6 +261,7 @@
         })
     }
 
+    /// Assigns the planned tasks and stops stragglers; stores the reasons of pending jobs.
     fn assign_and_restart(
         &mut self,
         round: &mut SchedulingRound,
@@ -270,17 +280,20 @@
         mutations
     }
 
-    /// Whether to plan the expected jobs: in every third round only, since they are many, and
-    /// most plans are the same as in the round before.
+    /// Whether to plan the expected jobs in this round. They are planned in every third round
+    /// only, since there are many of them and most plans do not change from round to round.
     fn is_expected_demand_due(&mut self, context: &Context) -> bool {
         let pause = context.timing.round * 5 / 2;
-        let is_due = self.expected_planned.is_none_or(|at| at.elapsed() > pause);
+        let is_due = self
+            .expected_planned_at
+            .is_none_or(|at| at.elapsed() > pause);
         if is_due {
-            self.expected_planned = Some(Instant::now());
+            self.expected_planned_at = Some(Instant::now());
         }
         is_due
     }
 
+    /// The mutations that request rentals for the machines that the round lacks.
     fn rent(
         &mut self,
         context: &Context,
@@ -297,7 +310,8 @@
             .rent(context, &self.parts.tracker, calls_per_s, took, basis)
     }
 
-    /// Cordons machines in the round that may not be needed; none if the round had to rent.
+    /// Cordons machines in the round that may not be needed, and returns them. Returns no
+    /// machines if the round has planned rentals.
     fn try_to_empty_machines(
         &mut self,
         round: &mut SchedulingRound,
@@ -312,8 +326,8 @@
         self.scale_in.empty_machines(&state, round, types, now_ms)
     }
 
-    /// Plans the expected jobs, without the emptied machines if possible; returns the machines
-    /// to remove.
+    /// Plans the expected jobs without the emptied machines or, if that leaves too many tasks
+    /// waiting, with all machines. Returns the machines to remove.
     async fn plan_expected(
         &mut self,
         context: &Context,
@@ -324,28 +338,30 @@
     ) -> Vec<MachineId> {
         let expected = self.expected_jobs(context, types, now_ms);
         let before = (!emptied.is_empty()).then(|| round.machines.clone());
-        let late = self.planner.plan_expected(round, &expected).await;
+        let waiting = self.planner.plan_expected(round, &expected).await;
         let Some(before) = before else {
-            self.expected_late = late;
+            self.waiting_on_full_fleet = waiting;
             return emptied;
         };
-        // Not more may be late than were with all machines, but for a few.
+        // The trial succeeds if nothing had to be rented, and at most a few more tasks have to
+        // wait than with all machines.
         let tasks: usize = expected.iter().map(|e| e.job.tasks.len()).sum();
-        let max_late = self.expected_late + tasks / LATE_TOLERANCE;
-        let is_enough = round.machines.len() == round.first_rental && late <= max_late;
+        let max_waiting = self.waiting_on_full_fleet + tasks / WAITING_TOLERANCE_DIVISOR;
+        let is_enough = round.machines.len() == round.first_rental && waiting <= max_waiting;
         self.scale_in.record_trial(is_enough);
         if is_enough {
             return emptied;
         }
-        // Not without them: planned once more, with all.
+        // The machines are needed: the expected jobs are planned again with all machines.
         round.restore(before);
         for index in 0..round.machines.len() {
             round.machines.set_cordoned(index, false);
         }
-        self.expected_late = self.planner.plan_expected(round, &expected).await;
+        self.waiting_on_full_fleet = self.planner.plan_expected(round, &expected).await;
         Vec::new()
     }
 
+    /// The expected jobs, with the price bias applied.
     fn expected_jobs(
         &self,
         context: &Context,
@@ -385,7 +401,7 @@
             self.scale_in.remove_idle(&state, round)
         };
         if !emptied.is_empty() {
-            tracing::info!(machines = ?emptied, "scale in: machines emptied");
+            tracing::info!(machines = ?emptied, "scale in: draining machines that are not needed");
             mutations.push(Mutation::SetLifecycle(SetLifecycle {
                 lifecycle: MachineLifecycle::Draining,
                 machines: emptied,
--- a/crates/rushwalk/src/scheduling/stragglers.rs
+++ b/crates/rushwalk/src/scheduling/stragglers.rs
@@ -1,4 +1,5 @@
-//! Stragglers: tasks that run much longer than predicted.
+//! Stops stragglers, tasks that run much longer than predicted, so that they restart on another
+//! machine.
 
 use crate::scheduler_inputs::{self, seconds};
 use rushwalk_protocol::ids::{JobId, MachineId, TaskId};
@@ -9,24 +10,27 @@
 use rushwalk_state::{ClusterState, JobState, Mutation, TaskState, UnixMillis};
 use std::collections::BTreeSet;
 
-/// A task that runs this many times its predicted time is a straggler (§4.4 of the paper).
+/// A task that has run for this many times its predicted run time is a straggler (§4.4 of the
+/// paper).
 const STRAGGLER_RATIO: f64 = 2.0;
 
-/// Tasks that have run for less than this, in seconds, are never stragglers, which saves most
-/// predictions of run times.
+/// Tasks that have run for less than this, in seconds, are never stragglers. This avoids
+/// predicting the run times of most tasks.
 const MIN_ELAPSED_S: f64 = 10.0;
 
-/// Stops stragglers, each at most once.
+/// Stops stragglers. One process stops each task at most once.
 #[derive(Default)]
 pub(super) struct Stragglers {
-    restarted: BTreeSet<TaskId>,
+    /// The tasks that this process has stopped, as long as their job is active.
+    stopped: BTreeSet<TaskId>,
 }
 
 impl Stragglers {
-    /// Stops batch tasks that are late and would be finished sooner elsewhere. Not while
-    /// their job's run time is unknown: a wrong guess is not a slow machine. Each restart
-    /// takes a place of its own in the plan, so that the tasks of one machine, whose times
-    /// run out together, don't pile up.
+    /// Stops array tasks that run much longer than predicted and can start on another machine
+    /// now. While no run time of a job on a machine type is known, its tasks there are
+    /// stopped only on machines known to be slow, since the prediction may be wrong. Each
+    /// restart reserves a place in the round, so that the tasks of a slow machine, which
+    /// become stragglers together, are not all planned for the same place.
     pub(super) fn stop(
         &mut self,
         state: &ClusterState,
@@ -35,7 +39,7 @@
         now_ms: UnixMillis,
     ) -> Vec<Mutation> {
         let mut mutations = Vec::new();
-        self.restarted.retain(|task| {
+        self.stopped.retain(|task| {
             let job = state.jobs.get(&task.job);
             job.is_some_and(|job| job.phase == JobPhase::Active)
         });
@@ -50,13 +54,13 @@
                 let Some(straggler) = find_straggler(state, id, job, *index, task, now_ms) else {
                     continue;
                 };
-                if self.restarted.contains(&straggler.task)
+                if self.stopped.contains(&straggler.task)
                     || !reserve_place_elsewhere(state, round, types, job, &straggler)
                 {
                     continue;
                 }
                 mutations.push(straggler.stop(task));
-                self.restarted.insert(straggler.task);
+                self.stopped.insert(straggler.task);
                 if mutations.len() >= MAX_BATCH {
                     return mutations;
                 }
@@ -66,7 +70,7 @@
     }
 }
 
-/// A task that runs much longer than predicted.
+/// A task that runs much longer than predicted, with its run times in seconds.
 struct Straggler<'a> {
     task: TaskId,
     machine: &'a MachineId,
@@ -75,6 +79,7 @@
 }
 
 impl Straggler<'_> {
+    /// Logs the straggler and returns the mutation that stops it.
     fn stop(&self, task: &TaskState) -> Mutation {
         tracing::info!(
             task = %self.task,
@@ -92,6 +97,7 @@
     }
 }
 
+/// The task as a straggler; `None` if it is not one.
 fn find_straggler<'a>(
     state: &ClusterState,
     id: &JobId,
@@ -112,9 +118,9 @@
     if elapsed_s < STRAGGLER_RATIO * predicted_s {
         return None;
     }
-    let is_known = state.durations.has_run_time(id, machine_type)
+    let is_evident = state.durations.has_run_time(id, machine_type)
         || machine_state.slowdown() > STRAGGLER_RATIO;
-    is_known.then(|| Straggler {
+    is_evident.then(|| Straggler {
         task: TaskId {
             job: id.clone(),
             index,
@@ -125,7 +131,8 @@
     })
 }
 
-/// Plans the restart of a straggler on another machine; false if there is no place.
+/// Reserves a place for the restart of a straggler on another machine; returns false if the task
+/// can't start on any other machine now.
 fn reserve_place_elsewhere(
     state: &ClusterState,
     round: &mut SchedulingRound,
--- a/crates/rushwalk/src/scheduling/time_slices.rs
+++ b/crates/rushwalk/src/scheduling/time_slices.rs
@@ -1,5 +1,5 @@
-//! Planning in time slices: a plan of many jobs takes longer than the other tasks of this
-//! thread should wait.
+//! Planning in time slices, because planning many jobs takes longer than the other tasks of
+//! this thread should wait.
 
 use super::expected_demand::ExpectedJob;
 use crate::observability::runtime_lag::RuntimeLag;
@@ -9,27 +9,28 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The most jobs planned in one slice. On a busy thread the next slice comes late, so a round
-/// must not take many.
+/// The most jobs planned in one slice. On a busy thread the next slice starts late, so a round
+/// must not need many slices.
 const MAX_JOBS_PER_SLICE: usize = 16;
 
-/// A slice may take a round divided by this.
+/// The longest time of a slice is the round interval divided by this.
 const SLICES_PER_ROUND: u32 = 48;
 
 /// Plans jobs in time slices, between which the other tasks of this thread run.
 pub(super) struct TimeSlicedPlanner {
-    /// The interval of rounds.
+    /// The interval of scheduling rounds.
     pub(super) round: Duration,
-    /// Yields to the other tasks of this thread.
+    /// The event-loop lag of this thread; yields to other tasks between slices.
     pub(super) runtime_lag: Arc<RuntimeLag>,
-    /// Measures the work that is done.
+    /// Measures the time that planning takes.
     pub(super) work_profile: Arc<WorkProfile>,
 }
 
 impl TimeSlicedPlanner {
-    /// Plans the pending jobs in their order, in slices. The plan ends when its time is over,
-    /// not after so many tasks: 3,000 were all that waited on one fleet, and a third of it
-    /// on one four times as large, so that nothing was rented for the others.
+    /// Plans the pending jobs in their order, in slices, until one round interval is over and
+    /// at least one decision was made. The limit is a time rather than a number of tasks:
+    /// 3,000 tasks were all that waited on one fleet, but only a third of those on a fleet
+    /// four times as large, where nothing was rented for the remaining ones.
     pub(super) async fn plan_pending(
         &self,
         round: &mut SchedulingRound<'_>,
@@ -43,9 +44,9 @@
             let slice_began = Instant::now();
             let mut done = 0;
             while done < rest.len() && self.slice_continues(done, slice_began) {
-                let some = round.schedule(&rest[done..=done]);
-                decisions.placements.extend(some.placements);
-                decisions.pending_reasons.extend(some.pending_reasons);
+                let decided = round.schedule(&rest[done..=done]);
+                decisions.placements.extend(decided.placements);
+                decisions.pending_reasons.extend(decided.pending_reasons);
                 done += 1;
             }
             timer.add_items(round.take_evaluations());
@@ -56,23 +57,24 @@
         decisions
     }
 
-    /// Plans the expected jobs, each for its time; returns how many tasks would wait.
+    /// Plans all expected jobs in slices, each for the time at which it is expected. Returns the
+    /// number of tasks that could not start at that time.
     pub(super) async fn plan_expected(
         &self,
         round: &mut SchedulingRound<'_>,
         expected: &[ExpectedJob],
     ) -> usize {
-        let mut late = 0;
+        let mut waiting = 0;
         let mut rest = expected;
         while !rest.is_empty() {
             let mut timer = self.work_profile.start(WorkKind::ScaleOut);
             let slice_began = Instant::now();
             let mut done = 0;
             while done < rest.len() && self.slice_continues(done, slice_began) {
-                let ExpectedJob { in_s, job } = &rest[done];
-                round.planned_time_s = round.current_time_s + in_s;
+                let ExpectedJob { due_in_s, job } = &rest[done];
+                round.planned_time_s = round.current_time_s + due_in_s;
                 let decisions = round.schedule(std::slice::from_ref(job));
-                late += job.tasks.len() - decisions.placements.len();
+                waiting += job.tasks.len() - decisions.placements.len();
                 done += 1;
             }
             timer.add_items(round.take_evaluations());
@@ -81,11 +83,12 @@
             self.runtime_lag.yield_after(slice_began.elapsed()).await;
         }
         round.planned_time_s = round.current_time_s;
-        late
+        waiting
     }
 
-    /// Whether a slice of planning continues. On a slow controller even a few jobs take long, and
-    /// answers to workers and users must not wait for them.
+    /// Whether a slice in which `done` jobs were planned continues. The time limit is for slow
+    /// controllers, where even a few jobs take long: responses to workers and users must not
+    /// wait for them.
     fn slice_continues(&self, done: usize, began: Instant) -> bool {
         let max_slice = self.round / SLICES_PER_ROUND;
         done == 0 || (done < MAX_JOBS_PER_SLICE && began.elapsed() < max_slice)
--- a/crates/rushwalk/src/scheduling/usage.rs
+++ b/crates/rushwalk/src/scheduling/usage.rs
@@ -1,28 +1,28 @@
-//! Logs how the fleet is used.
+//! Logs the usage of the machines.
 
 use rushwalk_scheduler::round::SchedulingRound;
 use rushwalk_state::records::MachineTypes;
 use std::collections::BTreeMap;
 
-/// A kind of machine; the order is that of the log lines.
+/// A kind of machine. The log lines are in this order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct MachineKind {
-    /// The index of its type.
+    /// The index of the machine type.
     group: usize,
     spot: bool,
 }
 
-/// How machines of one kind are used.
+/// The usage of all machines of one kind.
 #[derive(Default)]
 struct Usage {
     machines: usize,
     ready: usize,
     idle: usize,
-    /// The sum of their used shares.
+    /// The sum of the machines' used shares, each of the resource that is used most, 0 to 1.
     used: f64,
 }
 
-/// Logs how the fleet is used.
+/// Logs the usage of the machines by kind, at debug level.
 pub(super) fn log_usage(round: &SchedulingRound, types: &MachineTypes) {
     if !tracing::enabled!(tracing::Level::DEBUG) {
         return;
