--- a/crates/failure-detector/src/accrual/tests.rs
+++ b/crates/failure-detector/src/accrual/tests.rs
@@ -18,8 +18,8 @@
     // For a peer with irregular heartbeats φ rises more slowly.
     let mut irregular = HeartbeatHistory::new(0.3);
     let mut at = 0.0;
-    for i in 0..100 {
-        at += if i % 5 == 0 { 1.6 } else { 0.3 };
+    for index in 0..100 {
+        at += if index % 5 == 0 { 1.6 } else { 0.3 };
         irregular.record(at);
     }
     assert!(irregular.phi(at + 1.5, 0.0) < 4.0);
--- a/crates/failure-detector/src/damping/tests.rs
+++ b/crates/failure-detector/src/damping/tests.rs
@@ -3,9 +3,9 @@
 use super::*;
 use proptest::prelude::*;
 
-fn term(n: u64) -> MembershipTerm {
+fn term(incarnation: u64) -> MembershipTerm {
     MembershipTerm {
-        incarnation: n,
+        incarnation,
         since: 0,
     }
 }
@@ -15,11 +15,11 @@
     let mut damping = FlapDamping::new(5.0);
     assert!(damping.is_eligible(0.0, "a"));
     let mut delays = Vec::new();
-    for n in 0..6 {
-        let now = 12.0 * n as f64;
-        damping.record_departure(now, "a", term(n));
+    for index in 0..6 {
+        let now = 12.0 * index as f64;
+        damping.record_departure(now, "a", term(index));
         // The lease expires after the member was declared failed: still the same departure.
-        damping.record_departure(now + 2.0, "a", term(n));
+        damping.record_departure(now + 2.0, "a", term(index));
         delays.push(damping.delay_s(now, "a"));
     }
     assert_eq!(delays, [5.0, 10.0, 20.0, 40.0, 40.0, 40.0]);
@@ -35,9 +35,9 @@
     fn every_delay_ends(gaps in prop::collection::vec(0.1f64..100.0, 1..60)) {
         let mut damping = FlapDamping::new(5.0);
         let mut now = 0.0;
-        for (n, gap) in gaps.into_iter().enumerate() {
+        for (index, gap) in gaps.into_iter().enumerate() {
             now += gap;
-            damping.record_departure(now, "a", term(n as u64));
+            damping.record_departure(now, "a", term(index as u64));
             prop_assert!(!damping.is_eligible(now, "a"));
         }
         prop_assert!(damping.is_eligible(now + 41.0, "a"));
--- a/crates/failure-detector/src/detector/tests.rs
+++ b/crates/failure-detector/src/detector/tests.rs
@@ -23,8 +23,8 @@
         refusal_threshold: 2,
     };
     let mut detector = FailureDetector::new(config, peers.iter().copied(), 0.0);
-    for (i, peer) in peers.iter().enumerate() {
-        let incarnation = i as u64 + 1;
+    for (index, peer) in peers.iter().enumerate() {
+        let incarnation = index as u64 + 1;
         detector.record_membership(
             0.0,
             peer,
