--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,7 +1,7 @@
-//! Scheduling decisions as pure functions: no I/O, and the time is an argument.
+//! Scheduling decisions without I/O; the current time is always an argument.
 //!
-//! The service calls this crate with what it knows (machines, pending jobs, boot and run
-//! times) and carries out what comes back.
+//! A controller passes in its view of the cluster (machines, pending jobs, boot and run
+//! times) and carries out the decisions that are returned.
 
 #![deny(missing_docs)]
 
--- a/crates/scheduler/src/round.rs
+++ b/crates/scheduler/src/round.rs
@@ -1,9 +1,9 @@
-//! One scheduling round: pending tasks, in order, go where their predicted finish is
-//! earliest; what finds no good machine shows what the fleet lacks.
+//! One scheduling round: assigns pending tasks, in order, to the machines with the earliest
+//! predicted finish, and plans rentals for tasks that would finish sooner on a new machine.
 //!
-//! A job's machines are evaluated once; then they are kept in order, and only the machine
-//! to which a task has just been assigned is evaluated again. That finds the same machines as
-//! evaluating all of them for every task.
+//! Candidate machines are evaluated once per job and kept in a priority queue. After a task
+//! is planned, only the machine that received it is evaluated again. The result is the same
+//! as if every machine were evaluated for every task.
 
 mod candidates;
 mod decisions;
@@ -29,39 +29,42 @@
 pub use trial::MachineSnapshot;
 use trial::PlanScope;
 
-/// The state of a round: the machines with what is planned on them, and what may be rented.
-/// Times are in seconds since the Unix epoch.
+/// The state of a scheduling round: the machines with the tasks planned on them, and the
+/// machines that may be rented. Times are in seconds since the Unix epoch.
 pub struct SchedulingRound<'a> {
-    /// The time for which tasks are planned.
+    /// The earliest time at which the planned tasks may start. Later than
+    /// [`Self::current_time_s`] while the caller plans jobs that it expects to arrive.
     pub planned_time_s: f64,
-    /// The time at which a machine rented now begins to boot.
+    /// The time at which a machine rented in this round begins to boot.
     pub current_time_s: f64,
-    /// Names of the zones.
+    /// Names of all zones; [`crate::timeline::MachineTimeline::zone`] is an index into them.
     pub zones: Vec<Arc<str>>,
-    /// Machines that are up, boot, or were planned to be rented in this round.
+    /// Machines that are up, that boot or are already being rented, and, from
+    /// [`Self::first_rental`] on, those that this round plans to rent.
     pub machines: TimelineIndex,
-    /// What may be rented.
+    /// The kinds of machines that may be rented.
     pub rentable: Vec<RentableCapacity>,
-    /// The teams of the settings.
+    /// The teams from the settings, with their limits and guarantees.
     pub teams: &'a [Team],
-    /// What teams use, with the tasks planned in this round.
+    /// Resources in use per team, including the tasks planned in this round.
     pub usage: QuotaUsage,
-    /// Finishes within the same span of this many seconds count as equal; then the cheaper
-    /// and fuller machine is preferred.
+    /// Predicted finishes are sorted into buckets of this many seconds. Finishes in the same
+    /// bucket count as equal; then the cheaper and fuller machine is preferred.
     pub tie_s: f64,
     /// Machines from this index on are rentals planned in this round.
     pub first_rental: usize,
-    /// Machines evaluated since [`Self::take_evaluations`]: the cost of planning.
+    /// Number of machine evaluations since the last call of [`Self::take_evaluations`]: a
+    /// measure of the cost of planning.
     pub evaluations: Cell<usize>,
 }
 
 impl<'a> SchedulingRound<'a> {
-    /// How many machines were evaluated since the last call.
+    /// Returns the number of machine evaluations since the last call, and resets it.
     pub fn take_evaluations(&self) -> usize {
         self.evaluations.take()
     }
 
-    /// Plans the pending jobs in their order.
+    /// Plans the pending jobs in the order given.
     pub fn schedule(&mut self, jobs: &[PendingJob]) -> SchedulingDecisions {
         let mut decisions = SchedulingDecisions::default();
         for job in jobs {
@@ -77,7 +80,8 @@
         decisions
     }
 
-    /// Plans each task of a job by itself; returns why some of them can't start now.
+    /// Plans the tasks of a job independently of each other. Returns why some of them can't
+    /// start now, or `None` if all can.
     fn schedule_each(
         &mut self,
         job: &PendingJob,
@@ -109,18 +113,18 @@
         }
     }
 
-    /// The team of a job; `None` if the settings don't have it.
+    /// The team of a job; `None` if it is not in the settings.
     fn team_of(&self, job: &PendingJob) -> Option<&'a Team> {
         self.teams.iter().find(|team| team.name == job.spec.team)
     }
 
-    /// Whether a task can start at once on a chosen machine.
+    /// Whether a task can start at [`Self::planned_time_s`] on the chosen machine.
     fn can_start_now(&self, choice: &MachineChoice) -> bool {
         choice.finish.start_s <= self.planned_time_s && self.machines[choice.machine].up
     }
 
-    /// The span of [`Self::tie_s`] seconds that a time falls into.
-    fn tie_span(&self, time_s: f64) -> i64 {
+    /// Index of the bucket of [`Self::tie_s`] seconds that a time falls into.
+    fn tie_bucket(&self, time_s: f64) -> i64 {
         ((time_s - self.planned_time_s) / self.tie_s) as i64
     }
 }
--- a/crates/scheduler/src/round/candidates.rs
+++ b/crates/scheduler/src/round/candidates.rs
@@ -1,7 +1,8 @@
 //! The search for the best machine for a task.
 //!
-//! Machines are ordered by cheap bounds on their scores; a machine is evaluated only when
-//! none that was evaluated before is certainly better.
+//! Machines are ordered by lower bounds on their scores, which are cheap to compute. A
+//! machine is evaluated only if its bound doesn't rule out that it is better than the best
+//! machine evaluated so far.
 
 use super::trial::PlanScope;
 use super::{PendingJob, SchedulingRound};
@@ -16,15 +17,17 @@
 pub struct MachineChoice {
     /// Index of the machine in the round.
     pub machine: usize,
-    /// When the task would start and finish there.
+    /// When the task would start and finish on that machine.
     pub finish: PredictedFinish,
 }
 
-/// A machine that could take the next task of a job; the least is best.
+/// A machine that could take the next task of a job. The smallest in [`Ord`] is the best.
 pub(super) struct MachineCandidate {
-    /// The span of finishes that count as equal (see [`SchedulingRound::tie_s`]).
-    span: i64,
-    /// Among those the lower price, and the fuller machine.
+    /// Bucket of the score; scores in one bucket count as equal (see
+    /// [`SchedulingRound::tie_s`]).
+    tie_bucket: i64,
+    /// Orders candidates of the same bucket: lower for a lower price per task and for a
+    /// fuller machine.
     rank: f64,
     pub(super) choice: MachineChoice,
 }
@@ -45,27 +48,30 @@
 
 impl Ord for MachineCandidate {
     fn cmp(&self, other: &Self) -> Ordering {
-        (self.span.cmp(&other.span))
+        (self.tie_bucket.cmp(&other.tie_bucket))
             .then(self.rank.total_cmp(&other.rank))
             .then(self.choice.machine.cmp(&other.choice.machine))
     }
 }
 
-/// A machine that was not evaluated, with a lower bound on its span.
+/// A machine that was not evaluated yet, with a lower bound on its tie bucket.
 #[derive(Debug, Clone, Copy)]
 struct CandidateBound {
-    span: i32,
+    tie_bucket: i32,
     machine: u32,
 }
 
-/// The machines that may take a job's tasks, as far as they are sorted.
+/// The machines that may take a job's tasks, sorted only as far as needed.
 pub(super) struct CandidateQueue {
-    /// Machines with bounds above `next_span`, unsorted: few of them are ever evaluated.
+    /// Machines with bounds above `next_bucket`. They are not sorted, because few of them are
+    /// ever evaluated.
     bounds: Vec<CandidateBound>,
-    /// The least bound.
-    next_span: i32,
-    /// Machines with that bound.
-    next: Vec<u32>,
+    /// The lowest bound of the machines that were not evaluated; valid while `next_machines`
+    /// is not empty.
+    next_bucket: i32,
+    /// Indices of the machines with the bound `next_bucket`.
+    next_machines: Vec<u32>,
+    /// Machines that were evaluated and can take a task, the best on top.
     evaluated: BinaryHeap<Reverse<MachineCandidate>>,
 }
 
@@ -73,35 +79,35 @@
     fn new(bounds: Vec<CandidateBound>) -> CandidateQueue {
         CandidateQueue {
             bounds,
-            next_span: i32::MIN,
-            next: Vec::new(),
+            next_bucket: i32::MIN,
+            next_machines: Vec::new(),
             evaluated: BinaryHeap::new(),
         }
     }
 
-    /// A machine with the least bound of those that were not evaluated.
+    /// A machine with the lowest bound of those that were not evaluated.
     fn peek_bound(&mut self) -> Option<CandidateBound> {
-        if self.next.is_empty() {
-            self.next_span = self.bounds.iter().map(|bound| bound.span).min()?;
-            let span = self.next_span;
-            let next = &mut self.next;
+        if self.next_machines.is_empty() {
+            self.next_bucket = self.bounds.iter().map(|bound| bound.tie_bucket).min()?;
+            let tie_bucket = self.next_bucket;
+            let next_machines = &mut self.next_machines;
             self.bounds.retain(|bound| {
-                if bound.span == span {
-                    next.push(bound.machine);
+                if bound.tie_bucket == tie_bucket {
+                    next_machines.push(bound.machine);
                 }
-                bound.span != span
+                bound.tie_bucket != tie_bucket
             });
         }
-        let machine = *self.next.last()?;
+        let machine = *self.next_machines.last()?;
         Some(CandidateBound {
-            span: self.next_span,
+            tie_bucket: self.next_bucket,
             machine,
         })
     }
 
-    /// Removes the machine that [`Self::peek_bound`] returned.
+    /// Removes the machine that [`Self::peek_bound`] returned last.
     fn pop_bound(&mut self) {
-        self.next.pop();
+        self.next_machines.pop();
     }
 
     fn peek_evaluated(&self) -> Option<&MachineCandidate> {
@@ -113,20 +119,20 @@
         self.evaluated.pop();
     }
 
-    /// Adds an evaluated machine, if it can take a task.
+    /// Adds an evaluated machine; `None`, a machine that can't take a task, adds nothing.
     pub(super) fn push_evaluated(&mut self, candidate: Option<MachineCandidate>) {
         self.evaluated.extend(candidate.map(Reverse));
     }
 }
 
-/// Idle on-demand machines count as this many ties later for work that may run on spot
-/// instances.
-const IDLE_ON_DEMAND_TIES: f64 = 8.0;
+/// The score of an idle on-demand machine is worse by this many [`SchedulingRound::tie_s`]
+/// for a job that may run on spot instances.
+const IDLE_ON_DEMAND_PENALTY_TIES: f64 = 8.0;
 
 impl SchedulingRound<'_> {
-    /// Evaluates a machine for the next task of a job; `None` if it can't take the task or,
-    /// with `free_now`, not at once.
-    pub(super) fn candidate(
+    /// Evaluates a machine for the next task of a job. `None` if the task can't run there
+    /// or, with `free_now`, can't start there at the planned time.
+    pub(super) fn evaluate(
         &self,
         index: usize,
         job: &PendingJob,
@@ -145,7 +151,7 @@
         let tasks_that_fit = 1.0 / job.resources.dominant_share_of(&machine.capacity);
         let price_per_task = machine.price / tasks_that_fit.max(1.0);
         Some(MachineCandidate {
-            span: self.tie_span(score),
+            tie_bucket: self.tie_bucket(score),
             rank: price_per_task * (0.5 + free_share) * job.price_bias_of(machine),
             choice: MachineChoice {
                 machine: index,
@@ -154,8 +160,8 @@
         })
     }
 
-    /// The machines that may take a job's tasks, with bounds.
-    pub(super) fn candidates(&self, job: &PendingJob, scope: PlanScope) -> CandidateQueue {
+    /// Builds the queue of the machines that may take a job's tasks. None is evaluated yet.
+    pub(super) fn candidate_queue(&self, job: &PendingJob, scope: PlanScope) -> CandidateQueue {
         let in_scope = |zone: usize| scope.zone.is_none_or(|only| only == zone);
         let zones = self.zones.iter().enumerate();
         let open_zones: Vec<bool> = zones
@@ -165,7 +171,7 @@
         let add_bound = |bound: FinishBound| {
             let score = self.score(bound.spot, bound.empty, &job.spec, &bound.finish);
             bounds.push(CandidateBound {
-                span: ((score - self.planned_time_s) / self.tie_s) as i32,
+                tie_bucket: ((score - self.planned_time_s) / self.tie_s) as i32,
                 machine: bound.machine as u32,
             });
         };
@@ -175,7 +181,8 @@
         CandidateQueue::new(bounds)
     }
 
-    /// The best machine, which stays in the queue.
+    /// The best machine for the next task; it stays in the queue. Evaluates machines until
+    /// no bound shows that a better one may remain. `None` if no machine can take the task.
     pub(super) fn peek_best(
         &self,
         queue: &mut CandidateQueue,
@@ -183,19 +190,19 @@
         free_now: bool,
     ) -> Option<MachineChoice> {
         loop {
-            self.drop_closed_zones(queue, job);
+            self.pop_closed_zones(queue, job);
             let bound = queue.peek_bound();
             let best = queue.peek_evaluated();
             match (best, bound) {
                 (Some(best), None) => return Some(best.choice),
-                (Some(best), Some(bound)) if best.span < i64::from(bound.span) => {
+                (Some(best), Some(bound)) if best.tie_bucket < i64::from(bound.tie_bucket) => {
                     return Some(best.choice);
                 }
                 (_, Some(bound)) => {
                     queue.pop_bound();
                     let index = bound.machine as usize;
                     if self.is_zone_open(index, job) {
-                        queue.push_evaluated(self.candidate(index, job, free_now));
+                        queue.push_evaluated(self.evaluate(index, job, free_now));
                     }
                 }
                 (None, None) => return None,
@@ -203,9 +210,10 @@
         }
     }
 
-    /// Removes the best machines as long as their zones are closed to the job. A closed zone
-    /// stays closed, since the number of tasks in it only grows.
-    fn drop_closed_zones(&self, queue: &mut CandidateQueue, job: &PendingJob) {
+    /// Removes evaluated machines from the top of the queue while their zones allow no
+    /// further task of the job. Such a zone stays closed while the job is planned, because
+    /// the number of its tasks there only grows.
+    fn pop_closed_zones(&self, queue: &mut CandidateQueue, job: &PendingJob) {
         while queue
             .peek_evaluated()
             .is_some_and(|best| !self.is_zone_open(best.choice.machine, job))
@@ -214,23 +222,24 @@
         }
     }
 
-    /// Whether a job's next task may go to the zone of a machine.
+    /// Whether a job's next task may be placed in the zone of a machine.
     fn is_zone_open(&self, index: usize, job: &PendingJob) -> bool {
         job.allows_zone(&self.zones[self.machines[index].zone])
     }
 
-    /// The best machine for one task; with `free_now` of those on which it can start at
-    /// once.
+    /// The best machine for one task of a job; `None` if no machine can take it. With
+    /// `free_now`, only machines on which the task can start at the planned time count.
     pub fn best_machine(&self, job: &PendingJob, free_now: bool) -> Option<MachineChoice> {
         let scope = PlanScope {
             zone: None,
             free_now,
         };
-        let mut queue = self.candidates(job, scope);
+        let mut queue = self.candidate_queue(job, scope);
         self.peek_best(&mut queue, job, free_now)
     }
 
-    /// What decides between machines, as a time: the earliest is best.
+    /// The score of a machine for a task, as a time in seconds since the Unix epoch. The
+    /// earliest is best.
     pub(super) fn score(
         &self,
         spot: bool,
@@ -238,17 +247,17 @@
         spec: &JobSpec,
         finish: &PredictedFinish,
     ) -> f64 {
-        // A service never finishes: the time at which it runs decides.
+        // A service never finishes, so the time at which it starts running is used.
         let score = if finish.finish_s.is_finite() {
             finish.finish_s
         } else {
             finish.running_s
         };
-        // Exception to the earliest finish: using an idle on-demand machine for work that
-        // a spot instance may do costs as much as a boot, so that idle machines stay free
-        // for work that needs them.
+        // Exception to the earliest finish: for a job that may use spot instances, an idle
+        // on-demand machine gets a penalty about as large as a boot time, so that it stays
+        // free for jobs that need on-demand machines.
         if spec.spot && !spot && empty {
-            score + self.tie_s * IDLE_ON_DEMAND_TIES
+            score + self.tie_s * IDLE_ON_DEMAND_PENALTY_TIES
         } else {
             score
         }
--- a/crates/scheduler/src/round/decisions.rs
+++ b/crates/scheduler/src/round/decisions.rs
@@ -1,14 +1,14 @@
-//! What a round decides.
+//! The decisions of a scheduling round.
 
 use super::PendingJob;
 use std::collections::BTreeMap;
 
-/// A task that is to start on a machine.
+/// A task and the machine on which it is to start now.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Placement {
     /// Id of the job.
     pub job: String,
-    /// Index of the task.
+    /// Index of the task in the job.
     pub task: u32,
     /// Index of the machine in the round.
     pub machine: usize,
@@ -17,20 +17,20 @@
 /// Why a job has tasks that can't start now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PendingReason {
-    /// The best machine for a task runs others or boots.
+    /// The best machine for a task is occupied by other tasks or still boots.
     MachineNotReady,
     /// No machine has room for a task, and none can be rented.
     NoCapacity,
-    /// Its team's limit is reached.
+    /// The job's team has reached its resource limit.
     TeamLimitReached,
-    /// It failed on every machine that it was tried on.
+    /// The job, a gang, failed on every machine on which it ran, and can't be probed now.
     FailsEverywhere,
-    /// The tasks of a gang can't all start together yet.
+    /// Not all tasks of the job, a gang, can start at the same time yet.
     GangNotReady,
 }
 
 impl PendingReason {
-    /// The text that the administration API shows.
+    /// The reason as text for responses of the administration API.
     pub fn as_str(self) -> &'static str {
         match self {
             PendingReason::MachineNotReady => "its machine is busy or boots",
@@ -42,17 +42,17 @@
     }
 }
 
-/// What a round decides.
+/// The decisions of a scheduling round.
 #[derive(Debug, Default)]
 pub struct SchedulingDecisions {
     /// Tasks to start now.
     pub placements: Vec<Placement>,
-    /// For each job with tasks that can't start now, the reason.
+    /// Why some tasks can't start now, by the id of the job.
     pub pending_reasons: BTreeMap<String, PendingReason>,
 }
 
 impl SchedulingDecisions {
-    /// Whether nothing was decided.
+    /// Whether there are neither placements nor pending reasons.
     pub fn is_empty(&self) -> bool {
         self.placements.is_empty() && self.pending_reasons.is_empty()
     }
--- a/crates/scheduler/src/round/gang.rs
+++ b/crates/scheduler/src/round/gang.rs
@@ -1,29 +1,39 @@
-//! Gang scheduling: all tasks of a job start together or none does.
+//! Gang scheduling: either all tasks of a job start at the same time or none does.
 
 use super::trial::PlanScope;
 use super::{PendingJob, PendingReason, SchedulingDecisions, SchedulingRound};
 
-/// What planning a gang within one scope would come to; the least is best.
+/// The result of a trial plan for a gang within one scope.
 struct GangOption {
     scope: PlanScope,
-    /// The span in which the last task would run (see [`SchedulingRound::tie_s`]).
-    span: i64,
-    /// Price per hour of the machines rented for it.
+    /// Bucket of the time at which the last task would begin to run (see
+    /// [`SchedulingRound::tie_s`]).
+    tie_bucket: i64,
+    /// Price per hour of all machines that would be rented for the gang.
     rental_price: f64,
-    /// Machines in the zone. The zone with fewer is preferred: all gangs in the first zone
-    /// would use up what can be rented there.
+    /// Number of machines in the zone; 0 if the scope is not limited to one zone. The zone
+    /// with fewer machines is preferred, because gangs that all go to the first zone would
+    /// exhaust the capacity that can be rented there.
     machines_in_zone: usize,
 }
 
 impl GangOption {
     fn is_better_than(&self, other: &GangOption) -> bool {
-        let key = |o: &GangOption| (o.span, o.rental_price, o.machines_in_zone);
+        let key = |option: &GangOption| {
+            (
+                option.tie_bucket,
+                option.rental_price,
+                option.machines_in_zone,
+            )
+        };
         key(self) < key(other)
     }
 }
 
 impl SchedulingRound<'_> {
-    /// Places all tasks of a gang on machines that are free now, or none; returns why none.
+    /// Places all tasks of a gang on machines that are free now, or none of them; then it
+    /// reserves capacity for a later start. Returns why none was placed, or `None` if all
+    /// were.
     pub(super) fn schedule_gang(
         &mut self,
         job: &PendingJob,
@@ -47,8 +57,8 @@
         if job.single_probe {
             return Some(PendingReason::FailsEverywhere);
         }
-        // Reserve what it will need, so that the fleet grows and later jobs don't take the
-        // machines that it waits for; it starts once all are free.
+        // Reserve capacity for the gang, so that missing machines are rented and later jobs
+        // don't take the machines that the gang waits for. It starts once all are free.
         match self.earliest_scope(job, false) {
             Some(scope) => {
                 self.plan(job, count, scope);
@@ -58,8 +68,9 @@
         }
     }
 
-    /// The scope in which all tasks would run earliest, then cheapest, if there is one. A
-    /// gang that must be in one zone is tried in each.
+    /// The scope in which all tasks would run earliest, and of equally early ones the
+    /// cheapest; `None` if no scope has room for all tasks. For a gang that must be in one
+    /// zone each zone is tried, otherwise only the scope of all zones.
     fn earliest_scope(&mut self, job: &PendingJob, free_now: bool) -> Option<PlanScope> {
         let zones: Vec<Option<usize>> = if job.spec.one_zone {
             (0..self.zones.len()).map(Some).collect()
@@ -78,14 +89,14 @@
         best.map(|option| option.scope)
     }
 
-    /// What planning a gang within a scope would come to; `None` if a task finds no machine.
+    /// Result of a trial plan for a gang within a scope; `None` if a task finds no machine.
     fn gang_option(&mut self, job: &PendingJob, scope: PlanScope) -> Option<GangOption> {
         let in_zone = |zone: usize| Some(zone) == scope.zone;
         let machines_in_zone = self.machines.iter().filter(|m| in_zone(m.zone)).count();
         let outcome = self.try_plan(job, job.tasks.len(), scope);
         (outcome.tasks == job.tasks.len()).then(|| GangOption {
             scope,
-            span: self.tie_span(outcome.last_running_s),
+            tie_bucket: self.tie_bucket(outcome.last_running_s),
             rental_price: outcome.rental_price,
             machines_in_zone,
         })
--- a/crates/scheduler/src/round/immediate.rs
+++ b/crates/scheduler/src/round/immediate.rs
@@ -1,10 +1,10 @@
-//! Starting the tasks that were assigned to a shard on its machines.
+//! Placement of tasks that were assigned to a shard on the machines of that shard.
 
 use super::trial::PlanScope;
 use super::{PendingJob, SchedulingRound};
 use std::sync::Arc;
 
-/// A task that starts on a machine.
+/// A task and the machine on which it starts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TaskAssignment {
     /// Index of the task.
@@ -14,40 +14,42 @@
 }
 
 impl SchedulingRound<'_> {
-    /// Places the tasks of a job that can start now. `hints` holds for each task the machine
-    /// that was best a moment ago, by the same rule over all shards, if one was found; the
-    /// other tasks' machines are searched for.
+    /// Places the tasks of a job that can start now, on the machines of one shard.
+    ///
+    /// `hints` holds for each task the name of the machine that the preceding scheduling
+    /// round over all shards chose by the same rule, or `None`. If a task can't start on
+    /// the machine of its hint, or has no hint, the best machine is searched for.
     pub fn start_now(
         &mut self,
         job: &PendingJob,
         hints: &[Option<Arc<str>>],
     ) -> Vec<TaskAssignment> {
         let mut started = Vec::new();
-        let mut rest = job.clone();
-        rest.tasks.clear();
+        let mut remaining = job.clone();
+        remaining.tasks.clear();
         for (&task, hint) in job.tasks.iter().zip(hints) {
             match hint.as_ref().and_then(|name| self.place_on(job, name)) {
                 Some(machine) => started.push(TaskAssignment { task, machine }),
-                None => rest.tasks.push(task),
+                None => remaining.tasks.push(task),
             }
         }
-        if !rest.tasks.is_empty() {
+        if !remaining.tasks.is_empty() {
             let scope = PlanScope {
                 zone: None,
                 free_now: true,
             };
-            let choices = self.plan(&rest, rest.tasks.len(), scope);
+            let choices = self.plan(&remaining, remaining.tasks.len(), scope);
             let machines = choices.into_iter().map(|choice| choice.machine);
-            let placed = rest.tasks.iter().zip(machines);
+            let placed = remaining.tasks.iter().zip(machines);
             started.extend(placed.map(|(&task, machine)| TaskAssignment { task, machine }));
         }
         started
     }
 
-    /// Places a task on the machine of a name, if it can start there now; returns the
-    /// machine's index.
+    /// Places a task on the machine with this name and returns the machine's index; `None` if
+    /// the task can't start there now.
     fn place_on(&mut self, job: &PendingJob, name: &Arc<str>) -> Option<usize> {
-        // A shard's machines are in the order of their names.
+        // The machines of a shard are sorted by name.
         let found = self.machines.binary_search_by(|m| m.name.cmp(name));
         let index = found.ok()?;
         let machine = &self.machines[index];
@@ -56,7 +58,7 @@
         if !in_zone || avoided || !job.allows_machine(machine) {
             return None;
         }
-        let finish = self.candidate(index, job, true)?.choice.finish;
+        let finish = self.evaluate(index, job, true)?.choice.finish;
         self.machines.place(index, job, &finish);
         Some(index)
     }
--- a/crates/scheduler/src/round/rentals.rs
+++ b/crates/scheduler/src/round/rentals.rs
@@ -1,19 +1,22 @@
-//! Machines that a round plans to rent.
+//! Planned rentals of a scheduling round.
 
 use super::{MachineChoice, PendingJob, SchedulingRound};
 use crate::timeline::MachineTimeline;
 use crate::timeline_index::TimelineIndex;
 
-/// A kind of machine that may be rented now.
+/// A kind of machine (type, zone, spot or on demand) that may be rented now.
 #[derive(Debug, Clone)]
 pub struct RentableCapacity {
-    /// A machine of that kind, rented at the round's time.
+    /// Timeline of a machine of this kind if it is rented at the round's current time.
     pub machine: MachineTimeline,
-    /// Machines of ours in that zone: the zone with fewer is preferred.
+    /// Number of machines that are already rented in this zone, of any type. At equal cost
+    /// the zone with fewer is preferred.
     pub owned_in_zone: usize,
-    /// How many may be rented, as far as is known.
+    /// Estimate of how many more machines of this kind may be rented; [`u32::MAX`] if the
+    /// cloud has shown no limit.
     pub available: u32,
-    /// How many of them this plan rents.
+    /// Number of machines of this kind that the round plans to rent; never above
+    /// `available`.
     pub used: u32,
 }
 
@@ -25,13 +28,14 @@
     }
 }
 
-/// A kind that would do for a task.
+/// A kind of machine that could be rented for a task.
 struct RentalOption {
     /// Index in [`SchedulingRound::rentable`].
     index: usize,
-    /// Price per hour and task.
+    /// Price per hour divided by the number of tasks that fit on a machine, weighted with the
+    /// job's price bias.
     cost: f64,
-    /// Machines of ours in the zone, planned rentals included.
+    /// Number of machines rented in the zone, including planned rentals.
     owned_in_zone: usize,
 }
 
@@ -42,8 +46,9 @@
 }
 
 impl SchedulingRound<'_> {
-    /// Index of the cheapest kind of machine to rent for a task that has the score
-    /// `best_score` on the machines there are.
+    /// Index in [`Self::rentable`] of the cheapest kind of machine that is worth renting for
+    /// a task, or `None`. `best_score` is the task's score on the best machine of the round;
+    /// infinite if it fits on none.
     pub(super) fn cheapest_rental(
         &self,
         job: &PendingJob,
@@ -76,6 +81,7 @@
         best.map(|option| option.index)
     }
 
+    /// Number of machines that the round plans to rent, by the index of the zone.
     fn planned_rentals_by_zone(&self) -> Vec<usize> {
         let mut planned = vec![0; self.zones.len()];
         for rentable in &self.rentable {
@@ -84,10 +90,12 @@
         planned
     }
 
-    /// Whether a task would finish earlier on a rented machine, by more than a tie.
+    /// Whether a rented machine would have a better score than `best_score`, by more than
+    /// [`Self::tie_s`].
     ///
-    /// Measured in the same way as for machines that are there: otherwise a rental planned
-    /// now would not be used in the next round, and each round would rent more.
+    /// The score is the same as for machines that already exist. With a different one, the
+    /// next round might not use a machine that this round rents, and every round would rent
+    /// more.
     fn is_worth_renting(
         &self,
         machine: &MachineTimeline,
@@ -100,8 +108,9 @@
         self.score(machine.spot, true, &job.spec, &finish) + self.tie_s < best_score
     }
 
-    /// Adds a machine of a rentable kind to the plan.
-    pub(super) fn rent(&mut self, index: usize, job: &PendingJob) -> Option<MachineChoice> {
+    /// Adds a machine of a rentable kind to the round, by its index in [`Self::rentable`], and
+    /// returns it as the choice for a task of the job. `None` if the task can't run there.
+    pub(super) fn plan_rental(&mut self, index: usize, job: &PendingJob) -> Option<MachineChoice> {
         let rentable = &mut self.rentable[index];
         let finish = rentable.machine.predict(job, self.planned_time_s)?;
         rentable.used += 1;
@@ -112,7 +121,7 @@
         })
     }
 
-    /// The rentable kind of a machine that is to be rented.
+    /// The entry of [`Self::rentable`] for the kind of a machine whose rental is planned.
     pub(super) fn rentable_kind(
         &mut self,
         machine: &MachineTimeline,
@@ -122,7 +131,8 @@
             .find(|rentable| rentable.is_kind_of(machine))
     }
 
-    /// Takes the plan back to the machines as they were before.
+    /// Replaces the round's machines with an earlier copy, and sets the numbers of planned
+    /// rentals to those in the copy.
     pub fn restore(&mut self, machines: TimelineIndex) {
         for rentable in &mut self.rentable {
             rentable.used = 0;
--- a/crates/scheduler/src/round/tests.rs
+++ b/crates/scheduler/src/round/tests.rs
@@ -6,7 +6,7 @@
 use rushwalk_protocol::cloud::MachineType;
 use rushwalk_protocol::jobs::JobSpec;
 
-fn types() -> Vec<MachineType> {
+fn machine_types() -> Vec<MachineType> {
     let machine_type = |name: &str, cpus: f64, price: f64| MachineType {
         name: name.into(),
         cpus,
@@ -25,7 +25,7 @@
     ]
 }
 
-fn unlimited() -> Team {
+fn unlimited_team() -> Team {
     Team {
         name: "red".into(),
         cpus: 0.0,
@@ -35,13 +35,13 @@
     }
 }
 
-fn job(n: u32, gpus: f64, run_s: f64, spread: bool) -> PendingJob {
+fn pending_job(number: u32, gpus: f64, run_s: f64, spread: bool) -> PendingJob {
     let text = format!(
-        r#"{{"uid":"j-{n}","lane":"a","crew":"red","shape":"sweep","rank":"normal",
+        r#"{{"uid":"j-{number}","lane":"a","crew":"red","shape":"sweep","rank":"normal",
         "pieces":40,"cpus":{gpus},"gpus":{gpus},"memoryGb":1,"kit":"i-{}","sizeGb":4,
         "together":false,"spread":{spread},"loaners":true,"guessS":60,"waypointS":0,
         "stashS":0}}"#,
-        n % 3
+        number % 3
     );
     let spec = Arc::new(JobSpec::parse(text.as_bytes()).unwrap());
     PendingJob {
@@ -61,17 +61,19 @@
         avoided_machines: Vec::new(),
         price_bias: Vec::new(),
         single_probe: false,
-        image: n % 3,
+        image: number % 3,
         spec,
     }
 }
 
-fn round<'a>(teams: &'a [Team], seed: &mut u64) -> SchedulingRound<'a> {
+/// A round with 40 machines with random types, zones, tasks and images. `seed` is the state of
+/// the random generator, which is advanced.
+fn random_round<'a>(teams: &'a [Team], seed: &mut u64) -> SchedulingRound<'a> {
     let mut random = move |n: u64| {
         *seed = seed.wrapping_mul(6364136223846793005).wrapping_add(1);
         (*seed >> 33) % n
     };
-    let types = types();
+    let types = machine_types();
     let mut machines = TimelineIndex::new(100.0, 40);
     for i in 0..40 {
         let group = random(2) as usize;
@@ -114,13 +116,13 @@
     }
 }
 
-/// On a full fleet few machines can be the best for a task: only those are evaluated. Each
-/// job used to cost as much as there were machines.
+/// Guards against evaluating every machine for each job. On a full fleet only few machines
+/// can be the best for a task, and the bounds must exclude the others.
 #[test]
 fn few_machines_are_evaluated_on_a_full_fleet() {
-    let teams = [unlimited()];
-    let mut full = round(&teams, &mut 7);
-    let types = types();
+    let teams = [unlimited_team()];
+    let mut full = random_round(&teams, &mut 7);
+    let types = machine_types();
     let mut machines = TimelineIndex::new(100.0, 2000);
     for i in 0..2000 {
         let name = format!("m-{i:04}");
@@ -133,26 +135,30 @@
     }
     full.first_rental = machines.len();
     full.machines = machines;
-    let one = PendingJob {
+    let job = PendingJob {
         tasks: vec![0],
-        ..job(1, 1.0, 60.0, false)
+        ..pending_job(1, 1.0, 60.0, false)
     };
-    let decisions = full.schedule(std::slice::from_ref(&one));
-    assert_eq!(decisions.pending_reasons.len(), 1, "its machine is busy");
+    let decisions = full.schedule(std::slice::from_ref(&job));
+    assert_eq!(
+        decisions.pending_reasons.len(),
+        1,
+        "the best machine is busy"
+    );
     let evaluated = full.take_evaluations();
     assert!(
         (1..100).contains(&evaluated),
-        "{evaluated} of 2000 machines"
+        "{evaluated} of 2000 machines were evaluated"
     );
 }
 
-/// A job that fails wherever it runs keeps no machine from others.
+/// A job that failed on every machine on which it ran must not take capacity from other jobs.
 #[test]
 fn single_probe_reserves_and_rents_nothing() {
-    let teams = [unlimited()];
-    let types = types();
-    for (shape, probe) in [("gang", true), ("gang", false), ("sweep", true)] {
-        let mut round = round(&teams, &mut 3);
+    let teams = [unlimited_team()];
+    let types = machine_types();
+    for (shape, single_probe) in [("gang", true), ("gang", false), ("sweep", true)] {
+        let mut round = random_round(&teams, &mut 3);
         round.machines = TimelineIndex::new(100.0, 1);
         let mut machine = MachineTimeline::new("m".into(), 0, &types[0], 0, false, 100.0);
         machine.up = true;
@@ -167,30 +173,35 @@
             available: 9,
             used: 0,
         }];
-        let mut one = job(1, 1.0, 60.0, false);
-        let mut spec = (*one.spec).clone();
+        let mut job = pending_job(1, 1.0, 60.0, false);
+        let mut spec = (*job.spec).clone();
         spec.shape = if shape == "gang" {
             Shape::Gang
         } else {
             Shape::Array
         };
-        (one.spec, one.single_probe, one.tasks) = (Arc::new(spec), probe, vec![0, 1]);
-        let decisions = round.schedule(std::slice::from_ref(&one));
+        (job.spec, job.single_probe, job.tasks) = (Arc::new(spec), single_probe, vec![0, 1]);
+        let decisions = round.schedule(std::slice::from_ref(&job));
         assert!(decisions.placements.is_empty() && decisions.pending_reasons.len() == 1);
-        let tasks = round.machines.iter().map(|s| s.tasks).sum::<usize>();
-        assert_eq!(tasks, if probe { 1 } else { 3 }, "{shape}");
+        let tasks = round
+            .machines
+            .iter()
+            .map(|machine| machine.tasks)
+            .sum::<usize>();
+        assert_eq!(tasks, if single_probe { 1 } else { 3 }, "{shape}");
         assert_eq!(round.machines.len(), 1);
     }
 }
 
-/// A gang of three beside two machines that fit one task each: its third task was planned
-/// after another one of it if that was sooner than a boot, and it waited for ever.
+/// Guards against a gang that never starts: with three tasks and two machines that fit one
+/// task each, the third task was planned after another task of the gang if that was sooner
+/// than a boot, and no machine was rented.
 #[test]
-fn tasks_of_a_gang_are_planned_side_by_side() {
-    let teams = [unlimited()];
-    let types = types();
+fn tasks_of_a_gang_are_planned_to_run_concurrently() {
+    let teams = [unlimited_team()];
+    let types = machine_types();
     for (boot_s, run_s) in [(30.0, 60.0), (300.0, 20.0)] {
-        let mut round = round(&teams, &mut 3);
+        let mut round = random_round(&teams, &mut 3);
         round.machines = TimelineIndex::new(100.0, 4);
         for name in ["m-1", "m-2"] {
             let mut machine = MachineTimeline::new(name.into(), 0, &types[0], 0, false, 100.0);
@@ -204,49 +215,57 @@
             available: 9,
             used: 0,
         }];
-        let mut gang = job(1, 2.0, run_s, false);
+        let mut gang = pending_job(1, 2.0, run_s, false);
         let mut spec = (*gang.spec).clone();
         (spec.shape, spec.tasks) = (Shape::Gang, 3);
         (gang.spec, gang.tasks) = (Arc::new(spec), vec![0, 1, 2]);
         let decisions = round.schedule(std::slice::from_ref(&gang));
         assert!(decisions.placements.is_empty() && decisions.pending_reasons.len() == 1);
-        assert_eq!(round.machines.len(), 3, "boots in {boot_s} s");
-        let each = round.machines.iter().map(|s| s.tasks);
-        assert_eq!(each.collect::<Vec<_>>(), [1, 1, 1]);
-        // The machines are reserved until it has run, and no longer.
+        assert_eq!(round.machines.len(), 3, "boot time {boot_s} s");
+        let tasks_per_machine = round.machines.iter().map(|machine| machine.tasks);
+        assert_eq!(tasks_per_machine.collect::<Vec<_>>(), [1, 1, 1]);
+        // The machines are reserved until the gang has finished, and no longer.
         let after = 100.0 + boot_s + run_s + 60.0;
-        let whole = round
+        let all_free = round
             .machines
             .iter()
-            .all(|s| s.free_at(after) == s.capacity);
-        assert!(whole, "{:?}", round.machines[0].free_at(after));
+            .all(|machine| machine.free_at(after) == machine.capacity);
+        assert!(all_free, "{:?}", round.machines[0].free_at(after));
     }
 }
 
-/// Keeping the machines in order must find what evaluating every machine for every task
-/// finds.
+/// Planning with the candidate queue must find the same machines as evaluating every machine
+/// for every task.
 #[test]
-fn ordered_candidates_find_the_same_machines_as_a_plain_search() {
-    let teams = [unlimited()];
-    for trace in 0..50u64 {
-        let mut seed = trace;
-        let mut ordered = round(&teams, &mut seed);
-        seed = trace;
-        let mut plain = round(&teams, &mut seed);
-        for n in 0..6 {
-            let job = job(n, 1.0 + f64::from(n % 2), 20.0 + 9.0 * f64::from(n), n == 4);
+fn candidate_queue_finds_the_same_machines_as_a_plain_search() {
+    let teams = [unlimited_team()];
+    for first_seed in 0..50u64 {
+        let mut seed = first_seed;
+        let mut queue_round = random_round(&teams, &mut seed);
+        seed = first_seed;
+        let mut plain_round = random_round(&teams, &mut seed);
+        for number in 0..6 {
+            let job = pending_job(
+                number,
+                1.0 + f64::from(number % 2),
+                20.0 + 9.0 * f64::from(number),
+                number == 4,
+            );
             let scope = PlanScope {
                 zone: None,
                 free_now: false,
             };
-            let fast = ordered.plan(&job, 20, scope);
-            let slow = plan_by_plain_search(&mut plain, &job, 20);
-            assert_eq!(fast, slow, "trace {trace}, job {n}");
+            let with_queue = queue_round.plan(&job, 20, scope);
+            let with_plain_search = plan_by_plain_search(&mut plain_round, &job, 20);
+            assert_eq!(
+                with_queue, with_plain_search,
+                "seed {first_seed}, job {number}"
+            );
         }
     }
 }
 
-/// Evaluates all machines for each of `count` tasks.
+/// Plans `count` tasks of a job, evaluating all machines for each task.
 fn plan_by_plain_search(
     round: &mut SchedulingRound,
     job: &PendingJob,
@@ -258,7 +277,7 @@
         let best = (0..round.machines.len())
             .filter(|i| job.allows_zone(&round.zones[round.machines[*i].zone]))
             .filter(|i| job.allows_machine(&round.machines[*i]))
-            .filter_map(|i| round.candidate(i, &job, false))
+            .filter_map(|i| round.evaluate(i, &job, false))
             .min();
         let Some(MachineCandidate { choice, .. }) = best else {
             break;
--- a/crates/scheduler/src/round/trial.rs
+++ b/crates/scheduler/src/round/trial.rs
@@ -1,4 +1,4 @@
-//! Planning several tasks of one job, for good or as a trial that is undone.
+//! Planning several tasks of one job, either to keep the plan or as a trial that is undone.
 
 use super::candidates::CandidateQueue;
 use super::{MachineChoice, PendingJob, SchedulingRound};
@@ -8,56 +8,60 @@
 /// Which machines may take the tasks.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PlanScope {
-    /// Index of the only zone for all tasks, if there is one.
+    /// Index of the zone in which all tasks must be; `None` allows all zones.
     pub(super) zone: Option<usize>,
-    /// Only machines on which a task can start at once; none is rented.
+    /// Restricts the plan to machines on which a task can start at the planned time; no
+    /// machine is rented.
     pub(super) free_now: bool,
 }
 
-/// A machine as it was before a task was planned on it (see [`SchedulingRound::snapshot`]).
+/// Copy of a machine from before a task was planned on it (see
+/// [`SchedulingRound::snapshot`]).
 pub struct MachineSnapshot {
     index: usize,
     machine: MachineTimeline,
 }
 
-/// Tasks of one job that were planned.
+/// The planned tasks of one job, with the data that undoing the plan needs.
 struct TaskPlan {
+    /// The machine of each task, in the order in which the tasks were planned.
     choices: Vec<MachineChoice>,
-    /// In the order of the changes.
+    /// Copies of the machines from before each change, in the order of the changes; empty
+    /// if they were not requested.
     snapshots: Vec<MachineSnapshot>,
-    /// How many machines there were before.
+    /// Number of machines before the plan; the machines after these are its rentals.
     machines_before: usize,
 }
 
-/// What a plan that was tried would come to.
+/// The result of a trial plan.
 pub(super) struct TrialOutcome {
-    /// How many tasks found a machine.
+    /// Number of tasks that found a machine.
     pub(super) tasks: usize,
-    /// When the last of them would run, in seconds since the Unix epoch.
+    /// When the last of these tasks would begin to run, in seconds since the Unix epoch.
     pub(super) last_running_s: f64,
-    /// Price per hour of the machines rented for them.
+    /// Price per hour of all machines that would be rented for these tasks.
     pub(super) rental_price: f64,
 }
 
 impl SchedulingRound<'_> {
-    /// Plans as many of `count` tasks of a job as find a machine, one after the other, each
-    /// on the machine that is best for it then.
+    /// Plans up to `count` tasks of a job, one after the other, each on the machine that is
+    /// best given the tasks planned before. Stops at the first task that finds no machine.
     pub(super) fn plan(
         &mut self,
         job: &PendingJob,
         count: usize,
         scope: PlanScope,
     ) -> Vec<MachineChoice> {
-        let side_by_side = must_run_side_by_side(job, scope);
-        let plan = self.place_tasks(job, count, scope, side_by_side);
-        if side_by_side {
+        let concurrent = must_run_concurrently(job, scope);
+        let plan = self.place_tasks(job, count, scope, concurrent);
+        if concurrent {
             self.reserve_until_finished(job, plan)
         } else {
             plan.choices
         }
     }
 
-    /// What [`Self::plan`] would come to; changes nothing.
+    /// Makes the same plan as [`Self::plan`], undoes it and returns its result.
     pub(super) fn try_plan(
         &mut self,
         job: &PendingJob,
@@ -75,7 +79,8 @@
         outcome
     }
 
-    /// Places up to `count` tasks, with snapshots of the machines if `keep_snapshots`.
+    /// Places up to `count` tasks, and takes a snapshot of each machine before it changes if
+    /// `keep_snapshots` is set.
     fn place_tasks(
         &mut self,
         job: &PendingJob,
@@ -83,16 +88,16 @@
         scope: PlanScope,
         keep_snapshots: bool,
     ) -> TaskPlan {
-        let mut queue = self.candidates(job, scope);
+        let mut queue = self.candidate_queue(job, scope);
         let mut job = job.clone();
-        let side_by_side = must_run_side_by_side(&job, scope);
+        let concurrent = must_run_concurrently(&job, scope);
         let mut plan = TaskPlan {
             choices: Vec::with_capacity(count),
             snapshots: Vec::new(),
             machines_before: self.machines.len(),
         };
         while plan.choices.len() < count {
-            let Some(choice) = self.take_machine(&mut queue, &job, scope) else {
+            let Some(choice) = self.take_best_machine(&mut queue, &job, scope) else {
                 break;
             };
             let index = choice.machine;
@@ -100,21 +105,21 @@
                 plan.snapshots.push(self.snapshot(index));
             }
             let mut finish = choice.finish;
-            if side_by_side {
+            if concurrent {
                 finish.finish_s = f64::INFINITY;
             }
             self.machines.place(index, &job, &finish);
             let zone = self.machines[index].zone;
             job.tasks_per_zone.add(&self.zones[zone]);
             plan.choices.push(choice);
-            queue.push_evaluated(self.candidate(index, &job, scope.free_now));
+            queue.push_evaluated(self.evaluate(index, &job, scope.free_now));
         }
         plan
     }
 
-    /// The machine for the next task, removed from the queue: the best of those there are,
-    /// or a rental if that is better.
-    fn take_machine(
+    /// Removes the best machine for the next task from the queue or, if a rental is better,
+    /// adds that to the plan. `None` if neither is possible.
+    fn take_best_machine(
         &mut self,
         queue: &mut CandidateQueue,
         job: &PendingJob,
@@ -124,8 +129,8 @@
         let can_start_now = best.is_some_and(|best| self.can_start_now(&best));
         if !can_start_now && !scope.free_now && !job.single_probe {
             let best_score = best.map_or(f64::INFINITY, |best| self.score_of(&best, job));
-            if let Some(rental) = self.cheapest_rental(job, scope.zone, best_score) {
-                return self.rent(rental, job);
+            if let Some(rental_index) = self.cheapest_rental(job, scope.zone, best_score) {
+                return self.plan_rental(rental_index, job);
             }
         }
         let best = best?;
@@ -138,23 +143,24 @@
         self.score(machine.spot, machine.tasks == 0, &job.spec, &choice.finish)
     }
 
-    /// Reserves the machines of a gang from when the last of them is free until the gang
-    /// has run; they were reserved for ever so far.
+    /// Replaces the unlimited reservations that [`Self::place_tasks`] made for a gang by
+    /// limited ones. Each machine is reserved from the start of its task until that task has
+    /// finished, where all tasks begin to run when the last one of them does.
     fn reserve_until_finished(&mut self, job: &PendingJob, plan: TaskPlan) -> Vec<MachineChoice> {
         let running_s = last_running_s(&plan.choices);
         self.restore_snapshots(plan.snapshots);
         for choice in &plan.choices {
             let finish = &choice.finish;
-            let together = PredictedFinish {
+            let until_gang_ends = PredictedFinish {
                 finish_s: running_s + (finish.finish_s - finish.running_s),
                 ..*finish
             };
-            self.machines.place(choice.machine, job, &together);
+            self.machines.place(choice.machine, job, &until_gang_ends);
         }
         plan.choices
     }
 
-    /// A machine as it is now, by its index.
+    /// Copies the current state of the machine with this index.
     pub fn snapshot(&self, index: usize) -> MachineSnapshot {
         MachineSnapshot {
             index,
@@ -162,15 +168,14 @@
         }
     }
 
-    /// Undoes what was planned since snapshots were taken, which are in the order of the
-    /// changes.
+    /// Restores machines to their snapshots, which must be in the order of the changes.
     pub fn restore_snapshots(&mut self, snapshots: Vec<MachineSnapshot>) {
         for snapshot in snapshots.into_iter().rev() {
             self.machines.restore(snapshot.index, snapshot.machine);
         }
     }
 
-    /// Takes a plan back, rentals included.
+    /// Undoes a plan, including its rentals.
     fn undo(&mut self, plan: TaskPlan) {
         self.restore_snapshots(plan.snapshots);
         for index in plan.machines_before..self.machines.len() {
@@ -183,15 +188,19 @@
     }
 }
 
-/// Whether no task of a job may be planned after another one of it.
+/// Whether all tasks of a job must be planned to run at the same time, so that none may wait
+/// on a machine for another task of the job to finish. (With `free_now` all tasks start at
+/// the planned time anyway.)
 ///
-/// (With boots that were predicted to take longer than its run, a gang's task was planned
-/// after another, nothing was rented, and the gang waited for ever beside too few machines.)
-fn must_run_side_by_side(job: &PendingJob, scope: PlanScope) -> bool {
+/// Otherwise, if boots are predicted to take longer than a gang's run time, one task of the
+/// gang is planned after another on the same machine, no machine is rented, and the gang
+/// never starts because it has too few machines.
+fn must_run_concurrently(job: &PendingJob, scope: PlanScope) -> bool {
     job.spec.shape == Shape::Gang && !scope.free_now
 }
 
-/// When the last of the tasks would run; 0 if there are none.
+/// When the last of the tasks would begin to run, in seconds since the Unix epoch; 0 if there
+/// are no tasks.
 fn last_running_s(choices: &[MachineChoice]) -> f64 {
     let running = choices.iter().map(|choice| choice.finish.running_s);
     running.fold(0.0, f64::max)
