--- a/crates/scheduler/src/pending_job.rs
+++ b/crates/scheduler/src/pending_job.rs
@@ -1,4 +1,4 @@
-//! A job with tasks to place, and what they are predicted to take on each machine type.
+//! A job with tasks to place, with their predicted durations on each machine type.
 
 use crate::Resources;
 use crate::quota::TasksPerZone;
@@ -6,48 +6,51 @@
 use rushwalk_protocol::jobs::JobSpec;
 use std::sync::Arc;
 
-/// What a task takes on machines of one group.
+/// Predicted durations of a job's task on machines of one type.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct TaskEstimate {
-    /// Seconds that it runs.
+    /// Run time in seconds, without the image fetch; infinite for a service.
     pub run_s: f64,
-    /// Seconds to fetch its image.
+    /// Seconds to fetch the task's image.
     pub fetch_s: f64,
-    /// Seconds that another machine of the group would boot.
+    /// Seconds that a new machine of this type takes to boot.
     pub boot_s: f64,
-    /// Whether the job may use the group, and a task fits an empty machine.
+    /// Whether the job may use machines of this type, and a task fits on an empty one.
     pub allowed: bool,
 }
 
-/// A job with tasks that have no machine.
+/// A job with tasks that are not assigned to a machine.
 #[derive(Debug, Clone)]
 pub struct PendingJob {
     /// The job as submitted.
     pub spec: Arc<JobSpec>,
-    /// What each task requests.
+    /// Resources that each task requests.
     pub resources: Resources,
     /// The image that its tasks run.
     pub image: ImageId,
-    /// Per group, in the order of the round's machine types.
+    /// One estimate for each of the round's machine types, in their order.
     pub estimates: Vec<TaskEstimate>,
-    /// Seconds from placement to start, without the fetch of the image.
+    /// Predicted seconds from the placement of a task to its start, without the image fetch.
     pub overhead_s: f64,
     /// Indices of the tasks to place.
     pub tasks: Vec<u32>,
-    /// Where its tasks are.
+    /// Number of tasks of the job that are already assigned in each zone.
     pub tasks_per_zone: TasksPerZone,
-    /// Machines on which this job failed.
+    /// Names of machines that must not be used, because tasks of this job failed on them or
+    /// are to be moved away from them.
     pub avoided_machines: Vec<Arc<str>>,
-    /// By how much dearer on-demand and spot machines (in this order) of each group count
-    /// for this job, because there are no more of them and other jobs gain more by them.
+    /// Factors on the prices of on-demand and spot machines (in this order) of each machine
+    /// type; empty for factors of 1. The caller raises the price of a type that the cloud has
+    /// run out of and that other jobs profit from more.
     pub price_bias: Vec<[f64; 2]>,
-    /// It failed wherever it ran: it is tried where it can start now, and no machine is
-    /// rented or reserved for it.
+    /// Whether the job failed on every machine on which it ran. Then it is placed only on
+    /// machines where it can start now, and no machine is rented or reserved for it.
     pub single_probe: bool,
 }
 
 impl PendingJob {
-    /// Whether its tasks may run on a machine.
+    /// Whether the job may use a machine, by the machine's type, by whether it is a spot
+    /// instance, and by whether it is cordoned.
     pub(crate) fn allows_machine(&self, machine: &MachineTimeline) -> bool {
         let estimate = self.estimates.get(machine.group);
         !machine.cordoned
@@ -55,18 +58,19 @@
             && estimate.is_some_and(|estimate| estimate.allowed)
     }
 
-    /// Whether its next task may go to a zone.
+    /// Whether the job's next task may be placed in a zone, by the requested zone and by the
+    /// tasks placed so far.
     pub(crate) fn allows_zone(&self, zone: &str) -> bool {
         self.requests_zone(zone) && self.tasks_per_zone.allows(&self.spec, zone)
     }
 
-    /// Whether a zone is the one that the job requests, if it requests one.
+    /// Whether a zone is the one that the job requests. True for any zone if it requests none.
     pub(crate) fn requests_zone(&self, zone: &str) -> bool {
         let requested = self.spec.zone.as_ref();
         requested.is_none_or(|requested| **requested == *zone)
     }
 
-    /// By how much dearer a machine counts for this job.
+    /// The factor on the price of a machine for this job; see [`Self::price_bias`].
     pub(crate) fn price_bias_of(&self, machine: &MachineTimeline) -> f64 {
         let biases = self.price_bias.get(machine.group);
         biases.map_or(1.0, |bias| bias[usize::from(machine.spot)])
--- a/crates/scheduler/src/quota.rs
+++ b/crates/scheduler/src/quota.rs
@@ -1,4 +1,4 @@
-//! Teams' limits and guarantees, and constraints on where a job's tasks may be.
+//! Resource limits and guarantees of teams, and the constraints on the zones of a job's tasks.
 
 use crate::Resources;
 use crate::resources::ROUNDING_TOLERANCE;
@@ -9,12 +9,13 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Resources in use per team. A task counts until it is known to have ended.
+/// Resources in use per team, by the team's name. A task counts until it is known to have
+/// ended.
 #[derive(Debug, Clone, Default)]
 pub struct QuotaUsage(HashMap<String, Resources>);
 
 impl QuotaUsage {
-    /// Adds an amount to what a team uses.
+    /// Adds an amount to the resources that a team uses.
     pub fn add(&mut self, team: &str, amount: Resources) {
         let used = self.0.entry(team.to_string()).or_default();
         *used = *used + amount;
@@ -35,26 +36,29 @@
             .fold(count, usize::min)
     }
 
-    /// Whether `amount` more stays within what the team is guaranteed.
+    /// Whether the team stays within its guarantee if it uses `amount` more. False if the
+    /// team has no guarantee.
     pub fn is_within_guarantee(&self, team: &Team, amount: Resources) -> bool {
         let used = self.of_team(&team.name) + amount;
         (team.cpus > 0.0 || team.gpus > 0.0) && is_within(used, team.cpus, team.gpus)
     }
 }
 
-/// How many times `each` fits between `used` and `limit`; `None` without a limit (0).
+/// How many times `each` fits between `used` and `limit`; `None` if there is no limit (0) or
+/// `each` is 0.
 fn count_within(used: f64, each: f64, limit: f64) -> Option<usize> {
     let limited = limit > 0.0 && each > 0.0;
     limited.then(|| ((limit + ROUNDING_TOLERANCE - used) / each).max(0.0) as usize)
 }
 
-/// Whether `used` is within limits on CPUs and GPUs, of which 0 means none.
+/// Whether `used` is within the limits on CPUs and GPUs. A limit of 0 means unlimited.
 fn is_within(used: Resources, cpus_limit: f64, gpus_limit: f64) -> bool {
     let within = |used: f64, limit: f64| limit <= 0.0 || used <= limit + ROUNDING_TOLERANCE;
     within(used.cpus, cpus_limit) && within(used.gpus, gpus_limit)
 }
 
-/// Why a job can never run. Users get the text as the answer to their submission.
+/// The reason why a job can never run. Its text is the error message that the user receives
+/// in response to the submission.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum Unsatisfiable {
     /// The settings have no team of this name.
@@ -63,21 +67,23 @@
     /// The settings have no zone of this name.
     #[error("unknown zone {0}")]
     UnknownZone(String),
-    /// No machine type that the job allows is large enough in a zone that it allows.
+    /// No machine type that the job allows and that is offered in a zone that it allows is
+    /// large enough for a task.
     #[error("a task fits no allowed machine type")]
     NoMachineTypeFits,
-    /// The tasks should be spread over zones, but only one zone is possible.
+    /// The job requests that its tasks are spread over zones, but they can only be in one.
     #[error("spread: its tasks can't be in two zones at least")]
     SpreadImpossible,
-    /// The tasks that must run together exceed the limit of this team.
+    /// The tasks that must run at the same time exceed the limit of this team.
     #[error("more than the limit of team {0}")]
     TeamLimitExceeded(String),
 }
 
-/// Checks that a job could run on an empty fleet of any size.
+/// Checks that a job could run if any number of machines were available and no other job
+/// used them.
 ///
 /// # Errors
-/// The first reason found why it can never run.
+/// The first reason found why the job can never run.
 pub fn check_satisfiable(
     spec: &JobSpec,
     teams: &[Team],
@@ -96,18 +102,20 @@
     if possible_zones.is_empty() {
         return Err(Unsatisfiable::NoMachineTypeFits);
     }
-    // An array runs as many tasks at a time as its zone may have.
+    // A spread array can run in a single zone: its tasks need not run at the same time, so it
+    // runs at most half of them at a time there.
     let single_zone = spec.one_zone || possible_zones.len() == 1;
     if spec.spread && single_zone && spec.tasks > 1 && spec.shape != Shape::Array {
         return Err(Unsatisfiable::SpreadImpossible);
     }
-    if !is_within(least_at_a_time(spec), team.cpus_max, team.gpus_max) {
+    if !is_within(min_concurrent_resources(spec), team.cpus_max, team.gpus_max) {
         return Err(Unsatisfiable::TeamLimitExceeded(team.name.clone()));
     }
     Ok(())
 }
 
-/// Zones in which a machine type that a job allows and fits is offered.
+/// The zones that a job allows and in which a machine type is offered that the job allows and
+/// that is large enough for a task.
 fn possible_zones<'a>(spec: &JobSpec, types: &'a [MachineType]) -> BTreeSet<&'a String> {
     let amount = Resources::of_task(spec);
     let type_allowed = |name: &String| {
@@ -122,9 +130,9 @@
         .collect()
 }
 
-/// CPUs and GPUs that a job needs at the same time: one task of an array, all tasks of any
-/// other job.
-fn least_at_a_time(spec: &JobSpec) -> Resources {
+/// The CPUs and GPUs that a job needs at the same time at least: those of one task for an
+/// array, those of all tasks for other jobs. The memory is 0, since teams have no memory limit.
+fn min_concurrent_resources(spec: &JobSpec) -> Resources {
     let tasks = match spec.shape {
         Shape::Array => 1.0,
         _ => f64::from(spec.tasks),
@@ -137,7 +145,7 @@
     }
 }
 
-/// How many tasks of a job each zone has, terminating ones included.
+/// Number of tasks of a job in each zone, including terminating ones.
 #[derive(Debug, Clone, Default)]
 pub struct TasksPerZone(Vec<ZoneTasks>);
 
@@ -159,8 +167,8 @@
         }
     }
 
-    /// Whether one more task may go to a zone, by what the job requires of one zone for all
-    /// tasks and of spreading them.
+    /// Whether one more task may be placed in a zone. With `one_zone`, all tasks must be in
+    /// the same zone; with `spread`, at most half of them, rounded up, may be in one zone.
     pub fn allows(&self, spec: &JobSpec, zone: &str) -> bool {
         if spec.one_zone && self.0.iter().any(|entry| *entry.zone != *zone) {
             return false;
--- a/crates/scheduler/src/resources.rs
+++ b/crates/scheduler/src/resources.rs
@@ -1,4 +1,4 @@
-//! Amounts of the resources that tasks request and machines have.
+//! Amounts of CPU, GPU and memory that tasks request and machines have.
 
 use rushwalk_protocol::{cloud::MachineType, jobs::JobSpec};
 use std::ops::{Add, Sub};
@@ -14,11 +14,12 @@
     pub memory_gb: f64,
 }
 
-/// Sums of decimal amounts are off by a rounding error; comparisons tolerate this much.
+/// Difference that comparisons of amounts tolerate, because sums of decimal fractions have
+/// rounding errors.
 pub(crate) const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 impl Resources {
-    /// What one task of a job requests.
+    /// The resources that one task of a job requests.
     pub fn of_task(spec: &JobSpec) -> Resources {
         Resources {
             cpus: spec.cpus,
@@ -27,7 +28,7 @@
         }
     }
 
-    /// What an empty machine of a type has.
+    /// The resources of a machine of this type without tasks.
     pub fn of_type(machine_type: &MachineType) -> Resources {
         Resources {
             cpus: machine_type.cpus,
@@ -43,7 +44,8 @@
             && self.memory_gb <= available.memory_gb + ROUNDING_TOLERANCE
     }
 
-    /// The largest share that this amount takes of any resource of `whole`.
+    /// The largest of the shares that this amount takes of each resource of `whole`; 0 for an
+    /// empty amount.
     pub fn dominant_share_of(&self, whole: &Resources) -> f64 {
         self.paired_with(whole)
             .into_iter()
@@ -52,7 +54,8 @@
             .fold(0.0, f64::max)
     }
 
-    /// The smallest share that this amount is of any resource that `whole` has.
+    /// The smallest of the shares that this amount takes of each resource that `whole` has; at
+    /// most 1.
     pub fn least_share_of(&self, whole: &Resources) -> f64 {
         self.paired_with(whole)
             .into_iter()
@@ -61,7 +64,7 @@
             .fold(1.0, f64::min)
     }
 
-    /// How many of this amount fit into `available`, at most `limit`.
+    /// How many times this amount fits into `available`, at most `limit`.
     pub fn count_in(&self, available: &Resources, limit: u32) -> u32 {
         let share = self.dominant_share_of(available);
         if share > 0.0 {
--- a/crates/scheduler/src/timeline.rs
+++ b/crates/scheduler/src/timeline.rs
@@ -1,61 +1,70 @@
-//! The plan of one machine: which resources are free from when on, and when a task would
-//! start and finish there.
+//! The timeline of one machine: how much of its resources is free at which time, and when a
+//! task would start and finish on it.
 
 use crate::Resources;
 use crate::pending_job::{PendingJob, TaskEstimate};
 use rushwalk_protocol::cloud::MachineType;
 use std::sync::Arc;
 
-/// An image by its number: names are compared once, not for each machine.
+/// Number that stands for the name of a container image, so that planning compares numbers
+/// instead of names.
 pub type ImageId = u32;
 
 /// A machine with the tasks planned on it. Times are in seconds since the Unix epoch.
 #[derive(Debug, Clone)]
 pub struct MachineTimeline {
-    /// Name of the machine; empty for one that is still to be rented.
+    /// Name of the machine; empty for a machine that is not rented yet.
     pub name: Arc<str>,
-    /// Index of its type among the round's types: the paper's machine group.
+    /// Index of its machine type among the round's types. The paper that the design follows
+    /// calls this the machine group.
     pub group: usize,
     /// Index of its zone among the round's zones.
     pub zone: usize,
-    /// The shard that it belongs to.
+    /// Name of the shard that the machine belongs to; the machine's own name until the
+    /// caller sets it.
     pub shard: Arc<str>,
     /// Whether it is a spot instance, which the cloud may reclaim.
     pub spot: bool,
-    /// When it can take tasks: in the past for a machine that is up.
+    /// The time from which it can take tasks. For a machine that is up this is not in the
+    /// future.
     pub ready_s: f64,
-    /// False for a machine that boots, or is still to be rented.
+    /// Whether it has booted. False also for a machine that is not rented yet.
     pub up: bool,
-    /// It takes no more tasks in this plan.
+    /// If set, no further task is planned on the machine in this round.
     pub cordoned: bool,
-    /// What it has when empty.
+    /// Resources of the machine without any task.
     pub capacity: Resources,
-    /// Images that it has or fetches. Treating a fetch in progress as finished made tasks
-    /// wait for machines that were still booting.
+    /// Images that the machine has or is fetching, each with the time at which it is
+    /// available. If a fetch in progress counted as finished, tasks would be assigned to
+    /// machines that are still booting and wait for them.
     pub images: Vec<MachineImage>,
     /// Price per hour.
     pub price: f64,
-    /// By how many seconds its latest finished task missed the prediction.
+    /// Run time of the latest completed task minus its predicted run time, in seconds;
+    /// negative if the task finished early.
     pub pending_error_s: f64,
-    /// How many times longer than on its group tasks take on it, as far as is known.
+    /// Estimated run time of a task on this machine divided by the run time predicted for
+    /// its machine type; 1 until tasks have completed on it.
     pub slowdown: f64,
-    /// Number of tasks on it, planned ones included.
+    /// Number of tasks on the machine, including planned ones.
     pub tasks: usize,
-    /// In the order of their times; the first begins when the machine is ready.
+    /// Free resources over time, in chronological order. The first step begins when the
+    /// machine is ready.
     free: Vec<FreeStep>,
 }
 
 /// An image on a machine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct MachineImage {
-    /// The image.
+    /// Number of the image.
     pub image: ImageId,
-    /// When its fetch is finished, in seconds since the Unix epoch.
+    /// When its fetch is finished, in seconds since the Unix epoch; 0 if it was fetched
+    /// before.
     pub available_s: f64,
 }
 
 impl MachineImage {
-    /// An image that is there already.
+    /// An image that the machine has already.
     pub fn present(image: ImageId) -> MachineImage {
         MachineImage {
             image,
@@ -64,44 +73,47 @@
     }
 }
 
-/// What is free on a machine from one time until the next step.
+/// The resources that are free on a machine from `from_s` until the next step begins.
 #[derive(Debug, Clone, Copy)]
 struct FreeStep {
     from_s: f64,
     free: Resources,
 }
 
-/// What is free on a machine at a time, and for how long.
+/// An interval during which the same resources are free on a machine.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct FreeInterval {
-    /// Since when, in seconds since the Unix epoch.
+    /// Begin of the interval, in seconds since the Unix epoch.
     pub(crate) from_s: f64,
-    /// Until when; infinite if nothing changes any more.
+    /// End of the interval, in seconds since the Unix epoch; infinite if no later change is
+    /// planned.
     pub(crate) until_s: f64,
-    /// What is free.
+    /// The free resources.
     pub(crate) free: Resources,
 }
 
 /// When a task would start and finish on a machine, in seconds since the Unix epoch.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PredictedFinish {
-    /// When it would be started.
+    /// When the machine would start the task, beginning with the fetch of its image.
     pub start_s: f64,
-    /// When it would run, with its image fetched.
+    /// When the task would begin to run, after the overhead and the fetch of its image.
     pub running_s: f64,
-    /// When it would finish; infinite for a service.
+    /// When the task would finish; infinite for a service.
     pub finish_s: f64,
 }
 
-/// The uncertainty of a wait for other tasks counts at most this many boot times.
+/// The uncertainty that is added to a predicted wait for other tasks is at most this many
+/// boot times.
 const MAX_UNCERTAINTY_BOOT_TIMES: f64 = 1.0;
 
-/// When a task is predicted to start on a machine that is up and would be free for it at
-/// `start_s`. Only a machine with pending tasks has a pending error.
+/// When a task is predicted to start on a machine that is up and has room for it from
+/// `start_s` on. The machine's `pending_error_s` counts only if the task has to wait for
+/// others.
 ///
-/// A wait for the end of other tasks is less certain than a fetch: ends that come early help
-/// little, late ones add up. So it counts twice, up to the boot time of another machine: a
-/// long queue is worked off meanwhile.
+/// A wait for other tasks to finish is less certain than a fetch: tasks that finish early
+/// shorten the wait little, while delays add up. So the wait is extended by its own length, at
+/// most by the boot time of another machine, since a long queue shortens during a boot.
 pub(crate) fn start_with_uncertainty(
     start_s: f64,
     now_s: f64,
@@ -118,7 +130,7 @@
 }
 
 impl MachineTimeline {
-    /// An empty machine that is not up and takes tasks from `ready_s` on.
+    /// A machine without tasks that is not up yet and can take tasks from `ready_s` on.
     pub fn new(
         name: Arc<str>,
         group: usize,
@@ -155,14 +167,16 @@
         }
     }
 
-    /// What is free at a time or, before the machine is ready, once it is.
+    /// The resources that are free at `time_s` or, if the machine is not ready by then, at the
+    /// time at which it becomes ready.
     pub fn free_at(&self, time_s: f64) -> Resources {
         let step = self.free.iter().rev().find(|step| step.from_s <= time_s);
         step.or(self.free.first())
             .map_or(Resources::default(), |step| step.free)
     }
 
-    /// Reserves `amount` from `start_s` until `finish_s`.
+    /// Reserves `amount` for one task from `start_s` until `finish_s`, in seconds since the
+    /// Unix epoch; an infinite `finish_s` reserves it without end.
     pub fn reserve(&mut self, amount: Resources, start_s: f64, finish_s: f64) {
         let start_s = start_s.max(self.free[0].from_s);
         self.split_at(start_s);
@@ -177,7 +191,7 @@
         self.tasks += 1;
     }
 
-    /// Makes sure that a step begins at a time.
+    /// Splits the step that contains `time_s`, so that a step begins at that time.
     fn split_at(&mut self, time_s: f64) {
         let found = self
             .free
@@ -190,9 +204,10 @@
         }
     }
 
-    /// A time before which `amount` is not free: cheaper than [`Self::earliest_start`].
-    pub(crate) fn not_before(&self, amount: &Resources, now_s: f64) -> Option<f64> {
-        // Few steps are past: a plan begins at the present.
+    /// A lower bound on [`Self::earliest_start`] that is cheaper to compute; `None` if
+    /// `amount` is never free.
+    pub(crate) fn earliest_start_bound(&self, amount: &Resources, now_s: f64) -> Option<f64> {
+        // The search is short, because few steps of a timeline are in the past.
         let interval = self.free_interval(now_s);
         if amount.fits_in(&interval.free) {
             Some(interval.from_s.max(now_s))
@@ -201,7 +216,8 @@
         }
     }
 
-    /// What is free at a time or, before the machine is ready, once it is.
+    /// The interval that contains `time_s` or, if the machine is not ready by then, the first
+    /// one.
     pub(crate) fn free_interval(&self, time_s: f64) -> FreeInterval {
         let after = self.free.iter().position(|step| step.from_s > time_s);
         let index = after.unwrap_or(self.free.len()).saturating_sub(1);
@@ -213,12 +229,14 @@
         }
     }
 
+    /// The time at which a step ends; infinite for the last one.
     fn step_end(&self, index: usize) -> f64 {
         let next = self.free.get(index + 1);
         next.map_or(f64::INFINITY, |step| step.from_s)
     }
 
-    /// The earliest time from which `amount` is free for `duration_s` seconds.
+    /// The earliest time, not before `now_s`, from which `amount` is free for `duration_s`
+    /// seconds; `None` if there is no such time.
     fn earliest_start(&self, amount: &Resources, now_s: f64, duration_s: f64) -> Option<f64> {
         let mut start: Option<f64> = None;
         for (index, step) in self.free.iter().enumerate() {
@@ -238,8 +256,10 @@
         start
     }
 
-    /// Predicts when a task would finish: the sum of overhead, fetch time, pending time with
-    /// its error, and run time (§4.3.5-6 of the paper). `None` if it can't run here.
+    /// Predicts when a task of the job would start and finish on this machine if it is planned
+    /// at `now_s`. The time until it finishes is the sum of the start-up overhead, the image
+    /// fetch, the wait for other tasks with its prediction error, and the run time (§4.3.5-6
+    /// of the paper that the design follows). `None` if the task can't run on this machine.
     pub fn predict(&self, job: &PendingJob, now_s: f64) -> Option<PredictedFinish> {
         if !job.resources.fits_in(&self.capacity) {
             return None;
@@ -247,17 +267,17 @@
         let estimate = job.estimates.get(self.group)?;
         let run_s = estimate.run_s * self.slowdown;
         let from_s = now_s.max(self.ready_s);
-        let present = self.image_available_s(job.image);
-        let available_s = present.unwrap_or_else(|| self.fetch_end_s(estimate.fetch_s, from_s));
+        let recorded_s = self.image_available_s(job.image);
+        let available_s = recorded_s.unwrap_or_else(|| self.fetch_end_s(estimate.fetch_s, from_s));
         let fetch_s = (available_s - from_s).max(0.0);
         let duration_s = job.overhead_s + fetch_s + run_s;
         let mut start_s = self.earliest_start(&job.resources, now_s, duration_s)?;
         if self.up {
             start_s = start_with_uncertainty(start_s, now_s, self.pending_error_s, estimate, job);
         }
-        // An image is fetched from the task's start on, unless it is there or its fetch for
-        // another task is in progress.
-        let running_s = match present {
+        // The fetch begins when the task starts, unless the machine already has the image or
+        // is fetching it for another task.
+        let running_s = match recorded_s {
             Some(_) => (start_s + job.overhead_s).max(available_s),
             None => start_s + job.overhead_s + fetch_s,
         };
@@ -268,26 +288,30 @@
         })
     }
 
-    /// When an image is available here, if it is there or being fetched.
+    /// When an image is available on this machine; `None` if it neither has the image nor
+    /// is fetching it.
     fn image_available_s(&self, image: ImageId) -> Option<f64> {
         let entry = self.images.iter().find(|entry| entry.image == image);
         entry.map(|entry| entry.available_s)
     }
 
-    /// When an image would be available if its fetch began at `from_s`: fetches on one
-    /// machine share its rate, so it waits for those in progress.
+    /// When an image would be available if its fetch, which takes `fetch_s` seconds, were
+    /// requested at `from_s`. Fetches of one machine share its bandwidth, so the fetch is
+    /// counted from the end of those in progress.
     fn fetch_end_s(&self, fetch_s: f64, from_s: f64) -> f64 {
         let available = self.images.iter().map(|entry| entry.available_s);
         available.fold(from_s, f64::max) + fetch_s
     }
 
-    /// Plans a task on this machine, with the fetch of its image.
+    /// Plans a task on this machine: reserves its resources and records the fetch of its
+    /// image.
     pub fn place(&mut self, job: &PendingJob, finish: &PredictedFinish) {
         self.reserve(job.resources, finish.start_s, finish.finish_s);
         self.record_fetch(job.image, finish.running_s);
     }
 
-    /// Records that an image is or will be available from a time on.
+    /// Records that an image is available from `available_s` on. Does nothing if the machine
+    /// already has the image or is fetching it.
     pub fn record_fetch(&mut self, image: ImageId, available_s: f64) {
         if self.image_available_s(image).is_none() {
             self.images.push(MachineImage { image, available_s });
--- a/crates/scheduler/src/timeline_index.rs
+++ b/crates/scheduler/src/timeline_index.rs
@@ -1,5 +1,6 @@
-//! All machines of a plan, with a summary of each that shows cheaply which of them can't be
-//! the best for a task.
+//! Index over the machine timelines of a round. It keeps a summary of each machine, from
+//! which a lower bound on the finish of a task there is cheap to compute; most machines are
+//! excluded as the best for a task by this bound alone.
 
 mod image_sets;
 
@@ -9,14 +10,17 @@
 use image_sets::{ImageSets, MachineSet};
 use std::ops::Deref;
 
-/// What a bound on a machine's finish is worked out from, contiguous in memory: most
-/// machines are looked at no further. Made anew whenever the machine's plan changes.
+/// The values from which a lower bound on a machine's finish is computed. They are kept apart
+/// from the timelines and contiguous in memory, because for most machines nothing else is
+/// read. A summary is replaced whenever its machine's timeline changes.
 #[derive(Debug, Clone)]
 struct TimelineSummary {
+    /// Index of the machine.
     machine: u32,
     cordoned: bool,
+    /// Whether the machine has no task.
     empty: bool,
-    /// What is free at the index's time: since when, until when, how much.
+    /// Begin, end and resources of the free interval at [`TimelineIndex::now_s`].
     free_from_s: f64,
     free_until_s: f64,
     free: Resources,
@@ -40,7 +44,8 @@
     }
 }
 
-/// Machines that a job may either use all or not at all.
+/// Machines that share the properties by which a job's requirements exclude machines, so that
+/// either all or none of them are excluded.
 #[derive(Debug, Clone)]
 struct MachineClass {
     group: usize,
@@ -69,22 +74,26 @@
     }
 }
 
-/// Where a machine's summary is.
+/// Position of a machine's summary.
 #[derive(Debug, Clone, Copy)]
 struct SummaryPosition {
+    /// Index of the class.
     class: u32,
+    /// Index in [`MachineClass::summaries`].
     index: u32,
 }
 
-/// The machines of a round, in their order.
+/// The machines of a round, in the order in which they were added, with their summaries.
+/// Dereferences to the slice of the machines.
 #[derive(Debug, Clone, Default)]
 pub struct TimelineIndex {
     machines: Vec<MachineTimeline>,
     classes: Vec<MachineClass>,
-    /// One for each machine.
+    /// Position of each machine's summary, by the index of the machine.
     positions: Vec<SummaryPosition>,
     image_sets: ImageSets,
-    /// The time of the summaries, in seconds since the Unix epoch.
+    /// The time for which the summaries hold the free interval, in seconds since the Unix
+    /// epoch.
     now_s: f64,
 }
 
@@ -96,7 +105,7 @@
     }
 }
 
-/// The earliest that a machine could finish a task.
+/// A lower bound on the finish of a task on one machine.
 pub struct FinishBound {
     /// Index of the machine.
     pub machine: usize,
@@ -104,21 +113,24 @@
     pub spot: bool,
     /// Whether it has no task.
     pub empty: bool,
-    /// No time of the true prediction is earlier.
+    /// Lower bounds on the times that [`MachineTimeline::predict`] returns for the machine.
     pub finish: PredictedFinish,
 }
 
-/// The tasks for which bounds are worked out.
+/// The job for which bounds are computed.
 struct BoundQuery<'a> {
     job: &'a PendingJob,
     machines_with_image: MachineSet<'a>,
+    /// The time at which the tasks are planned, in seconds since the Unix epoch. May be later
+    /// than [`TimelineIndex::now_s`].
     now_s: f64,
+    /// Only machines on which a task may start at `now_s` get a bound.
     free_now: bool,
 }
 
 impl TimelineIndex {
-    /// An empty index with room for `capacity` machines, as of `now_s` (seconds since the
-    /// Unix epoch).
+    /// An index without machines, with memory allocated for `capacity` of them. The summaries
+    /// will describe the machines at `now_s` (seconds since the Unix epoch).
     pub fn new(now_s: f64, capacity: usize) -> TimelineIndex {
         TimelineIndex {
             machines: Vec::with_capacity(capacity),
@@ -129,7 +141,7 @@
         }
     }
 
-    /// Adds a machine as the last.
+    /// Adds a machine; its index is the number of machines before.
     pub fn push(&mut self, machine: MachineTimeline) {
         let index = self.machines.len();
         for entry in &machine.images {
@@ -145,7 +157,7 @@
         self.machines.push(machine);
     }
 
-    /// Index of a machine's class, which is added if there is none.
+    /// Index of the class that contains a machine; a new class is added if none does.
     fn class_of(&mut self, machine: &MachineTimeline) -> usize {
         let class = self.classes.iter().position(|c| c.contains(machine));
         class.unwrap_or_else(|| {
@@ -168,7 +180,7 @@
         self.update_summary(index);
     }
 
-    /// Puts a machine back as it was.
+    /// Replaces a machine by an earlier copy of it.
     pub fn restore(&mut self, index: usize, machine: MachineTimeline) {
         self.machines[index] = machine;
         self.update_summary(index);
@@ -182,22 +194,22 @@
         self.machines.truncate(len);
     }
 
-    /// Sets whether a machine takes no more tasks in this plan.
+    /// Sets [`MachineTimeline::cordoned`] of a machine.
     pub fn set_cordoned(&mut self, index: usize, cordoned: bool) {
         self.machines[index].cordoned = cordoned;
         self.update_summary(index);
     }
 
-    /// Calls `each` with a bound for every machine that a job may use in the zones that are
-    /// open to it (`open_zones`, by index): no machine's true finish is earlier than its
-    /// bound. With `free_now` only for those that may start a task at once.
+    /// Calls `visit` with a lower bound on the predicted finish for every machine that a job
+    /// may use. `open_zones` says for each zone, by its index, whether the job may use it.
+    /// With `free_now`, machines that certainly can't start a task at `now_s` are left out.
     pub fn for_each_bound(
         &self,
         job: &PendingJob,
         open_zones: &[bool],
         now_s: f64,
         free_now: bool,
-        mut each: impl FnMut(FinishBound),
+        mut visit: impl FnMut(FinishBound),
     ) {
         let query = BoundQuery {
             job,
@@ -216,13 +228,14 @@
             }
             for summary in class.summaries.iter().filter(|s| !s.cordoned) {
                 if let Some(bound) = self.bound(&query, class, estimate, summary) {
-                    each(bound);
+                    visit(bound);
                 }
             }
         }
     }
 
-    /// The bound of one machine; `None` if it can't take a task.
+    /// The bound of one machine; `None` if the machine can't take a task of the job or, with
+    /// `free_now`, can't start one at the planned time.
     fn bound(
         &self,
         query: &BoundQuery,
@@ -232,7 +245,7 @@
     ) -> Option<FinishBound> {
         let job = query.job;
         let index = summary.machine as usize;
-        let mut start_s = self.earliest_start(query, summary);
+        let mut start_s = self.earliest_start_bound(query, summary);
         if start_s == f64::INFINITY || (query.free_now && start_s > query.now_s) {
             return None;
         }
@@ -259,13 +272,14 @@
         })
     }
 
-    /// A time before which a machine isn't free for a task; infinite if it never is.
-    fn earliest_start(&self, query: &BoundQuery, summary: &TimelineSummary) -> f64 {
+    /// A lower bound on the time from which a machine has room for a task; infinite if it
+    /// never has.
+    fn earliest_start_bound(&self, query: &BoundQuery, summary: &TimelineSummary) -> f64 {
         let amount = &query.job.resources;
         if query.now_s >= summary.free_until_s {
-            // The plan is for a time that the summary doesn't cover.
+            // The planned time is after the interval that the summary describes.
             let machine = &self.machines[summary.machine as usize];
-            let start_s = machine.not_before(amount, query.now_s);
+            let start_s = machine.earliest_start_bound(amount, query.now_s);
             start_s.unwrap_or(f64::INFINITY)
         } else if amount.fits_in(&summary.free) {
             summary.free_from_s.max(query.now_s)
--- a/crates/scheduler/src/timeline_index/image_sets.rs
+++ b/crates/scheduler/src/timeline_index/image_sets.rs
@@ -1,12 +1,13 @@
-//! Which machines have an image, one bit per machine.
+//! Sets of the machines that have an image, as bit sets with one bit per machine.
 
 use crate::timeline::ImageId;
 
 const WORD_BITS: usize = u64::BITS as usize;
 
-/// For each image the machines that may have it.
+/// For each image, by its number, the set of machines that may have it.
 ///
-/// A bit that is set without need only lowers a bound on a finish, so none is ever cleared.
+/// Bits are never cleared, also when a plan is undone: a bit that is set for a machine without
+/// the image only lowers the bound on a finish there, and the bound stays valid.
 #[derive(Debug, Clone, Default)]
 pub(super) struct ImageSets(Vec<Vec<u64>>);
 
