--- a/crates/scheduler/src/shard_assignment.rs
+++ b/crates/scheduler/src/shard_assignment.rs
@@ -1,9 +1,10 @@
-//! Which controller each shard of machines is assigned to.
+//! Assignment of shards (groups of machines) to the controllers that own them.
 //!
-//! A shard is best owned by a controller in its own zone, which reaches it during a network
-//! partition between zones. But a controller has capacity for a limited number of workers,
-//! so a zone with more machines than its share has some of its shards assigned to
-//! controllers elsewhere, and several controllers of a zone share its shards.
+//! A shard is preferably owned by a controller in its own zone, which can still reach the
+//! machines during a network partition between zones. Because a controller can serve only a
+//! limited number of workers, the controllers of one zone share its shards, and a zone with
+//! more machines than its controllers can serve has some of its shards assigned to controllers
+//! in other zones.
 
 mod rebalance;
 #[cfg(test)]
@@ -16,43 +17,48 @@
 pub struct OwnerCandidate<'a> {
     /// Name of the controller.
     pub name: &'a str,
-    /// Zone that it runs in.
+    /// Zone in which the controller runs.
     pub zone: &'a str,
-    /// Whether it has been registered for long enough to be given shards that have a
-    /// working owner: one that has just come back may fail again.
+    /// Whether the controller may receive shards that have a working owner. False for some time
+    /// after it registered, because a controller that has just restarted may fail again.
     pub eligible_for_moves: bool,
-    /// Load beside that of its shards, expressed in machines.
+    /// Load of the controller besides its shards, as an equivalent number of machines.
     pub extra_load: usize,
-    /// Neither suspected nor too slow. One that isn't gets no new shard while others are
-    /// trusted.
+    /// Whether the controller is neither suspected to have failed nor too slow. While any
+    /// candidate is trusted, an untrusted one gets a shard only if no trusted one has room
+    /// for it.
     pub trusted: bool,
-    /// Too slow for its load: its shards are moved, one at a time, to others that have
-    /// headroom.
+    /// Whether the controller is too slow for its load. Its shards are then moved, one at a
+    /// time, to controllers with headroom.
     pub slow: bool,
-    /// Whether it could serve more machines.
+    /// Whether the controller has spare capacity for more machines.
     pub has_headroom: bool,
 }
 
-/// A shard and how its owner reaches it.
+/// The state of a shard, as far as it matters for the assignment.
 #[derive(Debug, Clone)]
 pub struct ShardStatus<'a> {
-    /// Zone of its machines.
+    /// Zone of the shard's machines.
     pub zone: &'a str,
-    /// Number of its machines.
+    /// Number of the shard's machines.
     pub machines: usize,
-    /// Index of its owner among the candidates; `None` if that is gone.
+    /// Index of the owner among the candidates; `None` if the shard has no owner or the owner
+    /// is not a candidate.
     pub owner: Option<usize>,
-    /// Some of its machines are unreachable: a new owner would have to wait for their
-    /// leases to run out once more, so it is moved only if it must be.
+    /// Whether some of the machines are unreachable for the owner. Such a shard is not moved
+    /// only for better balance, because the new owner would have to wait for the leases of
+    /// those machines to expire once more.
     pub has_unreachable: bool,
-    /// Its owner receives heartbeats from few of its machines, for the first time within a
-    /// worker lease: another controller may reach them.
+    /// Whether the owner is cut off from the machines and another controller may reach them:
+    /// either they sent heartbeats to other controllers, or most of them are unreachable for
+    /// the owner. False if the shard was moved for this reason so recently that worker leases
+    /// from before the move may still be valid.
     pub owner_cut_off: bool,
-    /// Indices of the candidates to which its machines sent heartbeats.
+    /// Indices of the candidates other than the owner to which the machines sent heartbeats.
     pub reachable_from: Vec<usize>,
 }
 
-/// A shard that gets a new owner.
+/// A shard and its new owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ShardMove {
     /// Index of the shard.
@@ -61,15 +67,15 @@
     pub to: usize,
 }
 
-/// A shard goes to its own zone if that leaves the controller at most this many times the
-/// mean load.
-const HOME_LOAD_LIMIT: f64 = 1.25;
-/// A controller with more than this many times the mean load is overloaded.
+/// A shard is assigned to a controller in its own zone if the load of that controller is then
+/// at most this many times the mean load.
+const SAME_ZONE_LOAD_LIMIT: f64 = 1.25;
+/// A controller whose load is more than this many times the mean load is overloaded.
 const OVERLOAD_LIMIT: f64 = 1.5;
 
-/// Plans which shards get a new owner: those without one, those whose owner is cut off from
-/// their machines and, if there are none and `rebalance` is set, one that is better off
-/// elsewhere.
+/// Plans which shards get a new owner: all shards without an owner and all whose owner is cut
+/// off from their machines. If there are none and `rebalance` is set, at most one shard is
+/// moved to a better owner.
 pub fn plan_shard_moves(
     candidates: &[OwnerCandidate],
     shards: &[ShardStatus],
@@ -86,15 +92,18 @@
     moves
 }
 
-/// The assignment as it stands, with the moves planned so far.
+/// The current assignment, with the loads that result from the moves planned so far.
 struct ShardPlanner<'a> {
     candidates: &'a [OwnerCandidate<'a>],
     shards: &'a [ShardStatus<'a>],
-    /// Of each candidate, in machines.
+    /// Load of each candidate, in machines.
     load: Vec<usize>,
+    /// Mean load of the candidates if every shard had an owner, in machines.
     mean_load: f64,
+    /// Whether at least one candidate is trusted.
     any_trusted: bool,
-    /// Indices of the shards: the small ones come last and fill the gaps.
+    /// Indices of the shards, those with the most machines first, so that small shards are
+    /// assigned last and even out the loads.
     largest_first: Vec<usize>,
 }
 
@@ -120,7 +129,7 @@
         }
     }
 
-    /// Assigns the shards that need a new owner.
+    /// Plans moves for the shards without an owner or with an owner that is cut off.
     fn assign_required(&mut self) -> Vec<ShardMove> {
         let mut moves = Vec::new();
         for index in self.largest_first.clone() {
@@ -140,8 +149,8 @@
         moves
     }
 
-    /// The new owner of a shard whose `owner` is cut off from it: preferably one
-    /// that is known to reach it.
+    /// The new owner of a shard whose `owner` is cut off from it, preferably a candidate that
+    /// is known to reach its machines. `None` if there is no other candidate.
     fn replacement_owner(&self, shard: &ShardStatus, owner: usize) -> Option<usize> {
         let is_other = |candidate: usize| candidate != owner && self.may_be_assigned(candidate);
         let reaches = |candidate| is_other(candidate) && shard.reachable_from.contains(&candidate);
@@ -149,38 +158,41 @@
             .or_else(|| self.least_loaded(is_other))
     }
 
-    /// The owner of a shard that has none: preferably one in its zone.
+    /// The new owner of a shard without an owner, preferably a candidate in the shard's zone.
     fn new_owner(&self, shard: &ShardStatus) -> Option<usize> {
-        // A small site has one shard per zone: it is larger than a share, and still best
-        // owned in its zone.
-        let is_home = |candidate: usize| {
-            let fits = self.load_with(candidate, shard) <= HOME_LOAD_LIMIT * self.mean_load;
+        // In a small cluster a zone has a single shard, which may exceed the load limit. It is
+        // still assigned to a controller of its zone if that has no other load.
+        let is_same_zone = |candidate: usize| {
+            let fits = self.load_with(candidate, shard) <= SAME_ZONE_LOAD_LIMIT * self.mean_load;
             self.may_be_assigned(candidate)
                 && self.candidates[candidate].zone == shard.zone
                 && (fits || self.load[candidate] == 0)
         };
-        // Not everything to the last trusted one: under an overload of all, those that were
-        // slow to answer were left with nothing, and the one that was not with too much.
-        let is_fitting = |candidate: usize| {
+        // A trusted candidate must not become overloaded, even if it is the only one. When all
+        // controllers were overloaded, those that answered slowly lost all their shards and the
+        // only trusted one got too many.
+        let has_room = |candidate: usize| {
             let fits = self.load_with(candidate, shard) <= OVERLOAD_LIMIT * self.mean_load;
             self.may_be_assigned(candidate) && fits
         };
-        self.least_loaded(is_home)
-            .or_else(|| self.least_loaded(is_fitting))
+        self.least_loaded(is_same_zone)
+            .or_else(|| self.least_loaded(has_room))
             .or_else(|| self.least_loaded(|_| true))
     }
 
-    /// Whether a candidate may get a shard that needs an owner.
+    /// Whether a candidate may get a shard that needs a new owner: it is trusted, or no
+    /// candidate is.
     fn may_be_assigned(&self, candidate: usize) -> bool {
         self.candidates[candidate].trusted || !self.any_trusted
     }
 
-    /// A candidate's load if it owned a shard too.
+    /// The load of a candidate, in machines, if it owned a shard in addition.
     fn load_with(&self, candidate: usize, shard: &ShardStatus) -> f64 {
         (self.load[candidate] + shard.machines) as f64
     }
 
-    /// The least loaded of the candidates that meet a condition; the first of equals.
+    /// The least loaded of the candidates that meet a condition, the first one if several have
+    /// the same load; `None` if no candidate meets it.
     fn least_loaded(&self, condition: impl Fn(usize) -> bool) -> Option<usize> {
         let matching = (0..self.load.len()).filter(|candidate| condition(*candidate));
         matching.min_by_key(|candidate| self.load[*candidate])
