--- a/crates/scheduler/src/arrivals.rs
+++ b/crates/scheduler/src/arrivals.rs
@@ -1,21 +1,23 @@
-//! Forecast of job arrivals: how much capacity to keep ready for the time that a machine
-//! takes to boot.
+//! Forecast of the jobs that arrive while a new machine would boot, for which capacity must be
+//! ready in advance.
 
 #[cfg(test)]
 mod tests;
 
-/// The share of the latest bucket's rate that the estimate has at least.
+/// The estimated rate is at least this share of the rate in the latest bucket.
 const BURST_WEIGHT: f64 = 0.8;
-/// The rate is at most this many times that of the latest two buckets.
+/// The estimated rate is at most this many times the mean rate of the latest two buckets.
 const RECENT_LIMIT: f64 = 1.5;
 
-/// Arrivals per second, from counts per bucket of `bucket_s` seconds, the latest first.
+/// Estimates the arrivals per second from the numbers of arrivals in time buckets of
+/// `bucket_s` seconds each, the latest bucket first.
 ///
-/// The largest count is left out: a burst at the start, for instance, is no rate, and a
-/// single bucket gives none. Two corrections follow the latest buckets: the rate is at
-/// least four fifths of that in the latest one (if there are more than two), so that a
-/// burst counts for the most part at once, and at most half as high again as in the
-/// latest two, so that arrivals that have nearly stopped are not waited for.
+/// The estimate is the mean of all buckets but the largest, which may be a burst, for
+/// instance at the start. With a single bucket it is therefore 0. Two corrections depend on
+/// the latest buckets. If there are more than two buckets, the estimate is at least four
+/// fifths of the rate in the latest one, so that most of a new burst counts immediately. It is
+/// at most one and a half times the mean rate of the latest two, so that no capacity is kept
+/// for arrivals that have nearly stopped.
 pub fn arrival_rate(buckets: &[u32], bucket_s: f64) -> f64 {
     let Some(largest) = buckets.iter().max() else {
         return 0.0;
@@ -35,12 +37,12 @@
     average.max(burst).min(RECENT_LIMIT * latest)
 }
 
-/// When the arrivals to be ready for come, in seconds from now.
+/// The times, in seconds from now, of the arrivals for which capacity should be ready.
 ///
-/// `deviations` standard deviations of the expected number come at once, since arrivals
-/// cluster; the expected number is spread evenly over `lead_s` seconds. Tasks that end
-/// meanwhile make room for those: planning all of them for now kept nearly twice the fleet
-/// that short tasks need.
+/// Arrivals cluster, so `deviations` standard deviations of the expected number are assumed to
+/// arrive immediately. The expected number itself is spread evenly over the next `lead_s`
+/// seconds, because tasks that end during that time make room for later arrivals. Planning all
+/// arrivals for the current time kept the fleet at nearly twice the size that short tasks need.
 pub fn expected_arrival_times(rate: f64, lead_s: f64, deviations: f64) -> Vec<f64> {
     let expected = rate * lead_s;
     let immediate = (deviations * expected.sqrt()).round() as usize;
--- a/crates/scheduler/src/boot_times.rs
+++ b/crates/scheduler/src/boot_times.rs
@@ -1,9 +1,10 @@
-//! How long rented machines take to boot, estimated from recent rentals.
+//! Estimates from recent rentals how long rented machines take to boot.
 //!
-//! Most take 0.6 to 1.5 times the nominal time, some several times as long, a few never
-//! come up; and at times all of them are late, or all are up within a second. The estimate
-//! is a survival curve of the machines that were observed (Kaplan-Meier, in `survival`), with
-//! what is usual where too few were.
+//! Usually most machines take 0.6 to 1.5 times the nominal boot time, some take several times
+//! as long, and a few never boot. There are also periods in which all machines are late, or
+//! all boot within a second. The estimate is the median of a survival curve (Kaplan-Meier, in
+//! `survival`) of the observed machines, weighted with the usual distribution where few
+//! machines were observed.
 
 mod survival;
 #[cfg(test)]
@@ -13,18 +14,20 @@
 use std::collections::BTreeMap;
 use survival::{MOST_BOOTED_BY, USUAL_EARLIEST, median_boot_ratio};
 
-/// A machine that was rented.
+/// The boot of one rented machine, as observed so far.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BootSample {
-    /// When it was rented, in seconds since the Unix epoch.
+    /// When the machine was rented, in seconds since the Unix epoch.
     pub rented_s: f64,
-    /// Seconds that it took to boot or, if it has not booted, since it was rented.
+    /// Seconds from the rental until the machine had booted or, if it has not booted, until
+    /// the time of the observation.
     pub elapsed_s: f64,
-    /// Whether it has booted.
+    /// Whether the machine has booted.
     pub booted: bool,
 }
 
-/// Machines that are assumed to boot alike: of one type in one zone.
+/// A group of machines whose boot times are assumed to have the same distribution: those of
+/// one type in one zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct BootGroup {
     /// Index of the machine type.
@@ -34,7 +37,7 @@
 }
 
 impl BootGroup {
-    /// The group of a machine type and a zone, by their indices.
+    /// Creates the group from the indices of a machine type and a zone.
     pub fn new(machine_type: usize, zone: usize) -> BootGroup {
         BootGroup { machine_type, zone }
     }
@@ -43,62 +46,74 @@
 /// The observed boots of one group.
 #[derive(Debug, Clone, Default)]
 struct BootHistory {
+    /// Nominal boot time in seconds.
     nominal_s: f64,
-    /// In the order of their rentals, once sampling has finished.
+    /// Sorted by the time of the rental, once
+    /// [`finish_sampling`](BootTimeEstimator::finish_sampling) was called.
     samples: Vec<BootSample>,
-    /// Seconds that a machine rented now should take.
+    /// Expected boot time in seconds of a machine that is rented now; set by
+    /// [`finish_sampling`](BootTimeEstimator::finish_sampling).
     expected_s: f64,
 }
 
-/// Identifies machines of a group that were rented in the same millisecond.
+/// Key for the machines of a group that were rented in the same millisecond.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct RentalKey {
     group: BootGroup,
     rented_ms: u64,
 }
 
-/// Estimates boot times, as of one moment.
+/// Estimates boot times at one point in time.
+///
+/// All samples are added first, then [`Self::finish_sampling`] is called, then estimates can
+/// be read.
 #[derive(Debug, Clone, Default)]
 pub struct BootTimeEstimator {
-    /// That moment, in seconds since the Unix epoch.
+    /// The time of the estimates, in seconds since the Unix epoch.
     now_s: f64,
-    /// For so many seconds a machine may be up before that is observed.
+    /// Seconds that may pass between the end of a boot and its observation.
     observation_delay_s: f64,
     groups: BTreeMap<BootGroup, BootHistory>,
-    /// Machines are rented many at a time, and the remaining time is the same for all.
+    /// Remaining boot times in seconds that were computed before. Many machines are rented at
+    /// the same time, and all of them have the same remaining time.
     remaining_cache: RefCell<BTreeMap<RentalKey, f64>>,
 }
 
-/// Expected boot time, in nominal ones: a little longer than half of the machines take.
+/// Usual expected boot time as a multiple of the nominal one; slightly more than the median.
 const EXPECTED_RATIO: f64 = 1.1;
-/// A machine that is not late yet is expected within this many nominal boot times at least.
+/// Lower bound on the remaining time of a machine that is not late yet, as a multiple of the
+/// nominal boot time.
 const MIN_REMAINING_RATIO: f64 = 0.2;
-/// An estimate is made from this many of the machines that were rented around a moment.
+/// Number of machines, rented at about the same time, from which an estimate is made.
 const COHORT: usize = 16;
-/// After this many boot times an observation is no evidence for machines rented now.
+/// A sample that was rented longer ago than this multiple of the nominal boot time is not
+/// used to estimate the boot time of machines that are rented now.
 const STALE_RATIO: f64 = 6.0;
-/// A machine is replaced if it should still take this many times as long as a new one.
+/// A late machine is replaced if its remaining time is more than this many times the expected
+/// boot time of a new machine.
 const REPLACE_FACTOR: f64 = 2.0;
-/// No machine is expected later than this many boot times from now.
+/// Upper bound on the remaining time of a machine, as a multiple of the nominal boot time.
 const MAX_REMAINING_RATIO: f64 = 20.0;
-/// No nominal boot time counts as shorter, in seconds.
+/// Lower bound on nominal boot times, in seconds.
 const MIN_NOMINAL_S: f64 = 1.0;
 
-/// Whether a machine that has not booted is late, and what to do about it.
+/// Whether a machine that has not booted is late, and whether to replace it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BootLateness {
-    /// It is not late yet.
+    /// The machine is not late yet.
     OnTime,
-    /// It is late, but so are machines rented now, as far as is known: one of many may be
-    /// replaced as a trial.
+    /// The machine is late, but a new one is not expected to boot so much sooner that
+    /// replacing it is worthwhile. Out of many such machines the caller may replace one as a
+    /// trial.
     LateLikeOthers,
-    /// A machine rented now would be up sooner.
+    /// The machine is late, and a new one is expected to boot much sooner.
     ReplaceNow,
 }
 
 impl BootTimeEstimator {
-    /// An estimator without samples, as of `now_s` (seconds since the Unix epoch).
-    /// `observation_delay_s` is for how long a machine may be up before that is observed.
+    /// An estimator without samples, for estimates at `now_s` (seconds since the Unix epoch).
+    /// `observation_delay_s` is the number of seconds that may pass between the end of a boot
+    /// and its observation.
     pub fn new(now_s: f64, observation_delay_s: f64) -> BootTimeEstimator {
         BootTimeEstimator {
             now_s,
@@ -107,13 +122,15 @@
         }
     }
 
-    /// Adds a machine of a group whose nominal boot time is `nominal_s` seconds.
+    /// Adds the sample of a machine of a group whose nominal boot time is `nominal_s` seconds.
+    /// Samples that are too old, and those of machines that still boot and are not late, are
+    /// ignored.
     pub fn add_sample(&mut self, group: BootGroup, nominal_s: f64, mut sample: BootSample) {
         let nominal_s = nominal_s.max(MIN_NOMINAL_S);
         if !sample.booted {
             sample.elapsed_s -= self.observation_delay_s;
         }
-        // A machine that boots and is not late yet is no evidence.
+        // A machine that still boots and is not late yet shows nothing about boot times.
         let is_evidence = sample.booted || sample.elapsed_s > MOST_BOOTED_BY * nominal_s;
         let oldest_s = (STALE_RATIO + MAX_REMAINING_RATIO) * nominal_s;
         let is_recent = self.now_s - sample.rented_s < oldest_s;
@@ -124,7 +141,7 @@
         }
     }
 
-    /// Works out the estimates; to be called once all samples were added.
+    /// Computes the estimates. Must be called after the last sample was added.
     pub fn finish_sampling(&mut self) {
         for observed in self.groups.values_mut() {
             let samples = &mut observed.samples;
@@ -133,7 +150,7 @@
         }
     }
 
-    /// Seconds that a machine rented now should take to boot.
+    /// Expected boot time, in seconds, of a machine that is rented now.
     pub fn expected_boot_s(&self, group: BootGroup, nominal_s: f64) -> f64 {
         match self.groups.get(&group) {
             Some(observed) => observed.expected_s,
@@ -141,8 +158,8 @@
         }
     }
 
-    /// Seconds until a machine that was rented at `rented_s` and has not booted should be
-    /// up.
+    /// Expected seconds until a machine that was rented at `rented_s` and has not booted yet
+    /// is up.
     pub fn remaining_s(&self, group: BootGroup, nominal_s: f64, rented_s: f64) -> f64 {
         let key = RentalKey {
             group,
@@ -166,15 +183,16 @@
         remaining_s
     }
 
-    /// Whether a machine that was rented at `rented_s` and has not booted is late, and
-    /// should be replaced by another.
+    /// Whether a machine that was rented at `rented_s` and has not booted yet is late, and
+    /// whether a new machine should be rented in its place.
     pub fn lateness(&self, group: BootGroup, nominal_s: f64, rented_s: f64) -> BootLateness {
         let age_s = self.now_s - rented_s - self.observation_delay_s;
         if age_s < MOST_BOOTED_BY * nominal_s.max(MIN_NOMINAL_S) {
             return BootLateness::OnTime;
         }
-        // The time that it has taken so far would be lost. Where a fifth of the machines
-        // took two and a half times as long, replacing them for a small gain left too few.
+        // Replacing a machine discards the boot time that has passed, so the gain must be
+        // large. When a fifth of the machines took two and a half times as long as the others,
+        // replacing them for a small gain left too few machines.
         let remaining_s = self.remaining_s(group, nominal_s, rented_s);
         if remaining_s > REPLACE_FACTOR * self.expected_boot_s(group, nominal_s) {
             BootLateness::ReplaceNow
@@ -185,7 +203,8 @@
 }
 
 impl BootHistory {
-    /// Seconds that a machine rented at `now_s` should take, from the latest samples.
+    /// Expected boot time, in seconds, of a machine that is rented at `now_s`, from the latest
+    /// samples.
     fn estimate_s(&self, now_s: f64) -> f64 {
         let latest = self.samples.len().saturating_sub(COHORT);
         let oldest_s = now_s - STALE_RATIO * self.nominal_s;
@@ -195,14 +214,14 @@
             .filter(|sample| sample.rented_s > oldest_s)
             .collect();
         let median = median_boot_ratio(&recent, self.nominal_s, 0.0);
-        // Within the usual range it stays constant: a plan that follows each sample rents
-        // more at one moment and less at the next.
+        // Within the usual range the estimate is constant. If it followed each sample, the
+        // plan would rent more machines in one round and fewer in the next.
         let is_usual = (USUAL_EARLIEST..=MOST_BOOTED_BY).contains(&median);
         let ratio = if is_usual { EXPECTED_RATIO } else { median };
         ratio * self.nominal_s
     }
 
-    /// The samples that were rented at about `rented_s`.
+    /// Up to [`COHORT`] samples of the machines that were rented closest to `rented_s`.
     fn rented_around(&self, rented_s: f64) -> &[BootSample] {
         let samples = &self.samples;
         let at = samples.partition_point(|sample| sample.rented_s < rented_s);
--- a/crates/scheduler/src/boot_times/survival.rs
+++ b/crates/scheduler/src/boot_times/survival.rs
@@ -1,53 +1,56 @@
-//! Survival curve of booting machines: the share that has not booted after a time.
+//! Survival curve of booting machines: the share of machines that have not booted after a
+//! given time.
 //!
-//! A machine that has not booted yet is evidence too: it takes longer than its age. So the
-//! share is worked out step by step, from the machines that are at risk in each step (the
-//! Kaplan-Meier estimator), and weighted with the usual curve. Times are ratios of the
-//! nominal boot time.
+//! A machine that has not booted yet is a censored sample: it shows that its boot takes longer
+//! than its age. The curve is therefore computed step by step from the machines that are still
+//! at risk in each step (the Kaplan-Meier estimator), and combined with the usual curve as a
+//! prior. Times are multiples of the nominal boot time.
 
 use super::BootSample;
 
-/// Usually no machine boots in less.
+/// Usually no machine boots in less than this multiple of the nominal boot time.
 pub(super) const USUAL_EARLIEST: f64 = 0.6;
-/// Usually nearly all machines have booted by then.
+/// Usually nearly all machines have booted after this multiple of the nominal boot time.
 pub(super) const MOST_BOOTED_BY: f64 = 1.5;
-/// The share that usually has not by then.
+/// Share of machines that usually have not booted at [`MOST_BOOTED_BY`].
 const LATE_SHARE: f64 = 0.04;
-/// The late share falls by this power of the time, so that a machine that has not booted
-/// for a while should take nearly as long again.
+/// After [`MOST_BOOTED_BY`] the usual curve falls with this power of the time, so that a late
+/// machine is expected to take nearly as long again as it has taken so far.
 const LATE_EXPONENT: f64 = 1.1;
-/// The usual curve counts for this many machines beside those that were observed.
+/// Weight of the usual curve, as a number of machines that is added to the observed ones.
 const PRIOR_MACHINES: f64 = 2.0;
-/// Steps of the curve: from 0.05 to some 45 boot times, each a seventh longer.
+/// Number of steps of the curve, the last of which ends at about 45 boot times.
 const STEPS: usize = 52;
-const FIRST_STEP: f64 = 0.05;
+/// End of the first step.
+const FIRST_STEP_END: f64 = 0.05;
+/// Ratio of the end of a step to its beginning, from the second step on.
 const STEP_GROWTH: f64 = 8.0 / 7.0;
 
-/// Where a step begins.
+/// The time at which a step begins.
 fn step_start(step: usize) -> f64 {
     match step {
         0 => 0.0,
-        _ => FIRST_STEP * STEP_GROWTH.powi(step as i32 - 1),
+        _ => FIRST_STEP_END * STEP_GROWTH.powi(step as i32 - 1),
     }
 }
 
-/// The share of machines that usually has not booted after `ratio` boot times.
+/// Usual share of the machines that have not booted after `ratio` nominal boot times.
 fn usual_survival(ratio: f64) -> f64 {
     if ratio <= USUAL_EARLIEST {
         1.0
     } else if ratio <= MOST_BOOTED_BY {
-        let part = (1.0 - LATE_SHARE) * (ratio - USUAL_EARLIEST);
-        1.0 - part / (MOST_BOOTED_BY - USUAL_EARLIEST)
+        let booted = (1.0 - LATE_SHARE) * (ratio - USUAL_EARLIEST);
+        1.0 - booted / (MOST_BOOTED_BY - USUAL_EARLIEST)
     } else {
         LATE_SHARE * (ratio / MOST_BOOTED_BY).powf(-LATE_EXPONENT)
     }
 }
 
-/// Observed boot times, as ratios of the nominal one.
+/// Observed boot times as multiples of the nominal one.
 struct BootRatios {
-    /// Of machines that have booted.
+    /// Boot times of the machines that have booted.
     booted: Vec<f64>,
-    /// For how long the others were waited for.
+    /// Ages of the machines that have not booted.
     waiting: Vec<f64>,
 }
 
@@ -65,7 +68,7 @@
         }
     }
 
-    /// The share of the machines not booted at `from` that boots before `to`.
+    /// The share of the machines not booted at `from` that boot before `to`.
     fn boot_rate(&self, from: f64, to: f64) -> f64 {
         let not_booted = self.booted.iter().filter(|ratio| **ratio >= from);
         let booted_here = not_booted.clone().filter(|ratio| **ratio < to).count();
@@ -76,7 +79,8 @@
     }
 }
 
-/// The ratio by which half of the machines have booted that have not after `age`.
+/// The median boot time of machines that have not booted at `age`. Both are multiples of the
+/// nominal boot time.
 pub(super) fn median_boot_ratio(samples: &[BootSample], nominal_s: f64, age: f64) -> f64 {
     let ratios = BootRatios::new(samples, nominal_s);
     let mut survival = 1.0;
@@ -85,12 +89,12 @@
         if to <= age {
             continue;
         }
-        let next = survival * (1.0 - ratios.boot_rate(from, to));
-        if next <= 0.5 {
-            let part = (survival - 0.5) / (survival - next).max(1e-9);
-            return from + part * (to - from);
+        let next_survival = survival * (1.0 - ratios.boot_rate(from, to));
+        if next_survival <= 0.5 {
+            let step_fraction = (survival - 0.5) / (survival - next_survival).max(1e-9);
+            return from + step_fraction * (to - from);
         }
-        survival = next;
+        survival = next_survival;
     }
     step_start(STEPS)
 }
--- a/crates/scheduler/src/boot_times/tests.rs
+++ b/crates/scheduler/src/boot_times/tests.rs
@@ -10,8 +10,8 @@
     zone: 1,
 };
 
-/// An estimator as of 1000 s, of machines, by how many seconds ago they were rented and
-/// how many they took to boot, if they have.
+/// An estimator at the time 1000 s. Each sample is the number of seconds since the rental of a
+/// machine and its boot time in seconds, `None` if the machine has not booted.
 fn estimator(samples: &[(f64, Option<f64>)]) -> BootTimeEstimator {
     let mut estimator = BootTimeEstimator::new(1000.0, 0.0);
     for (age_s, boot_s) in samples {
@@ -47,15 +47,16 @@
 }
 
 #[test]
-fn a_few_extremes_do_not_change_the_estimate() {
+fn a_few_outliers_do_not_change_the_estimate() {
     let mut samples = vec![(200.0, Some(0.95 * BOOT_S)); 14];
     samples.extend([(150.0, Some(0.5)), (150.0, Some(3.5 * BOOT_S))]);
     let expected = expected_ratio(&estimator(&samples));
     assert_eq!(expected, 1.1);
 }
 
-/// With 580 machines five times as late as usual each was expected within a fifth of
-/// a boot, again and again, and work waited for them for 250 s.
+/// Guards against waiting for late machines instead of replacing them. With 580 machines that
+/// took five times the usual boot time, each estimate expected every machine to be up within
+/// a fifth of a boot time, and tasks waited 250 s for them.
 #[test]
 fn machine_is_replaced_when_few_do_not_boot() {
     let mut samples = vec![(110.0, Some(BOOT_S)); 12];
@@ -78,7 +79,7 @@
         expected_ratio(&all_late)
     );
     assert_eq!(lateness(&all_late, 100.0), BootLateness::LateLikeOthers);
-    // The trials booted at once: the others are replaced too.
+    // The machines rented as trials boot in the nominal time, so the late ones are replaced.
     let mut samples = vec![(180.0, None); 300];
     samples.extend(vec![(60.0, Some(BOOT_S)); 16]);
     let recovered = estimator(&samples);
@@ -88,7 +89,7 @@
         expected_ratio(&recovered)
     );
     assert_eq!(lateness(&recovered, 180.0), BootLateness::ReplaceNow);
-    // Long after, the samples say nothing any more.
+    // Samples of machines that were rented long ago are ignored.
     let stale = estimator(&vec![(500.0, Some(5.0 * BOOT_S)); 50]);
     assert!(expected_ratio(&stale) < 1.2);
 }
@@ -104,16 +105,16 @@
 }
 
 #[test]
-fn instant_boots_are_expected_at_once() {
+fn very_short_boots_are_expected_for_new_machines() {
     let instant = estimator(&[(30.0, Some(1.5)); 16]);
     assert!(instant.expected_boot_s(GROUP, BOOT_S) < 4.0);
     assert!(
         instant.remaining_s(GROUP, BOOT_S, 995.0) >= 0.2 * BOOT_S,
-        "a machine that has not booted"
+        "lower bound for a machine that has not booted"
     );
     assert_eq!(
         instant.expected_boot_s(OTHER_ZONE, BOOT_S),
         estimator(&[]).expected_boot_s(OTHER_ZONE, BOOT_S),
-        "another zone"
+        "samples of one zone do not count for another zone"
     );
 }
--- a/crates/scheduler/src/capacity.rs
+++ b/crates/scheduler/src/capacity.rs
@@ -1,9 +1,10 @@
-//! Estimate of what the cloud has to rent, and which rental calls are worth making when
-//! there are fewer calls than needs.
+//! Estimates how many machines of each kind can be rented from the cloud, and plans rental
+//! calls when the cloud's rate limit allows fewer calls than are needed.
 //!
-//! The cloud publishes no capacity. It shows when a request is refused or filled in part
-//! only: then what we have of that kind is all there is, until some of it is given back or
-//! a probe after a pause finds more.
+//! The cloud publishes no capacity. A rental call that is refused, or granted only in part,
+//! shows that the kind is exhausted: the number of machines rented so far is then taken as
+//! the limit. Machines that are returned may be rented again, and after a pause a probe beyond
+//! the limit shows whether there is more.
 
 #[cfg(test)]
 mod tests;
@@ -11,7 +12,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// What can be rented: a machine type, in a zone, spot or on demand.
+/// A kind of machine that can be rented: a machine type in a zone, spot or on demand.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct InstanceKind {
     /// Name of the machine type.
@@ -23,7 +24,7 @@
 }
 
 impl InstanceKind {
-    /// A kind by the names of its type and zone.
+    /// Creates a kind from the names of a machine type and a zone.
     pub fn new(
         machine_type: impl Into<Arc<str>>,
         zone: impl Into<Arc<str>>,
@@ -37,33 +38,34 @@
     }
 }
 
-/// What a refusal showed. Times are in seconds of the caller's clock.
+/// The capacity of a kind as shown by refused or partly granted calls. Times are in seconds of
+/// the caller's clock.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct ObservedCapacity {
-    /// The number of machines that we can have.
+    /// Largest number of machines that can be rented at the same time.
     limit: u32,
-    /// When that was last observed.
+    /// Time of the latest refusal.
     observed_s: f64,
-    /// When to probe for more.
+    /// Time from which a call beyond the limit may be made.
     next_probe_s: f64,
-    /// Refusals in a row; several calls refused before the next probe count as one.
+    /// Number of consecutive refusals; calls refused before `next_probe_s` don't add to it.
     refusals: u32,
 }
 
-/// Estimates how many machines of each kind can be had.
+/// Estimates how many machines of each kind can be rented.
 #[derive(Debug, Default)]
 pub struct CapacityEstimator {
-    /// Only kinds that have run out.
+    /// The kinds that are exhausted; for all others no limit is known.
     exhausted: BTreeMap<InstanceKind, ObservedCapacity>,
 }
 
-/// The pause before the next probe doubles at most this many times.
+/// The pause before the next probe doubles with each refusal, at most this many times.
 const MAX_DOUBLINGS: u32 = 3;
 
 impl CapacityEstimator {
-    /// Records the response to a rental call at `now_s`: it asked for `requested` machines
-    /// and got `granted`, beside the `owned` that we had. `pause_s` is how long to wait
-    /// before the first probe.
+    /// Records the response to a rental call at `now_s`. The call requested `requested`
+    /// machines of the kind and the cloud granted `granted`; `owned` were rented before.
+    /// `first_pause_s` is the time between the first refusal and the first probe.
     pub fn record_response(
         &mut self,
         kind: &InstanceKind,
@@ -71,26 +73,26 @@
         granted: u32,
         owned: u32,
         now_s: f64,
-        pause_s: f64,
+        first_pause_s: f64,
     ) {
         let previous = self.exhausted.get(kind).copied();
         let available = owned + granted;
         if granted >= requested {
-            // More than the last limit: it holds no longer.
+            // The cloud granted more than the last limit, so that limit is obsolete.
             if previous.is_some_and(|observed| available > observed.limit) {
                 self.exhausted.remove(kind);
             }
             return;
         }
         let (next_probe_s, refusals) = match previous {
-            // Several calls for one kind may be refused one after the other: that is one
-            // observation.
+            // Several calls for one kind may be in progress and be refused one after the
+            // other. Together they count as one refusal.
             Some(observed) if now_s < observed.next_probe_s => {
                 (observed.next_probe_s, observed.refusals)
             }
             _ => {
                 let refusals = previous.map_or(0, |observed| observed.refusals);
-                let pause_s = pause_s * f64::from(1u32 << refusals.min(MAX_DOUBLINGS));
+                let pause_s = first_pause_s * f64::from(1u32 << refusals.min(MAX_DOUBLINGS));
                 (now_s + pause_s, refusals + 1)
             }
         };
@@ -103,50 +105,52 @@
         self.exhausted.insert(kind.clone(), observed);
     }
 
-    /// Whether a kind was observed to run out after `time_s`.
+    /// Whether a rental call for a kind was refused, in full or in part, after `time_s`.
     pub fn exhausted_since(&self, kind: &InstanceKind, time_s: f64) -> bool {
         let observed = self.exhausted.get(kind);
         observed.is_some_and(|observed| observed.observed_s > time_s)
     }
 
-    /// Records that we have `owned` machines of a kind, so that there are as many.
+    /// Records that `owned` machines of a kind are rented now: its limit is at least that.
     pub fn record_owned(&mut self, kind: &InstanceKind, owned: u32) {
         if let Some(observed) = self.exhausted.get_mut(kind) {
             observed.limit = observed.limit.max(owned);
         }
     }
 
-    /// How many more machines may be requested at `now_s`. `owned` includes those being
-    /// requested; `probe` is how many beyond the limit a probe requests.
-    pub fn headroom(&self, kind: &InstanceKind, owned: u32, now_s: f64, probe: u32) -> u32 {
+    /// How many more machines of a kind may be requested at `now_s`; [`u32::MAX`] if no limit
+    /// is known. `owned` is the number of machines rented or already requested; `probe_size`
+    /// is how many machines beyond the limit may be requested when a probe is due.
+    pub fn headroom(&self, kind: &InstanceKind, owned: u32, now_s: f64, probe_size: u32) -> u32 {
         let Some(observed) = self.exhausted.get(kind) else {
             return u32::MAX;
         };
         let limit = if now_s >= observed.next_probe_s {
-            observed.limit + probe
+            observed.limit + probe_size
         } else {
             observed.limit
         };
         limit.saturating_sub(owned)
     }
 
-    /// Whether all there is of a kind is ours, as far as is known.
+    /// Whether a kind is exhausted: a call was refused, in full or in part, and no later call
+    /// was granted in full beyond the limit that this showed.
     pub fn is_exhausted(&self, kind: &InstanceKind) -> bool {
         self.exhausted.contains_key(kind)
     }
 }
 
-/// How many machines of a kind are missing.
+/// Number of machines of one kind that should be rented.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Shortfall {
-    /// For pending tasks.
+    /// Machines for pending tasks.
     pub pending: u32,
-    /// For pending tasks and for those that are only expected.
+    /// Machines for pending tasks and for tasks that are expected to arrive.
     pub total: u32,
 }
 
 impl Shortfall {
-    /// The part of it that one call of at most `call_size` machines would cover.
+    /// The part of the shortfall that one call for at most `call_size` machines would cover.
     fn covered_by_call(&self, call_size: u32) -> Shortfall {
         Shortfall {
             pending: self.pending.min(call_size),
@@ -158,15 +162,16 @@
 /// One rental call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RentalCall {
-    /// What to rent.
+    /// Kind of the machines to rent.
     pub kind: InstanceKind,
-    /// How many machines.
+    /// Number of machines to rent.
     pub count: u32,
 }
 
-/// The rental calls to make next, at most `max_calls` of at most `call_size` machines each:
-/// those that bring most for pending tasks, then for expected ones. What they bring is
-/// taken from `shortfalls`.
+/// Plans the next rental calls: at most `max_calls`, each for at most `call_size` machines.
+/// The calls that cover the most machines for pending tasks come first, then those that cover
+/// the most machines in total. The covered machines are subtracted from `shortfalls`, and
+/// kinds without a remaining shortfall are removed.
 pub fn plan_rental_calls(
     shortfalls: &mut BTreeMap<InstanceKind, Shortfall>,
     max_calls: usize,
--- a/crates/scheduler/src/capacity/tests.rs
+++ b/crates/scheduler/src/capacity/tests.rs
@@ -4,9 +4,9 @@
     InstanceKind::new(name, "east", spot)
 }
 
-/// On a fleet twice as large each refused kind was requested again, call after call,
-/// before kinds that were available: 328 of 449 calls were refused, and the machines that
-/// were available came 150 s late.
+/// Guards against requesting refused kinds with every call before kinds that are available.
+/// When a fleet was twice as large, 328 of 449 calls were refused for this reason, and the
+/// machines that were available came 150 s late.
 #[test]
 fn refused_kinds_are_requested_only_up_to_their_observed_limit() {
     let mut estimator = CapacityEstimator::default();
@@ -23,30 +23,30 @@
     assert_eq!(
         estimator.headroom(&small, 130, 4.0, 50),
         40,
-        "some went back"
+        "40 machines were returned and may be rented again"
     );
     assert_eq!(
         estimator.headroom(&small, 170, 8.0, 50),
         50,
-        "a probe of one call"
+        "one probe is due"
     );
     assert_eq!(
         estimator.headroom(&small, 220, 8.0, 50),
         0,
-        "which is under way"
+        "the probe was requested already"
     );
     estimator.record_response(&small, 50, 0, 170, 8.5, 6.0);
     assert_eq!(
         estimator.headroom(&small, 170, 20.0, 50),
         0,
-        "the pause doubles"
+        "the pause before the next probe doubles"
     );
     assert_eq!(estimator.headroom(&small, 170, 20.6, 50), 50);
     estimator.record_response(&small, 50, 50, 170, 21.0, 6.0);
     assert_eq!(
         estimator.headroom(&small, 220, 21.0, 50),
         u32::MAX,
-        "there is more"
+        "the probe was granted, so there is no known limit"
     );
 }
 
@@ -70,6 +70,6 @@
     ];
     assert_eq!(named[..3], first);
     assert_eq!(named[3], ("small", false, 50));
-    assert_eq!(shortfalls.len(), 1, "the rest waits for the next round");
+    assert_eq!(shortfalls.len(), 1, "the uncovered shortfall remains");
     assert!(plan_rental_calls(&mut BTreeMap::new(), 4, 50).is_empty());
 }
--- a/crates/scheduler/src/deadlines.rs
+++ b/crates/scheduler/src/deadlines.rs
@@ -1,10 +1,10 @@
-//! In which order jobs of one priority are placed.
+//! The order in which pending jobs of the same priority are placed.
 //!
-//! The paper assumes arrival order. Exception: where the settings give service-level
-//! objectives by when a class is expected to start or finish, the job whose latest useful
-//! start comes first goes first, for on a full fleet arrival order makes every job a little
-//! late. A job that can't meet its objective any more waits behind those that can, until
-//! its age puts it in front.
+//! The paper that the design follows assumes the order of arrival. On a full fleet that order
+//! makes every job a little late. So if the settings contain service-level objectives on when
+//! jobs of a class should start or finish, jobs are ordered by the latest start that meets an
+//! objective. A job that can no longer meet any of its objectives is placed after those that
+//! can, until it is old enough to come first.
 
 use rushwalk_protocol::jobs::JobSpec;
 use rushwalk_protocol::settings::{Objective, ObjectiveKind};
@@ -12,28 +12,33 @@
 #[cfg(test)]
 mod tests;
 
-/// What a job's tasks are predicted to take.
+/// Predicted durations of a job's tasks, and whether the job is covered by a guarantee.
 #[derive(Debug, Clone, Copy)]
 pub struct TaskDurations {
     /// Seconds to fetch the image.
     pub fetch_s: f64,
-    /// Seconds that a task runs.
+    /// Run time of a task in seconds.
     pub run_s: f64,
     /// Whether the job fits into its team's guaranteed resources.
     pub guaranteed: bool,
 }
 
-/// Without any objective a job should start within this many times its run time.
+/// A job without objectives and without a deadline should start within this many times its
+/// run time.
 const DEFAULT_RUN_TIMES: f64 = 4.0;
-/// A run time counts at most this much towards the default, in seconds.
+/// Upper bound in seconds on the run time that is multiplied by [`DEFAULT_RUN_TIMES`].
 const LONGEST_DEFAULT_RUN_S: f64 = 3600.0;
-/// A job that is past all its objectives ranks this many times the widest after its
-/// submission.
+/// A job that can no longer meet any of its objectives is ordered as if it had to start this
+/// many times the longest of their time limits after its submission.
 const MISSED_OBJECTIVE_FACTOR: f64 = 4.0;
 
-/// The time by which the job should start; the job with the earliest goes first.
+/// The time by which the job should start. Jobs with an earlier time are placed first.
 ///
-/// `submitted_s` and `now_s` are in seconds since the Unix epoch, as is the result.
+/// For each objective of the job this is the latest start that meets it; of those that are
+/// not past, the earliest counts. For a job without objectives it is the deadline from its
+/// submission or, without one, a multiple of the run time after the submission.
+///
+/// `submitted_s`, `now_s` and the result are in seconds since the Unix epoch.
 pub fn latest_useful_start(
     spec: &JobSpec,
     submitted_s: f64,
@@ -41,20 +46,20 @@
     durations: TaskDurations,
     objectives: &[Objective],
 ) -> f64 {
-    let mut widest_s: f64 = 0.0;
+    let mut longest_limit_s: f64 = 0.0;
     let mut earliest: Option<f64> = None;
     for objective in objectives {
-        let Some(start) = start_for_objective(spec, submitted_s, durations, objective) else {
+        let Some(start) = latest_start_for(spec, submitted_s, durations, objective) else {
             continue;
         };
-        widest_s = widest_s.max(objective.within_s);
+        longest_limit_s = longest_limit_s.max(objective.within_s);
         if start >= now_s && earliest.is_none_or(|time| start < time) {
             earliest = Some(start);
         }
     }
     match earliest {
         Some(start) => start,
-        None if widest_s > 0.0 => submitted_s + MISSED_OBJECTIVE_FACTOR * widest_s,
+        None if longest_limit_s > 0.0 => submitted_s + MISSED_OBJECTIVE_FACTOR * longest_limit_s,
         None => {
             let run_s = durations.run_s.min(LONGEST_DEFAULT_RUN_S);
             submitted_s + spec.deadline_s.unwrap_or(DEFAULT_RUN_TIMES * run_s)
@@ -62,20 +67,20 @@
     }
 }
 
-/// The latest start that meets an objective; `None` if that isn't set for the job.
-fn start_for_objective(
+/// The latest start that meets an objective; `None` if the objective doesn't apply to the job.
+fn latest_start_for(
     spec: &JobSpec,
     submitted_s: f64,
     durations: TaskDurations,
     objective: &Objective,
 ) -> Option<f64> {
-    let fetched = submitted_s + objective.within_s - durations.fetch_s;
+    let latest_fetch_start_s = submitted_s + objective.within_s - durations.fetch_s;
     match objective.kind {
-        ObjectiveKind::QueueTime if objective.class == spec.class => Some(fetched),
+        ObjectiveKind::QueueTime if objective.class == spec.class => Some(latest_fetch_start_s),
         ObjectiveKind::CompletionTime if objective.class == spec.class => {
-            Some(fetched - durations.run_s)
+            Some(latest_fetch_start_s - durations.run_s)
         }
-        ObjectiveKind::GuaranteedStart if durations.guaranteed => Some(fetched),
+        ObjectiveKind::GuaranteedStart if durations.guaranteed => Some(latest_fetch_start_s),
         _ => None,
     }
 }
--- a/crates/scheduler/src/deadlines/tests.rs
+++ b/crates/scheduler/src/deadlines/tests.rs
@@ -31,6 +31,6 @@
     let sim = latest_useful_start(&spec("sim"), 30.0, 60.0, durations, &objectives);
     assert_eq!(early, 50.0);
     assert!(sim < late, "{sim} {late}");
-    // Age decides in the end: a job that arrives later can't pass for ever.
+    // Jobs that arrive much later are placed after the job that missed its objective.
     assert!(late < latest_useful_start(&spec("sim"), 500.0, 500.0, durations, &objectives));
 }
--- a/crates/scheduler/src/durations.rs
+++ b/crates/scheduler/src/durations.rs
@@ -1,18 +1,19 @@
-//! Durations predicted from finished tasks: run time, image fetch, start-up overhead.
+//! Predicts run times, image fetch times and the start-up overhead from earlier tasks.
 
 use rushwalk_protocol::jobs::{JobSpec, Shape};
 use std::collections::{HashMap, VecDeque};
 
-/// Mean of the latest samples (Rolling-Average in the paper that the design follows).
+/// Mean of the latest samples (called Rolling-Average in the paper that the design follows).
 #[derive(Debug, Clone, Default)]
 pub struct RollingMean {
     samples: VecDeque<f64>,
-    /// Kept, since it is read far more often than a sample is added.
+    /// Mean of `samples`; `None` if there are none. It is stored, because it is read far more
+    /// often than samples are added.
     mean: Option<f64>,
 }
 
 impl RollingMean {
-    /// Adds a sample and keeps the latest `window` samples, at least one.
+    /// Adds a sample and drops the oldest ones beyond `window`. At least one sample is kept.
     pub fn push(&mut self, sample: f64, window: usize) {
         self.samples.push_back(sample);
         while self.samples.len() > window.max(1) {
@@ -28,42 +29,46 @@
     }
 }
 
-/// Jobs whose own run times are kept; the oldest are evicted first.
+/// Number of jobs for which run times are stored. The job stored first is evicted first.
 const MAX_JOBS: usize = 2_000;
-/// Means over many jobs are taken over this many times the window of a single job's.
+/// Means over the tasks of many jobs use a window this many times as long as means over the
+/// tasks of one job.
 const SHARED_WINDOW_FACTOR: usize = 4;
-/// A run time over its owner's estimate counts at most tenfold in either direction: one
-/// wild estimate must not distort the class.
+/// The ratio of a run time to its user's estimate is limited to the range between these
+/// values, so that one grossly wrong estimate doesn't distort the mean of the job class.
 const MIN_ESTIMATE_RATIO: f64 = 0.1;
 const MAX_ESTIMATE_RATIO: f64 = 10.0;
-/// No run time is predicted shorter, in seconds.
+/// Lower bound in seconds on a run time that is predicted from a user's estimate.
 const MIN_RUN_S: f64 = 1.0;
 
-/// Means per machine group, that is, per name of a machine type.
+/// Means per machine group, keyed by the name of the machine type.
 type MeansPerGroup = HashMap<String, RollingMean>;
 
-/// Predicts how long tasks take, from how long earlier ones took.
+/// Predicts the durations of tasks from those of earlier tasks.
 ///
-/// A machine group in its methods is the name of a machine type.
+/// The parameter `group` of its methods is the name of a machine type.
 #[derive(Debug, Clone)]
 pub struct DurationEstimator {
+    /// Number of samples in the mean of one job.
     window: usize,
-    /// Run time in seconds, per job.
+    /// Mean run times in seconds, by the id of the job.
     run_times: HashMap<String, MeansPerGroup>,
-    /// Jobs in `run_times`, the oldest first.
+    /// Ids of the jobs in `run_times`, in the order in which they were added.
     eviction_order: VecDeque<String>,
-    /// Run time over the owner's estimate, per class.
+    /// Mean ratios of the run time to the user's estimate, by the name of the job class.
     estimate_ratios: HashMap<String, MeansPerGroup>,
-    /// Observed fetch rate in gigabytes per second.
+    /// Mean fetch rates in gigabytes per second.
     fetch_rates: MeansPerGroup,
-    /// Seconds from placement to start where no image had to be fetched.
+    /// Mean of the seconds from placement to start of tasks whose image was not fetched.
     overhead_s: RollingMean,
+    /// Overhead in seconds that is predicted while `overhead_s` has no sample.
     default_overhead_s: f64,
 }
 
 impl DurationEstimator {
-    /// An estimator without samples. `window` is the number of samples in a job's mean;
-    /// `default_overhead_s` is the start-up overhead until one was observed.
+    /// An estimator without samples. `window` is the number of samples in the mean of one
+    /// job; `default_overhead_s` is the predicted start-up overhead in seconds until one was
+    /// observed.
     pub fn new(window: usize, default_overhead_s: f64) -> Self {
         DurationEstimator {
             window,
@@ -76,9 +81,9 @@
         }
     }
 
-    /// Records that a task of a job ran for `run_s` seconds.
+    /// Records that a task of a job completed after a run time of `run_s` seconds.
     pub fn record_run(&mut self, spec: &JobSpec, group: &str, run_s: f64) {
-        self.evict_for(&spec.id);
+        self.track_job(&spec.id);
         let groups = self.run_times.entry(spec.id.clone()).or_default();
         let mean = groups.entry(group.to_string()).or_default();
         mean.push(run_s, self.window);
@@ -91,8 +96,9 @@
         }
     }
 
-    /// Makes room for a job, if it is new.
-    fn evict_for(&mut self, job: &str) {
+    /// Adds a job to the eviction order if it is new, and evicts the oldest job if there are
+    /// more than [`MAX_JOBS`].
+    fn track_job(&mut self, job: &str) {
         if self.run_times.contains_key(job) {
             return;
         }
@@ -104,8 +110,8 @@
         }
     }
 
-    /// Records that a task started `elapsed_s` seconds after its placement, and whether its
-    /// image of `image_gb` gigabytes was fetched in that time.
+    /// Records that a task started `elapsed_s` seconds after its placement. `fetched` says
+    /// whether its image of `image_gb` gigabytes was fetched during that time.
     pub fn record_start(&mut self, group: &str, image_gb: f64, fetched: bool, elapsed_s: f64) {
         let window = SHARED_WINDOW_FACTOR * self.window;
         if !fetched {
@@ -116,7 +122,9 @@
         }
     }
 
-    /// Predicted run time in seconds: infinite for a service, which runs until cancelled.
+    /// Predicted run time in seconds: the mean of the job's own tasks or, without any, the
+    /// user's estimate corrected by the mean ratio of the job class. Infinite for a service,
+    /// which runs until it is cancelled.
     pub fn run_time(&self, spec: &JobSpec, group: &str) -> f64 {
         if spec.shape == Shape::Service {
             return f64::INFINITY;
@@ -128,28 +136,29 @@
         (spec.estimate_s * ratio).max(MIN_RUN_S)
     }
 
-    /// Whether a task of the job itself was seen to finish on this group.
+    /// Whether a run time of at least one task of the job on this group is stored. Run times
+    /// of old jobs are evicted.
     pub fn has_run_time(&self, job: &str, group: &str) -> bool {
         let groups = self.run_times.get(job);
         groups.is_some_and(|groups| groups.contains_key(group))
     }
 
     /// Predicted seconds to fetch an image of `image_gb` gigabytes. `nominal_rate`, in
-    /// gigabytes per second, counts until a rate was observed; a rate of 0 means that
-    /// fetching takes no time.
+    /// gigabytes per second, is used until a fetch was recorded for the group; a rate of 0
+    /// predicts 0 seconds.
     pub fn fetch_time(&self, image_gb: f64, group: &str, nominal_rate: f64) -> f64 {
         let observed = self.fetch_rates.get(group).and_then(RollingMean::mean);
         let rate = observed.unwrap_or(nominal_rate);
         if rate > 0.0 { image_gb / rate } else { 0.0 }
     }
 
-    /// Predicted seconds from placement to start, without the fetch of an image.
+    /// Predicted seconds from the placement of a task to its start, without the image fetch.
     pub fn overhead(&self) -> f64 {
         self.overhead_s.mean().unwrap_or(self.default_overhead_s)
     }
 }
 
-/// The mean under a key (a job or class) for a machine group.
+/// The mean for a job id or class (`key`) and a machine group; `None` without samples.
 fn mean_of(means: &HashMap<String, MeansPerGroup>, key: &str, group: &str) -> Option<f64> {
     means.get(key)?.get(group)?.mean()
 }
--- a/crates/scheduler/src/retry/tests.rs
+++ b/crates/scheduler/src/retry/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// Eight tasks of one job that failed on one faulty machine delayed its other
-/// seventy for a minute.
+/// Guards against a back-off that grows with the number of failed tasks: eight tasks of a job
+/// that failed on one faulty machine delayed the other seventy tasks by a minute.
 #[test]
 fn failures_are_counted_per_machine_not_per_task() {
     let decide = |machines, succeeded_somewhere, since_s| {
@@ -15,7 +15,7 @@
     assert_eq!(
         decide(1, false, 0.0),
         RetryDecision::Normal,
-        "a faulty machine"
+        "the machine may be faulty"
     );
     assert_eq!(decide(2, false, 1.0), RetryDecision::BackOff);
     assert_eq!(decide(2, false, 5.0), RetryDecision::Normal);
@@ -25,11 +25,11 @@
     assert_eq!(
         decide(8, false, 65.0),
         RetryDecision::SingleProbe,
-        "the pause has an end"
+        "the back-off has an upper bound"
     );
     assert_eq!(
         decide(8, true, 0.0),
         RetryDecision::Normal,
-        "it works elsewhere"
+        "tasks of the job succeed on other machines"
     );
 }
