--- a/crates/scheduler/src/resources.rs
+++ b/crates/scheduler/src/resources.rs
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Each resource of this amount beside the same resource of `whole`.
+    /// Pairs each resource of this amount with the same resource of `whole`.
     fn paired_with(&self, whole: &Resources) -> [(f64, f64); 3] {
         [
             (self.cpus, whole.cpus),
