--- a/crates/rushwalk/src/scheduler_inputs.rs
+++ b/crates/rushwalk/src/scheduler_inputs.rs
@@ -136,7 +136,7 @@
         }
         timeline.slowdown = machine.slowdown();
         let boot_s = machine_type.boot_s;
-        timeline.pending_error_s = machine.prediction_error_s.clamp(-boot_s, boot_s);
+        timeline.prediction_error_s = machine.prediction_error_s.clamp(-boot_s, boot_s);
         Some(timeline)
     }
 
--- a/crates/scheduler/src/timeline.rs
+++ b/crates/scheduler/src/timeline.rs
@@ -42,7 +42,7 @@
     pub price: f64,
     /// Run time of the latest completed task minus its predicted run time, in seconds;
     /// negative if the task finished early.
-    pub pending_error_s: f64,
+    pub prediction_error_s: f64,
     /// Estimated run time of a task on this machine divided by the run time predicted for
     /// its machine type; 1 until tasks have completed on it.
     pub slowdown: f64,
@@ -108,7 +108,7 @@
 const MAX_UNCERTAINTY_BOOT_TIMES: f64 = 1.0;
 
 /// When a task is predicted to start on a machine that is up and has room for it from
-/// `start_s` on. The machine's `pending_error_s` counts only if the task has to wait for
+/// `start_s` on. The machine's `prediction_error_s` counts only if the task has to wait for
 /// others.
 ///
 /// A wait for other tasks to finish is less certain than a fetch: tasks that finish early
@@ -117,7 +117,7 @@
 pub(crate) fn start_with_uncertainty(
     start_s: f64,
     now_s: f64,
-    pending_error_s: f64,
+    prediction_error_s: f64,
     estimate: &TaskEstimate,
     job: &PendingJob,
 ) -> f64 {
@@ -126,7 +126,7 @@
     }
     let wait_s = start_s - now_s;
     let uncertainty_s = wait_s.min(MAX_UNCERTAINTY_BOOT_TIMES * estimate.boot_s);
-    now_s + (wait_s + uncertainty_s + pending_error_s).max(job.overhead_s)
+    now_s + (wait_s + uncertainty_s + prediction_error_s).max(job.overhead_s)
 }
 
 impl MachineTimeline {
@@ -157,7 +157,7 @@
             capacity,
             images: Vec::new(),
             price,
-            pending_error_s: 0.0,
+            prediction_error_s: 0.0,
             slowdown: 1.0,
             tasks: 0,
             free: vec![FreeStep {
@@ -273,7 +273,8 @@
         let duration_s = job.overhead_s + fetch_s + run_s;
         let mut start_s = self.earliest_start(&job.resources, now_s, duration_s)?;
         if self.up {
-            start_s = start_with_uncertainty(start_s, now_s, self.pending_error_s, estimate, job);
+            start_s =
+                start_with_uncertainty(start_s, now_s, self.prediction_error_s, estimate, job);
         }
         // The fetch begins when the task starts, unless the machine already has the image or
         // is fetching it for another task.
--- a/crates/scheduler/src/timeline_index.rs
+++ b/crates/scheduler/src/timeline_index.rs
@@ -25,7 +25,7 @@
     free_until_s: f64,
     free: Resources,
     slowdown: f64,
-    pending_error_s: f64,
+    prediction_error_s: f64,
 }
 
 impl TimelineSummary {
@@ -39,7 +39,7 @@
             free_until_s: interval.until_s,
             free: interval.free,
             slowdown: machine.slowdown,
-            pending_error_s: machine.pending_error_s,
+            prediction_error_s: machine.prediction_error_s,
         }
     }
 }
@@ -254,7 +254,7 @@
             return None;
         }
         if class.up {
-            let error_s = summary.pending_error_s;
+            let error_s = summary.prediction_error_s;
             start_s = start_with_uncertainty(start_s, query.now_s, error_s, estimate, job);
         }
         let has_image = query.machines_with_image.contains(index);
