--- a/crates/clients/src/cloud.rs
+++ b/crates/clients/src/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud: machine types, rentals, deletions and the list of machines.
+//! Client of the cloud's API: machine types, rentals, deletions and the machine list.
 
 use crate::http::{Error, HttpClient, Request, json_body};
 use crate::rate_limiter::RateLimiter;
@@ -14,36 +14,40 @@
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The share of the allowed rate that is used: the rest is a margin for error.
-const USED_RATE: f64 = 0.9;
+/// The share of the allowed request rate that the client uses. The rest is a safety margin.
+const USED_RATE_SHARE: f64 = 0.9;
 
-/// The shortest wait for a slot.
+/// Minimum pause between two attempts to acquire a slot.
 const MIN_WAIT: Duration = Duration::from_millis(1);
 
-/// Calls to the cloud, within the rate that it allows.
+/// Client of the cloud, which limits its calls to the rate that the cloud allows.
 pub struct CloudClient {
     http: HttpClient,
     address: SocketAddr,
-    /// Locked while a caller waits, so that callers get their slots in order.
+    /// The lock is held while a caller waits, so that callers get slots in the order in which
+    /// they asked for one.
     rate_limiter: Mutex<RateLimiter>,
+    /// Maximum calls per second, without bursts.
     rate: f64,
 }
 
 /// The cloud's response to a rental request.
 #[derive(Debug, Clone)]
 pub enum RentOutcome {
-    /// The machines' names: as many as there were, up to the requested number.
+    /// The names of the rented machines. There are fewer than requested if the cloud has no
+    /// more.
     Machines(Vec<String>),
-    /// None of that kind is available now.
+    /// No machine of the requested type is available now in the zone, as spot or on-demand
+    /// machine as requested.
     OutOfCapacity,
-    /// The cloud can't make sense of the request.
+    /// The cloud rejected the request as malformed.
     Malformed,
 }
 
 impl CloudClient {
-    /// A client of the cloud at an address that allows `rps` calls a second.
+    /// Creates a client of the cloud at `address`, which allows `rps` calls per second.
     pub fn new(http: HttpClient, address: SocketAddr, rps: f64) -> Self {
-        let rate = USED_RATE * rps;
+        let rate = USED_RATE_SHARE * rps;
         CloudClient {
             http,
             address,
@@ -52,12 +56,12 @@
         }
     }
 
-    /// Calls a second that it makes at most, beside a short burst.
+    /// Maximum calls per second that the client makes, apart from a short burst.
     pub fn rate(&self) -> f64 {
         self.rate
     }
 
-    /// Waits until a call is allowed, and takes it.
+    /// Waits until the rate limit allows a call, and acquires the slot for it.
     pub async fn wait_for_slot(&self) {
         let mut limiter = self.rate_limiter.lock().await;
         while !limiter.try_acquire(1.0, 0.0, Instant::now()) {
@@ -70,19 +74,22 @@
     ///
     /// # Errors
     ///
-    /// As [`HttpClient::json`].
+    /// The errors of [`HttpClient::json`].
     pub async fn machine_types(&self) -> Result<MachineTypesResponse, Error> {
         self.wait_for_slot().await;
         self.get("/machine_types").await
     }
 
-    /// Rents machines. The caller has waited for its slot. "Out of capacity" and an
-    /// outage both have status 503: only the first is a response.
+    /// Rents machines. Callers must await [`CloudClient::wait_for_slot`] first.
+    ///
+    /// The cloud responds with status 503 both if it is out of capacity and during an outage;
+    /// only the response body distinguishes them. An outage is an error, as the outcome of
+    /// the request is then unknown.
     ///
     /// # Errors
     ///
-    /// [`Error::Status`] for statuses that show nothing about the machines; else as
-    /// [`HttpClient::call`].
+    /// [`Error::Status`] for a status that leaves the outcome unknown; otherwise the errors
+    /// of [`HttpClient::call`].
     pub async fn rent(&self, request: &RentRequest) -> Result<RentOutcome, Error> {
         let request = self.request(Method::POST, "/rentals", json_body(request));
         let response = self.http.call(request).await?;
@@ -96,11 +103,12 @@
         }
     }
 
-    /// Deletes machines. When this returns `Ok`, they and all tasks on them are gone.
+    /// Deletes machines. Once this returns `Ok`, the machines and all tasks on them are gone.
     ///
     /// # Errors
     ///
-    /// [`Error::Status`] for any status but 200; else as [`HttpClient::call`].
+    /// [`Error::Status`] for any status other than 200; otherwise the errors of
+    /// [`HttpClient::call`].
     pub async fn delete(&self, machines: Vec<String>) -> Result<(), Error> {
         self.wait_for_slot().await;
         let body = json_body(&MachineNames { machines });
@@ -113,11 +121,11 @@
         }
     }
 
-    /// Lists a page of the rented machines, those after the name `since`.
+    /// Gets a page of the list of rented machines: those whose names come after `since`.
     ///
     /// # Errors
     ///
-    /// As [`HttpClient::json`].
+    /// The errors of [`HttpClient::json`].
     pub async fn list(&self, since: &str) -> Result<MachineList, Error> {
         self.wait_for_slot().await;
         self.get(&format!("/rentals?since={since}&limit={MAX_LIST}"))
@@ -142,7 +150,8 @@
         }
     }
 
-    /// The error for a status; slows down if the cloud throttles.
+    /// Returns the error for a status. Status 429 (the cloud throttles) also slows down the
+    /// rate limiter.
     async fn status_error(&self, status: u16) -> Error {
         if status == 429 {
             self.rate_limiter.lock().await.on_throttled(Instant::now());
--- a/crates/clients/src/http.rs
+++ b/crates/clients/src/http.rs
@@ -1,4 +1,4 @@
-//! An HTTP/1.1 client that keeps connections alive, with one request at a time on each.
+//! An HTTP/1.1 client that keeps connections alive and sends one request at a time on each.
 
 mod connection;
 
@@ -14,28 +14,31 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// Why a call has no usable response, and whether the other side may have acted on it.
+/// The reason why a call has no usable response. It also tells whether the server may have
+/// carried out the request.
 #[derive(Debug, Clone, thiserror::Error)]
 pub enum Error {
-    /// Nothing was sent: the other side can't have acted.
+    /// The request was not sent, so the server can't have carried it out.
     #[error("not sent: {0}")]
     NotSent(String),
-    /// Nothing was sent either: the host refused the connection.
+    /// The server's host refused the connection, so the request was not sent.
     #[error("connection refused")]
     ConnectionRefused,
-    /// Sent, but unanswered: the other side may have acted, or may still act.
+    /// The request was sent, but no valid response was received. The server may have carried
+    /// it out, or may still do so.
     #[error("no answer: {0}")]
     Unanswered(String),
-    /// Answered with this status, and so not carried out.
+    /// The server responded with this status instead of success, so the request counts as not
+    /// carried out.
     #[error("status {0}")]
     Status(u16),
-    /// The response's body exceeds what is held in memory.
-    #[error("the answer is too large")]
+    /// The body of the response exceeds the client's size limit and was dropped.
+    #[error("response body too large")]
     ResponseTooLarge,
 }
 
 impl Error {
-    /// The status, if that is what the call failed by.
+    /// The status code of [`Error::Status`]; `None` for other errors.
     pub fn status(&self) -> Option<u16> {
         match self {
             Error::Status(status) => Some(*status),
@@ -52,18 +55,18 @@
     }
 }
 
-/// A request, and how long its caller waits for the response.
+/// A request, with the time that its caller waits for the response.
 #[derive(Debug)]
 pub struct Request<'a> {
-    /// The server.
+    /// The server's address.
     pub address: SocketAddr,
     /// The HTTP method.
     pub method: Method,
-    /// Path and query.
+    /// The path and query of the URL.
     pub path: &'a str,
-    /// The body; empty for none.
+    /// The request body; empty if there is none.
     pub body: Vec<u8>,
-    /// For connecting, sending and receiving together.
+    /// The time limit of the whole call: connecting, sending and receiving the response.
     pub timeout: Duration,
 }
 
@@ -72,61 +75,64 @@
 pub struct Response {
     /// The HTTP status.
     pub status: StatusCode,
-    /// The whole body.
+    /// The complete response body.
     pub body: Bytes,
 }
 
 impl Response {
-    /// Whether a text occurs in the body: some refusals differ by nothing else.
+    /// Whether a text occurs in the body. Some error responses with the same status differ
+    /// only in the text of their bodies.
     pub fn body_contains(&self, text: &str) -> bool {
         self.body.windows(text.len()).any(|w| w == text.as_bytes())
     }
 
-    /// Reads the body as JSON.
+    /// Parses the body as JSON.
     ///
     /// # Errors
     ///
-    /// [`Error::Unanswered`] if it is not JSON of that type.
+    /// [`Error::Unanswered`] if the body is not JSON of that type.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, Error> {
         serde_json::from_slice(&self.body).map_err(Error::unanswered)
     }
 }
 
-/// What a [`Transport`] receives.
+/// A response that a [`Transport`] returns.
 #[derive(Debug)]
 pub struct TransportResponse {
     /// The HTTP status.
     pub status: u16,
-    /// The whole body.
+    /// The complete response body.
     pub body: Vec<u8>,
 }
 
-/// A call over a [`Transport`] that is under way.
+/// The future of a call over a [`Transport`], which resolves to the response.
 pub type Exchange = Pin<Box<dyn Future<Output = Result<TransportResponse, Error>> + Send>>;
 
-/// Another way to reach addresses than TCP: for tests.
+/// A replacement for TCP connections, for tests and simulations.
 pub trait Transport: Send + Sync {
-    /// Sends a request. The caller may drop the exchange when its time is over.
+    /// Sends a request. The caller may drop the returned future before it is complete, for
+    /// example when the call times out.
     fn call(&self, to: SocketAddr, method: Method, path: String, body: Vec<u8>) -> Exchange;
 }
 
-/// The client. Clones share their idle connections.
+/// The HTTP client. Clones share one pool of idle connections.
 #[derive(Clone)]
 pub struct HttpClient {
+    /// The replacement for TCP connections; `None` to use TCP.
     transport: Option<Arc<dyn Transport>>,
-    idle: Arc<Mutex<IdleConnections<Connection>>>,
+    pool: Arc<Mutex<IdleConnections<Connection>>>,
 }
 
 impl HttpClient {
-    /// A client that keeps at most so many idle connections.
+    /// Creates a client that keeps at most `max_idle` idle connections.
     pub fn new(max_idle: usize) -> HttpClient {
         HttpClient {
             transport: None,
-            idle: Arc::new(Mutex::new(IdleConnections::new(max_idle))),
+            pool: Arc::new(Mutex::new(IdleConnections::new(max_idle))),
         }
     }
 
-    /// A client that opens no connections and calls a transport instead.
+    /// Creates a client that opens no connections and sends all requests over `transport`.
     pub fn with_transport(transport: Arc<dyn Transport>) -> HttpClient {
         HttpClient {
             transport: Some(transport),
@@ -138,7 +144,7 @@
     ///
     /// # Errors
     ///
-    /// All but [`Error::Status`].
+    /// Any [`Error`] except [`Error::Status`].
     pub async fn call(&self, request: Request<'_>) -> Result<Response, Error> {
         let deadline = Instant::now() + request.timeout;
         match &self.transport {
@@ -151,8 +157,8 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Status`] for any other status; [`Error::Unanswered`] if the body can't
-    /// be read; else as [`HttpClient::call`].
+    /// [`Error::Status`] for any other status; [`Error::Unanswered`] if the body is not JSON
+    /// of that type; otherwise the errors of [`HttpClient::call`].
     pub async fn json<T: DeserializeOwned>(&self, request: Request<'_>) -> Result<T, Error> {
         let response = self.call(request).await?;
         if response.status != StatusCode::OK {
@@ -163,7 +169,7 @@
 
     async fn call_tcp(&self, request: Request<'_>, deadline: Instant) -> Result<Response, Error> {
         let address = request.address;
-        let mut connection = match self.idle_connection(address) {
+        let mut connection = match self.take_idle(address) {
             Some(connection) => connection,
             None => timeout_at(deadline, connection::connect(address))
                 .await
@@ -174,17 +180,18 @@
             Ok(response) => response?,
             Err(_) => return Err(Error::timed_out()),
         };
-        self.keep(address, connection);
+        self.return_to_pool(address, connection);
         Ok(response)
     }
 
-    fn idle(&self) -> MutexGuard<'_, IdleConnections<Connection>> {
-        self.idle.lock().unwrap_or_else(PoisonError::into_inner)
+    fn pool(&self) -> MutexGuard<'_, IdleConnections<Connection>> {
+        self.pool.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn idle_connection(&self, address: SocketAddr) -> Option<Connection> {
-        let mut idle = self.idle();
-        while let Some(connection) = idle.take(address) {
+    /// Takes a usable idle connection to an address from the pool. Closed ones are dropped.
+    fn take_idle(&self, address: SocketAddr) -> Option<Connection> {
+        let mut pool = self.pool();
+        while let Some(connection) = pool.take(address) {
             if connection.is_ready() && !connection.is_closed() {
                 return Some(connection);
             }
@@ -192,15 +199,15 @@
         None
     }
 
-    fn keep(&self, address: SocketAddr, connection: Connection) {
+    fn return_to_pool(&self, address: SocketAddr, connection: Connection) {
         if !connection.is_closed() {
-            self.idle().put(address, connection);
+            self.pool().put(address, connection);
         }
     }
 
-    /// Closes idle connections to an address whose host may have failed.
+    /// Closes all idle connections to an address, for use when the host may have failed.
     pub fn drop_idle(&self, address: SocketAddr) {
-        self.idle().remove_all(address);
+        self.pool().remove_all(address);
     }
 }
 
@@ -220,7 +227,7 @@
     })
 }
 
-/// Reads an address that another program gave.
+/// Parses an address that was received from another program.
 ///
 /// # Errors
 ///
@@ -230,8 +237,8 @@
         .map_err(|_| Error::NotSent(format!("{text:?} is not IP:port")))
 }
 
-/// A value as a JSON body.
+/// Serializes a value as a JSON body.
 pub fn json_body(value: &impl serde::Serialize) -> Vec<u8> {
-    // Writing to memory fails only for types that JSON can't hold; ours it can.
+    // Writing to memory fails only for values that JSON can't represent, and no request has any.
     serde_json::to_vec(value).unwrap_or_default()
 }
--- a/crates/clients/src/http/connection.rs
+++ b/crates/clients/src/http/connection.rs
@@ -1,4 +1,4 @@
-//! One TCP connection: opening it, and one exchange on it.
+//! HTTP/1.1 over one TCP connection: connecting, and sending one request.
 
 use super::{Error, Request, Response};
 use bytes::Bytes;
@@ -9,13 +9,14 @@
 use std::net::SocketAddr;
 use tokio::net::TcpStream;
 
-/// An open connection.
+/// The sending side of an open HTTP/1.1 connection.
 pub(super) type Connection = SendRequest<Full<Bytes>>;
 
-/// Responses larger than this are dropped rather than held in memory, in bytes.
-const MAX_RESPONSE: usize = 16 << 20;
+/// Maximum size of a response body. Larger responses fail, to bound the memory that a call
+/// can use.
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
-/// Opens a connection.
+/// Opens a TCP connection, and spawns the task that drives HTTP on it.
 pub(super) async fn connect(address: SocketAddr) -> Result<Connection, Error> {
     let stream = TcpStream::connect(address)
         .await
@@ -23,19 +24,19 @@
             std::io::ErrorKind::ConnectionRefused => Error::ConnectionRefused,
             _ => Error::NotSent(error.to_string()),
         })?;
-    // Without it, calls are only slower.
+    // An error is ignored: without TCP_NODELAY, calls are only slower.
     let _ = stream.set_nodelay(true);
     let (sender, connection) = handshake(TokioIo::new(stream))
         .await
         .map_err(|error| Error::NotSent(error.to_string()))?;
     tokio::spawn(async move {
-        // Its failure shows in the exchange.
+        // An error is ignored here, as the request on this connection fails with it too.
         let _ = connection.await;
     });
     Ok(sender)
 }
 
-/// Sends a request and receives the whole response.
+/// Sends a request and receives the complete response.
 pub(super) async fn send(
     connection: &mut Connection,
     request: Request<'_>,
@@ -58,7 +59,7 @@
 }
 
 async fn read_body(body: Incoming) -> Result<Bytes, Error> {
-    let collected = Limited::new(body, MAX_RESPONSE).collect().await;
+    let collected = Limited::new(body, MAX_RESPONSE_BYTES).collect().await;
     let collected = collected.map_err(|error| {
         if error.is::<LengthLimitError>() {
             Error::ResponseTooLarge
--- a/crates/clients/src/idle_connections.rs
+++ b/crates/clients/src/idle_connections.rs
@@ -1,48 +1,57 @@
-//! A pool of idle connections, bounded per address and in all.
+//! A pool of idle connections, bounded per address and in total.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
 
-/// Idle connections kept for one address; more would only hold sockets.
+/// Maximum number of idle connections to one address. Further ones would only occupy sockets.
 const MAX_PER_ADDRESS: usize = 8;
 
-/// The order is compacted when it holds so many times the connections that can be kept.
-const MAX_ORDER_FACTOR: usize = 4;
+/// Maximum length of the eviction queue, as a multiple of the pool's capacity. Beyond it,
+/// entries of connections that are no longer in the pool are removed.
+const MAX_QUEUE_FACTOR: usize = 4;
 
 struct IdleConnection<T> {
+    /// Distinguishes the connections that were put into the pool.
     id: u64,
     connection: T,
 }
 
-struct OrderEntry {
+/// Identifies a connection that was put into the pool.
+struct QueueEntry {
     address: SocketAddr,
     id: u64,
 }
 
-/// The pool. A controller calls thousands of workers, each of them rarely, and a
-/// connection holds some 25 KB: the least recently used are dropped.
+/// A pool of idle connections. A controller calls thousands of workers, but each of them
+/// rarely, and a connection takes about 25 KB of memory. The pool therefore has a capacity and
+/// drops the least recently used connections.
 pub(crate) struct IdleConnections<T> {
+    /// Maximum number of connections in the pool.
     capacity: usize,
+    /// The connections to each address, the most recently used last.
     by_address: HashMap<SocketAddr, Vec<IdleConnection<T>>>,
-    /// In the order of their arrival; those taken meanwhile are still in it.
-    order: VecDeque<OrderEntry>,
+    /// The connections in the order in which they were put into the pool, the oldest first.
+    /// Entries of connections that have left the pool since are removed only by eviction or
+    /// compaction.
+    eviction_queue: VecDeque<QueueEntry>,
     last_id: u64,
+    /// Number of connections in the pool.
     len: usize,
 }
 
 impl<T> IdleConnections<T> {
-    /// An empty pool of at most so many connections.
+    /// Creates an empty pool that keeps at most `capacity` connections.
     pub(crate) fn new(capacity: usize) -> IdleConnections<T> {
         IdleConnections {
             capacity,
             by_address: HashMap::new(),
-            order: VecDeque::new(),
+            eviction_queue: VecDeque::new(),
             last_id: 0,
             len: 0,
         }
     }
 
-    /// Takes the connection to an address that was used last.
+    /// Takes the most recently used connection to an address out of the pool.
     pub(crate) fn take(&mut self, address: SocketAddr) -> Option<T> {
         let connections = self.by_address.get_mut(&address)?;
         let idle = connections.pop()?;
@@ -53,7 +62,8 @@
         Some(idle.connection)
     }
 
-    /// Keeps a connection, unless there are enough to that address.
+    /// Puts a connection into the pool. It is dropped instead if the pool already has
+    /// [`MAX_PER_ADDRESS`] connections to that address.
     pub(crate) fn put(&mut self, address: SocketAddr, connection: T) {
         let connections = self.by_address.entry(address).or_default();
         if connections.len() >= MAX_PER_ADDRESS {
@@ -63,33 +73,36 @@
         let id = self.last_id;
         connections.push(IdleConnection { id, connection });
         self.len += 1;
-        self.order.push_back(OrderEntry { address, id });
+        self.eviction_queue.push_back(QueueEntry { address, id });
         self.evict();
-        self.compact_order();
+        self.compact_eviction_queue();
     }
 
+    /// Drops the least recently used connections until the pool is within its capacity.
     fn evict(&mut self) {
         while self.len > self.capacity {
-            let Some(oldest) = self.order.pop_front() else {
+            let Some(oldest) = self.eviction_queue.pop_front() else {
                 break;
             };
             self.remove(&oldest);
         }
     }
 
-    fn compact_order(&mut self) {
-        if self.order.len() <= MAX_ORDER_FACTOR * self.len.max(self.capacity) {
+    /// If the eviction queue is too long, removes entries of connections that are no longer in
+    /// the pool.
+    fn compact_eviction_queue(&mut self) {
+        if self.eviction_queue.len() <= MAX_QUEUE_FACTOR * self.len.max(self.capacity) {
             return;
         }
         let by_address = &self.by_address;
-        self.order.retain(|entry| {
+        self.eviction_queue.retain(|entry| {
             by_address
                 .get(&entry.address)
                 .is_some_and(|connections| connections.iter().any(|idle| idle.id == entry.id))
         });
     }
 
-    fn remove(&mut self, entry: &OrderEntry) {
+    fn remove(&mut self, entry: &QueueEntry) {
         let Some(connections) = self.by_address.get_mut(&entry.address) else {
             return;
         };
@@ -101,7 +114,7 @@
         }
     }
 
-    /// Drops all connections to an address.
+    /// Drops all pooled connections to an address.
     pub(crate) fn remove_all(&mut self, address: SocketAddr) {
         let removed = self.by_address.remove(&address);
         self.len -= removed.map_or(0, |connections| connections.len());
--- a/crates/clients/src/lib.rs
+++ b/crates/clients/src/lib.rs
@@ -1,4 +1,4 @@
-//! Clients of the services around rushwalk: the store, the cloud, workers and peers.
+//! HTTP clients with which a controller calls the store, the cloud, workers and its peers.
 
 #![deny(missing_docs)]
 
--- a/crates/clients/src/peers.rs
+++ b/crates/clients/src/peers.rs
@@ -1,4 +1,4 @@
-//! Other controllers: CBOR bodies over HTTP.
+//! Client of the other controllers: CBOR messages over HTTP.
 
 use crate::http::{Error, HttpClient, Request, parse_address};
 use hyper::Method;
@@ -6,24 +6,25 @@
 use serde::{Serialize, de::DeserializeOwned};
 use std::time::Duration;
 
-/// Calls to the peers' own interface.
+/// Client of the interface that controllers serve to each other.
 #[derive(Clone)]
 pub struct PeerClient {
     http: HttpClient,
 }
 
 impl PeerClient {
-    /// A client that uses an HTTP client.
+    /// Creates a client that sends its messages with `http`.
     pub fn new(http: HttpClient) -> Self {
         PeerClient { http }
     }
 
-    /// Posts a message to a peer and reads its response.
+    /// Posts a message to the peer at `to` (`IP:port`) and decodes the response.
     ///
     /// # Errors
     ///
-    /// [`Error::NotSent`] if `to` is no address; [`Error::Status`] for any status but
-    /// 200; [`Error::Unanswered`] also if the response is not CBOR of that type.
+    /// [`Error::NotSent`] if `to` is not a valid address; [`Error::Status`] for any status
+    /// other than 200; [`Error::Unanswered`] if the response is not CBOR of type `A`;
+    /// otherwise the errors of [`HttpClient::call`].
     pub async fn call<Q: Serialize, A: DeserializeOwned>(
         &self,
         to: &str,
@@ -47,6 +48,7 @@
         if response.status != 200 {
             return Err(Error::Status(response.status.as_u16()));
         }
-        decode(&response.body).ok_or_else(|| Error::Unanswered("not CBOR".into()))
+        decode(&response.body)
+            .ok_or_else(|| Error::Unanswered("response is not CBOR of the expected type".into()))
     }
 }
--- a/crates/clients/src/rate_limiter.rs
+++ b/crates/clients/src/rate_limiter.rs
@@ -1,40 +1,46 @@
-//! A token bucket whose rate adapts to what other clients leave unused.
+//! A token bucket whose rate adapts to the capacity that other clients leave unused.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// By how much of its share each success raises the rate.
-const GROWTH: f64 = 0.05;
+/// The increase of the rate with each successful request, as a fraction of the share.
+const RATE_INCREASE: f64 = 0.05;
 
-/// The smallest burst, in tokens.
+/// Minimum bucket size, in tokens.
 const MIN_BURST: f64 = 4.0;
 
-/// The longest wait that is predicted, in seconds.
+/// Upper bound of predicted waits, in seconds.
 const MAX_WAIT_S: f64 = 3600.0;
 
-/// One client's part of the rate limit of a service that several share. Each has its
-/// share for sure; what the others leave shows only in that nothing is throttled, so the
-/// rate grows with each success and falls back to the share when the service throttles.
+/// Limits the request rate of one client of a service whose rate limit several clients share.
+///
+/// Each client has a guaranteed share of the limit and may also use what the others leave
+/// unused. A client can only tell that capacity is unused from the fact that the service
+/// doesn't throttle it. The rate therefore increases with each successful request, and is reset
+/// to the share when the service throttles a request.
 #[derive(Debug)]
 pub struct RateLimiter {
-    /// The guaranteed rate, in tokens a second.
+    /// The guaranteed rate, in tokens per second.
     share: f64,
+    /// The upper bound of `rate`, in tokens per second.
     max_rate: f64,
-    /// The present rate, in tokens a second.
+    /// The current rate, in tokens per second.
     rate: f64,
-    /// Negative after a large amount was taken in advance.
+    /// The tokens in the bucket. Negative after a large amount was granted before the bucket
+    /// held it.
     tokens: f64,
+    /// When `tokens` was last updated.
     refilled_at: Instant,
 }
 
 impl RateLimiter {
-    /// A limiter of a constant rate, in tokens a second.
+    /// Creates a limiter with a constant rate, in tokens per second.
     pub fn new(rate: f64, now: Instant) -> Self {
         RateLimiter::with_share(rate, rate, now)
     }
 
-    /// A limiter with a share of the `max_rate` that all clients have together, in tokens
-    /// a second.
+    /// Creates a limiter with a guaranteed share of `max_rate`, the rate limit of all clients
+    /// together. Both are in tokens per second.
     pub fn with_share(share: f64, max_rate: f64, now: Instant) -> Self {
         RateLimiter {
             share,
@@ -45,11 +51,13 @@
         }
     }
 
-    /// The bucket's size: a second's worth, or what the smallest share needs at once.
+    /// The bucket's size in tokens: one second's worth, but at least [`MIN_BURST`], as even a
+    /// client with a very small share needs that many at a time.
     fn burst(&self) -> f64 {
         self.rate.max(MIN_BURST)
     }
 
+    /// Adds the tokens that have accrued since the last refill.
     fn refill(&mut self, now: Instant) {
         let elapsed = now.saturating_duration_since(self.refilled_at);
         let refilled = self.tokens + elapsed.as_secs_f64() * self.rate;
@@ -57,37 +65,43 @@
         self.refilled_at = now;
     }
 
-    /// How many tokens must be there for `amount`. A large amount is granted as soon as a
-    /// small one could be, and those behind it wait the longer: if it had to wait until
-    /// all is there, small ones would take it away for ever. So a leader that had
-    /// fourteen shards to assign assigned none for half a minute.
-    fn required(&self, amount: f64, reserve: f64) -> f64 {
+    /// The number of tokens that the bucket must hold for `amount` to be granted. A full bucket
+    /// always suffices.
+    ///
+    /// A large amount is granted as soon as a single token would be; the balance then becomes
+    /// negative, and later requests wait longer. If a large amount had to wait until the
+    /// bucket holds all of it, small requests would keep taking the tokens: a leader with 14
+    /// shards to assign assigned none for 30 seconds.
+    fn required_tokens(&self, amount: f64, reserve: f64) -> f64 {
         (amount.min(1.0) + reserve).min(self.burst())
     }
 
-    /// Takes `amount` tokens, if one is there beside `reserve`.
+    /// Takes `amount` tokens, if the bucket holds at least one token (or `amount`, if less) in
+    /// addition to `reserve`. Returns whether it took them.
     pub fn try_acquire(&mut self, amount: f64, reserve: f64, now: Instant) -> bool {
         self.refill(now);
-        let available = self.tokens >= self.required(amount, reserve);
+        let available = self.tokens >= self.required_tokens(amount, reserve);
         if available {
             self.tokens -= amount;
         }
         available
     }
 
-    /// How long until `amount` could be taken beside `reserve`.
+    /// How long it takes until [`RateLimiter::try_acquire`] can succeed for the same arguments,
+    /// if no other tokens are taken until then.
     pub fn time_until_available(&mut self, amount: f64, reserve: f64, now: Instant) -> Duration {
         self.refill(now);
-        let lacking = self.required(amount, reserve) - self.tokens;
-        Duration::from_secs_f64((lacking / self.rate).clamp(0.0, MAX_WAIT_S))
+        let shortfall = self.required_tokens(amount, reserve) - self.tokens;
+        Duration::from_secs_f64((shortfall / self.rate).clamp(0.0, MAX_WAIT_S))
     }
 
-    /// The service carried out what was taken.
+    /// Raises the rate after the service has carried out a request.
     pub fn on_success(&mut self) {
-        self.rate = (self.rate + GROWTH * self.share).min(self.max_rate);
+        self.rate = (self.rate + RATE_INCREASE * self.share).min(self.max_rate);
     }
 
-    /// The service throttled a request: back to the share, and to an empty bucket.
+    /// Resets the rate to the share and empties the bucket, after the service has throttled a
+    /// request.
     pub fn on_throttled(&mut self, now: Instant) {
         self.refill(now);
         self.rate = self.share;
--- a/crates/clients/src/store.rs
+++ b/crates/clients/src/store.rs
@@ -1,4 +1,5 @@
-//! The consensus-backed key-value store: list, watch, conditional transactions, leases.
+//! Client of the consensus-backed key-value store: listing, watches, conditional transactions
+//! and leases.
 
 use crate::http::{Error, HttpClient, Request, Response, json_body};
 use hyper::Method;
@@ -9,57 +10,61 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Entries requested in a page of a list.
+/// Maximum number of entries requested in a page of a listing.
 const PAGE_SIZE: usize = 1000;
 
 const LIST_TIMEOUT: Duration = Duration::from_secs(5);
 
 const GRANT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Calls to the store. Rates are its callers' affair.
+/// Client of the store. It doesn't limit its request rate: callers must stay within the
+/// store's limits.
 #[derive(Clone)]
 pub struct StoreClient {
     http: HttpClient,
     address: SocketAddr,
 }
 
-/// What became of a transaction.
+/// The outcome of a transaction, as far as the client can tell.
 #[derive(Debug, Clone)]
 pub enum CommitOutcome {
-    /// Carried out, as this revision.
+    /// The transaction was committed with this revision.
     Committed(u64),
-    /// A condition did not hold: nothing was changed.
+    /// A condition did not hold, so nothing was changed.
     Conflict,
-    /// A lease named in it has expired.
+    /// A lease that the transaction attaches a key to has expired.
     LeaseExpired,
-    /// Refused for now (429, 503), or never sent.
+    /// The transaction was not carried out: the store responded with another status, such as
+    /// 429 or 503, or the request was never sent.
     Rejected(Error),
-    /// No response: it may have been carried out, or may still be.
+    /// No valid response was received. The transaction may have been committed, or may still
+    /// be.
     Unanswered(Error),
 }
 
 impl StoreClient {
-    /// A client of the store at an address.
+    /// Creates a client of the store at `address`.
     pub fn new(http: HttpClient, address: SocketAddr) -> Self {
         StoreClient { http, address }
     }
 
-    /// Lists a page of the keys under `prefix`, those after the key `since`.
+    /// Gets a page of the listing of keys under `prefix`: the keys that come after `since`.
     ///
     /// # Errors
     ///
-    /// As [`HttpClient::json`].
+    /// The errors of [`HttpClient::json`].
     pub async fn list(&self, prefix: &str, since: &str) -> Result<KeyValuePage, Error> {
         let path = format!("/store?under={prefix}&since={since}&limit={PAGE_SIZE}");
         self.get(&path, LIST_TIMEOUT).await
     }
 
-    /// Waits up to `block` for changes under `prefix` after the revision `since`, and for
-    /// `grace` longer for the response.
+    /// Gets the changes under `prefix` after the revision `since`. The store waits up to `block`
+    /// for the first change; the request times out `grace` after that.
     ///
     /// # Errors
     ///
-    /// As [`HttpClient::json`]; [`Error::Status`] also if `since` is too old.
+    /// The errors of [`HttpClient::json`]. [`Error::Status`] can mean that the store no longer
+    /// retains all changes after `since`.
     pub async fn watch(
         &self,
         prefix: &str,
@@ -72,7 +77,7 @@
         self.get(&path, block + grace).await
     }
 
-    /// Carries out a transaction if all of its conditions hold.
+    /// Commits a transaction, if all of its conditions hold.
     pub async fn commit(&self, transaction: &Transaction, timeout: Duration) -> CommitOutcome {
         let request = self.request(Method::POST, "/commit", json_body(transaction), timeout);
         match self.http.call(request).await {
@@ -84,11 +89,11 @@
         }
     }
 
-    /// Grants a lease and returns its id.
+    /// Requests a lease with the time to live `ttl`, and returns its id.
     ///
     /// # Errors
     ///
-    /// As [`HttpClient::json`].
+    /// The errors of [`HttpClient::json`].
     pub async fn grant_lease(&self, ttl: Duration) -> Result<u64, Error> {
         let body = json_body(&LeaseRequest {
             ttl_ms: ttl.as_millis() as u64,
@@ -102,8 +107,8 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Status`] if the store did not, as for one that has expired; else as
-    /// [`HttpClient::call`].
+    /// [`Error::Status`] if the store didn't renew the lease, for example because it has
+    /// expired; otherwise the errors of [`HttpClient::call`].
     pub async fn renew_lease(&self, lease: u64, timeout: Duration) -> Result<(), Error> {
         let path = format!("/leases/{lease}/touch");
         let request = self.request(Method::POST, &path, Vec::new(), timeout);
--- a/crates/clients/src/workers.rs
+++ b/crates/clients/src/workers.rs
@@ -1,4 +1,4 @@
-//! Workers at their own addresses: direct commands and status.
+//! Client of the workers: direct commands and status queries.
 
 use crate::http::{Error, HttpClient, Request, json_body, parse_address};
 use hyper::Method;
@@ -8,36 +8,39 @@
 use tokio::sync::{Semaphore, SemaphorePermit};
 use tokio::time::{Instant, timeout_at};
 
-/// Calls to workers, with a bound on how many are in flight.
+/// Client of the workers, which limits the number of calls in flight.
 #[derive(Clone)]
 pub struct WorkerClient {
     http: HttpClient,
+    /// One permit for each command call that may be in flight.
     command_permits: Arc<Semaphore>,
-    /// Status queries go to workers that send no heartbeats and mostly time out, so they
-    /// have permits of their own.
+    /// One permit for each status query that may be in flight. Status queries are sent to
+    /// workers that send no heartbeats, and mostly time out; with separate permits they don't
+    /// delay commands.
     status_permits: Arc<Semaphore>,
 }
 
-/// A worker's response to direct commands.
+/// A worker's response to a direct command call.
 #[derive(Debug, Clone)]
 pub struct CommandResponse {
-    /// Whether the worker executed the commands. It refuses those of an older fencing
-    /// token or for another session.
+    /// Whether the worker executed the commands. It refuses commands with a lower fencing
+    /// token than it has seen, and commands for another session.
     pub executed: bool,
-    /// The worker's state after them.
+    /// The worker's state after the call.
     pub heartbeat: Heartbeat,
 }
 
-/// Leave to make a call.
+/// Permission to have one call in flight; returned to the semaphore when dropped.
 struct CallPermit<'a> {
     _permit: SemaphorePermit<'a>,
-    /// What is left of the time for the call.
+    /// The part of the call's timeout that remained when the permit was acquired.
     remaining: Duration,
 }
 
 impl WorkerClient {
-    /// A client with at most so many commands in flight, and half as many status queries;
-    /// more would only hold sockets that others need.
+    /// Creates a client that has at most `max_in_flight` command calls in flight (two if it is
+    /// less), and half as many status queries. Further calls would only occupy sockets that
+    /// other clients need.
     pub fn new(http: HttpClient, max_in_flight: usize) -> Self {
         WorkerClient {
             http,
@@ -46,12 +49,13 @@
         }
     }
 
-    /// Sends commands to a worker.
+    /// Sends commands to the worker at `to` (`IP:port`).
     ///
     /// # Errors
     ///
-    /// [`Error::NotSent`] if `to` is no address or too many calls are in flight;
-    /// [`Error::Status`] for any status but 200 and 409; else as [`HttpClient::call`].
+    /// [`Error::NotSent`] if `to` is not a valid address, or if too many calls stay in flight
+    /// until the timeout; [`Error::Status`] for any status other than 200 and 409; otherwise
+    /// the errors of [`HttpClient::call`].
     pub async fn command(
         &self,
         to: &str,
@@ -59,7 +63,7 @@
         timeout: Duration,
     ) -> Result<CommandResponse, Error> {
         let address = parse_address(to)?;
-        let permit = acquire(&self.command_permits, timeout).await?;
+        let permit = acquire_permit(&self.command_permits, timeout).await?;
         let request = Request {
             address,
             method: Method::POST,
@@ -81,15 +85,15 @@
         }
     }
 
-    /// Queries a worker's status.
+    /// Queries the status of the worker at `to` (`IP:port`).
     ///
     /// # Errors
     ///
-    /// [`Error::NotSent`] if `to` is no address or too many calls are in flight; else as
-    /// [`HttpClient::json`].
+    /// [`Error::NotSent`] if `to` is not a valid address, or if too many calls stay in flight
+    /// until the timeout; otherwise the errors of [`HttpClient::json`].
     pub async fn heartbeat(&self, to: &str, timeout: Duration) -> Result<Heartbeat, Error> {
         let address = parse_address(to)?;
-        let permit = acquire(&self.status_permits, timeout).await?;
+        let permit = acquire_permit(&self.status_permits, timeout).await?;
         let request = Request {
             address,
             method: Method::GET,
@@ -104,14 +108,15 @@
     }
 }
 
-async fn acquire(permits: &Semaphore, timeout: Duration) -> Result<CallPermit<'_>, Error> {
+/// Waits for a permit, at most for `timeout`.
+async fn acquire_permit(permits: &Semaphore, timeout: Duration) -> Result<CallPermit<'_>, Error> {
     let deadline = Instant::now() + timeout;
     match timeout_at(deadline, permits.acquire()).await {
         Ok(Ok(permit)) => Ok(CallPermit {
             _permit: permit,
             remaining: deadline.saturating_duration_since(Instant::now()),
         }),
-        _ => Err(Error::NotSent("too many calls under way".into())),
+        _ => Err(Error::NotSent("too many calls in flight".into())),
     }
 }
 
--- a/crates/clients/src/workers/tests.rs
+++ b/crates/clients/src/workers/tests.rs
@@ -1,18 +1,18 @@
-//! Tests of the bounds on calls in flight.
+//! Tests of the limits on calls in flight.
 
 use super::*;
 use crate::http::{Exchange, Transport};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Workers that never respond.
+/// A transport to workers that never respond. It counts the calls in flight.
 #[derive(Default)]
 struct UnresponsiveWorkers {
     in_flight: AtomicUsize,
     max_in_flight: AtomicUsize,
 }
 
-/// Ends the count of a call when the call is dropped.
+/// Counts a call as in flight until it is dropped.
 struct InFlight(Arc<UnresponsiveWorkers>);
 
 impl Drop for InFlight {
@@ -33,10 +33,10 @@
     }
 }
 
-/// Behind a network partition a thousand status queries waited for their time to run
-/// out, each on a socket of its own, until there was none left to call the store.
+/// Fault: during a network partition, a thousand status queries waited for their timeouts, each
+/// on a socket of its own, until no socket was left for calls to the store.
 #[tokio::test(start_paused = true)]
-async fn unanswered_calls_hold_few_sockets_and_do_not_delay_commands() {
+async fn unanswered_status_queries_hold_few_sockets_and_do_not_delay_commands() {
     let unresponsive = Arc::new(UnresponsiveWorkers::default());
     let http = HttpClient::with_transport(Arc::new(unresponsive.clone()));
     let workers = WorkerClient::new(http, 8);
--- a/crates/clients/tests/http.rs
+++ b/crates/clients/tests/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP client over TCP, against a server that counts its connections.
+//! Tests of the HTTP client over TCP, against a server that counts its connections.
 
 use rushwalk_clients::http::Request;
 use rushwalk_clients::{Error, HttpClient, Method};
@@ -8,10 +8,11 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// Answers requests without a body by their path: `/ok`, `/missing`, `/garbage`, `/large`
-/// and `/hang`.
+/// A server whose response depends only on the path: `/ok`, `/missing`, `/garbage`, `/large`
+/// or `/hang`. It accepts only requests without a body.
 struct Server {
     address: SocketAddr,
+    /// Number of connections accepted so far.
     connections: Arc<AtomicUsize>,
 }
 
@@ -89,7 +90,7 @@
 }
 
 #[tokio::test]
-async fn an_idle_connection_is_used_again() {
+async fn idle_connection_is_reused() {
     let server = Server::start();
     let client = HttpClient::new(4);
     for _ in 0..3 {
@@ -103,7 +104,7 @@
 }
 
 #[tokio::test]
-async fn errors_tell_whether_the_request_was_sent() {
+async fn errors_distinguish_failed_calls_by_cause() {
     let server = Server::start();
     let client = HttpClient::new(4);
     let missing = client.call(server.request("/missing")).await.unwrap();
@@ -124,7 +125,7 @@
 }
 
 #[tokio::test]
-async fn a_closed_port_refuses_the_connection() {
+async fn connection_to_a_closed_port_is_refused() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
--- a/crates/protocol/src/jobs.rs
+++ b/crates/protocol/src/jobs.rs
@@ -13,7 +13,7 @@
     /// A job array: tasks run independently of each other, each to completion.
     #[serde(rename = "sweep")]
     Array,
-    /// A gang: all tasks run at the same time, or none runs.
+    /// Gang scheduling: all tasks run at the same time, or none runs.
     Gang,
     /// A service: the tasks are replicas that run until the job is cancelled.
     #[serde(rename = "standing")]
@@ -49,7 +49,7 @@
     /// The job's id, chosen by the user. [`is_job_id`] checks its form.
     #[serde(rename = "uid")]
     pub id: String,
-    /// The job's class. Service-level objectives are set per class, see
+    /// The job's class. Service-level objectives may be set for a class, see
     /// [`Objective`](crate::settings::Objective).
     #[serde(rename = "lane")]
     pub class: String,
