--- a/crates/protocol/src/jobs.rs
+++ b/crates/protocol/src/jobs.rs
@@ -2,7 +2,7 @@
 
 mod validation;
 
-pub use validation::Malformed;
+pub use validation::JobSpecError;
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/protocol/src/jobs/validation.rs
+++ b/crates/protocol/src/jobs/validation.rs
@@ -16,7 +16,7 @@
 /// The reason why a submission is invalid. Its display text is a single line that is sent
 /// to the user.
 #[derive(Debug, thiserror::Error)]
-pub enum Malformed {
+pub enum JobSpecError {
     /// The body is not JSON.
     #[error("not JSON: {0}")]
     NotJson(#[source] serde_json::Error),
@@ -36,8 +36,8 @@
     },
 }
 
-fn invalid(field: &'static str, reason: impl Into<String>) -> Result<(), Malformed> {
-    Err(Malformed::Field {
+fn invalid(field: &'static str, reason: impl Into<String>) -> Result<(), JobSpecError> {
+    Err(JobSpecError::Field {
         field,
         reason: reason.into(),
     })
@@ -48,18 +48,19 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Malformed`] for the first fault that is found.
-    pub fn parse(body: &[u8]) -> Result<JobSpec, Malformed> {
-        let value: serde_json::Value = serde_json::from_slice(body).map_err(Malformed::NotJson)?;
+    /// Returns [`JobSpecError`] for the first fault that is found.
+    pub fn parse(body: &[u8]) -> Result<JobSpec, JobSpecError> {
+        let value: serde_json::Value =
+            serde_json::from_slice(body).map_err(JobSpecError::NotJson)?;
         if !value.is_object() {
-            return Err(Malformed::NotAnObject);
+            return Err(JobSpecError::NotAnObject);
         }
-        let spec: JobSpec = serde_json::from_value(value).map_err(Malformed::Schema)?;
+        let spec: JobSpec = serde_json::from_value(value).map_err(JobSpecError::Schema)?;
         spec.check()?;
         Ok(spec)
     }
 
-    fn check(&self) -> Result<(), Malformed> {
+    fn check(&self) -> Result<(), JobSpecError> {
         if !is_job_id(&self.id) {
             return invalid("uid", "not a job id");
         }
@@ -71,7 +72,7 @@
         self.check_amounts()
     }
 
-    fn check_names(&self) -> Result<(), Malformed> {
+    fn check_names(&self) -> Result<(), JobSpecError> {
         let names = [
             ("lane", &self.class),
             ("crew", &self.team),
@@ -85,7 +86,7 @@
         Ok(())
     }
 
-    fn check_placement(&self) -> Result<(), Malformed> {
+    fn check_placement(&self) -> Result<(), JobSpecError> {
         let is_invalid = |types: &Vec<String>| {
             types.is_empty()
                 || types.len() > MAX_MACHINE_TYPES
@@ -105,7 +106,7 @@
         Ok(())
     }
 
-    fn check_amounts(&self) -> Result<(), Malformed> {
+    fn check_amounts(&self) -> Result<(), JobSpecError> {
         let amounts = [
             ("cpus", self.cpus),
             ("gpus", self.gpus),
