--- a/crates/clients/src/cloud.rs
+++ b/crates/clients/src/cloud.rs
@@ -37,8 +37,8 @@
     /// The names of the rented machines. There are fewer than requested if the cloud has no
     /// more.
     Machines(Vec<String>),
-    /// No machine of the requested type is available now in the zone, as spot or on-demand
-    /// machine as requested.
+    /// No machine of the requested type, zone and purchase option (spot or on-demand) is
+    /// available now.
     OutOfCapacity,
     /// The cloud rejected the request as malformed.
     Malformed,
--- a/crates/clients/src/store.rs
+++ b/crates/clients/src/store.rs
@@ -25,7 +25,7 @@
     address: SocketAddr,
 }
 
-/// The outcome of a transaction, as far as the client can tell.
+/// The outcome of a transaction.
 #[derive(Debug, Clone)]
 pub enum CommitOutcome {
     /// The transaction was committed with this revision.
--- a/crates/protocol/src/ids.rs
+++ b/crates/protocol/src/ids.rs
@@ -141,7 +141,7 @@
 pub struct AttemptId {
     /// The task.
     pub task: TaskId,
-    /// The attempt's number: the store revision at which the task was assigned to a machine,
-    /// so that no two attempts of a task share a number.
+    /// The attempt's number: the store revision at which the task was assigned to a shard for
+    /// this attempt, so that no two attempts of a task share a number.
     pub attempt: u64,
 }
