--- a/crates/rushwalk/src/capacity.rs
+++ b/crates/rushwalk/src/capacity.rs
@@ -1,5 +1,5 @@
-//! The machines that are rented: what the cloud has, rentals and deletions, how machines
-//! boot, and how many are needed.
+//! Cloud capacity: reads the cloud's machine types and machine list, rents and deletes machines,
+//! supervises booting machines, and decides how many machines to rent or remove.
 
 pub(crate) mod boot_supervision;
 pub(crate) mod deletion;
@@ -21,17 +21,17 @@
 pub(crate) use inventory::Inventory;
 pub(crate) use rentals::{RentalTracker, Rentals};
 
-/// The parts of each loop that calls the cloud.
+/// The dependencies of each background loop that calls the cloud.
 #[derive(Clone)]
 pub(crate) struct CloudLoopParts {
-    /// This process's context.
+    /// Settings, timing and identity of this process.
     pub context: Arc<Context>,
-    /// Shows the rentals and machines that are known.
+    /// The local replica of the cluster state, with its machines and open rentals.
     pub replica: Arc<Replica>,
-    /// Only the leader calls the cloud.
+    /// Whether this process leads: only the leader calls the cloud, and it commits the outcomes.
     pub leadership: Arc<Leadership>,
-    /// Calls the cloud.
+    /// The client of the cloud's API, which keeps to the allowed rate of calls.
     pub cloud: Arc<CloudClient>,
-    /// What is in flight, and what was deleted lately.
+    /// Rentals in flight and recently deleted machines, which are not part of the cluster state.
     pub tracker: Arc<RentalTracker>,
 }
--- a/crates/rushwalk/src/capacity/boot_supervision.rs
+++ b/crates/rushwalk/src/capacity/boot_supervision.rs
@@ -1,4 +1,5 @@
-//! Boot supervision: how long rented machines boot, and which of them are abandoned.
+//! Boot supervision: estimates how long rented machines take to boot, and abandons those that
+//! take too long.
 
 use crate::clock::now_ms;
 use crate::scheduler_inputs::seconds;
@@ -11,27 +12,28 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// One in so many of the machines that are as late as all that were rented with them is
-/// abandoned in a boot time, to try whether a new one boots faster.
+/// Of the machines in a group that are all late alike, one in this many is abandoned per nominal
+/// boot time, as a trial whether a new machine boots faster.
 const LATE_PER_TRIAL: usize = 8;
 
-/// Boot times for which an abandoned machine still counts as a sample.
+/// How long an abandoned machine counts as a sample, in nominal boot times since it was rented.
 const SAMPLE_BOOT_TIMES: f64 = 8.0;
 
-/// A machine that was abandoned before it came.
+/// A machine that was abandoned before it became ready.
 struct AbandonedBoot {
     group: BootGroup,
     nominal_s: f64,
     sample: BootSample,
 }
 
-/// A machine abandoned only to try whether a new one boots faster.
+/// A machine that was abandoned only as a trial whether a new one boots faster.
 struct Trial {
     group: BootGroup,
+    /// When the machine was abandoned.
     at: Instant,
 }
 
-/// A machine that boots.
+/// A machine that is booting.
 struct BootingMachine<'a> {
     group: BootGroup,
     rented_ms: UnixMillis,
@@ -45,42 +47,46 @@
     }
 }
 
-/// Learns how machines boot, and abandons those that don't become ready.
+/// Estimates boot times, and abandons machines that do not become ready in time.
 #[derive(Default)]
 pub(crate) struct BootSupervisor {
+    /// The estimates as of the latest update.
     boot_times: BootTimeEstimator,
+    /// Machines that were abandoned recently: they remain samples after their deletion.
     abandoned: Vec<AbandonedBoot>,
+    /// Trials that began less than a nominal boot time ago.
     trials: Vec<Trial>,
 }
 
 /// What the boot time of a machine depends on.
 struct BootClass<'a> {
-    /// The machines with which it is compared.
+    /// The machines that should boot alike: those of the same type in the same zone.
     group: BootGroup,
     machine_type: &'a MachineType,
 }
 
-/// The class of a machine; `None` if its type or zone is not known.
+/// The boot class of a machine; `None` if its type or zone is not known.
 fn boot_class<'a>(
     machine: &MachineRecord,
     types: &'a MachineTypes,
     zones: &[Arc<str>],
 ) -> Option<BootClass<'a>> {
     let zone = zones.iter().position(|zone| *zone == machine.zone)?;
-    let group = types.position(&machine.machine_type)?;
+    let type_index = types.position(&machine.machine_type)?;
     Some(BootClass {
-        group: BootGroup::new(group, zone),
-        machine_type: &types.types[group],
+        group: BootGroup::new(type_index, zone),
+        machine_type: &types.types[type_index],
     })
 }
 
 impl BootSupervisor {
-    /// How machines boot, as of the latest update.
+    /// The boot time estimates as of the latest update.
     pub(crate) fn boot_times(&self) -> &BootTimeEstimator {
         &self.boot_times
     }
 
-    /// When a machine that boots should be ready, in seconds.
+    /// When a booting machine should be ready, in seconds since the Unix epoch; at least a second
+    /// after `now_s`.
     pub(crate) fn expected_ready_s(
         &self,
         machine: &MachineRecord,
@@ -96,8 +102,9 @@
         now_s + remaining_s.max(1.0)
     }
 
-    /// Learns from the machines there are and from those that were abandoned. A machine may
-    /// be ready for `heartbeat_s` before its heartbeat shows it.
+    /// Computes the estimates anew from the machines in the cluster state and from those that
+    /// were abandoned. `heartbeat_s` is for how long a machine may be ready before a heartbeat
+    /// shows that.
     pub(crate) fn update(
         &mut self,
         state: &ClusterState,
@@ -130,9 +137,10 @@
         self.boot_times = boot_times;
     }
 
-    /// Machines to abandon since others would come sooner. One that never comes holds what
-    /// can be rented of its kind: 580 did for 250 s, and all others were in use. Only if
-    /// `jobs_wait` it is worth a try to abandon one of many that are all late.
+    /// Selects machines to abandon because new ones should be ready sooner. A machine that never
+    /// becomes ready takes up rentable capacity of its kind: 580 such machines did so for 250 s
+    /// while all others were in use. If `jobs_wait`, this also abandons some of the machines that
+    /// are all late alike, as a trial.
     pub(crate) fn abandon_late(
         &mut self,
         state: &ClusterState,
@@ -141,10 +149,10 @@
         jobs_wait: bool,
     ) -> BTreeSet<MachineId> {
         let mut abandoned = BTreeSet::new();
-        let mut late_like_others = Vec::new();
+        let mut late_alike = Vec::new();
         for (id, machine) in &state.machines {
             let record = &machine.record;
-            if !is_booting_under_an_owner(state, record) {
+            if !is_booting_in_owned_shard(state, record) {
                 continue;
             }
             let Some(class) = boot_class(record, types, zones) else {
@@ -158,31 +166,31 @@
             };
             match booting.lateness(&self.boot_times) {
                 BootLateness::OnTime => {}
-                BootLateness::LateLikeOthers => late_like_others.push(booting),
+                BootLateness::LateLikeOthers => late_alike.push(booting),
                 BootLateness::ReplaceNow => {
                     abandoned.insert(id.clone());
                 }
             }
         }
         if jobs_wait {
-            self.try_others(late_like_others, &mut abandoned);
+            self.start_trials(late_alike, &mut abandoned);
         }
         self.record_abandoned(state, types, zones, &abandoned);
         abandoned
     }
 
-    /// Abandons some of the machines that are all late: if work waits, another is worth a
-    /// try now and then.
-    fn try_others(&mut self, mut late: Vec<BootingMachine>, abandoned: &mut BTreeSet<MachineId>) {
+    /// Abandons some of the machines that are all late alike, the oldest rentals first. While
+    /// jobs wait, it is worth trying from time to time whether a new machine boots faster.
+    fn start_trials(&mut self, mut late: Vec<BootingMachine>, abandoned: &mut BTreeSet<MachineId>) {
         late.sort_by_key(|machine| (machine.group, machine.rented_ms));
         for machines in late.chunk_by(|a, b| a.group == b.group) {
             let (group, nominal_s) = (machines[0].group, machines[0].nominal_s);
             self.trials.retain(|trial| {
                 trial.group != group || trial.at.elapsed().as_secs_f64() < nominal_s
             });
-            let under_way = self.trials.iter().filter(|t| t.group == group).count();
-            let more = (machines.len() / LATE_PER_TRIAL).saturating_sub(under_way);
-            for machine in machines.iter().take(more) {
+            let running = self.trials.iter().filter(|t| t.group == group).count();
+            let new_trials = (machines.len() / LATE_PER_TRIAL).saturating_sub(running);
+            for machine in machines.iter().take(new_trials) {
                 self.trials.push(Trial {
                     group,
                     at: Instant::now(),
@@ -192,6 +200,7 @@
         }
     }
 
+    /// Keeps the abandoned machines as samples of machines that have not booted.
     fn record_abandoned(
         &mut self,
         state: &ClusterState,
@@ -218,8 +227,9 @@
     }
 }
 
-/// Whether a machine boots, and a controller would receive its heartbeat.
-fn is_booting_under_an_owner(state: &ClusterState, machine: &MachineRecord) -> bool {
+/// Whether a machine is booting in a shard whose owner is a registered member. In other shards no
+/// controller would receive its heartbeat, so that it may be ready already.
+fn is_booting_in_owned_shard(state: &ClusterState, machine: &MachineRecord) -> bool {
     let lease = state.shard_leases.get(&machine.shard);
     machine.ready_ms.is_none()
         && machine.lifecycle != MachineLifecycle::Deleting
--- a/crates/rushwalk/src/capacity/deletion.rs
+++ b/crates/rushwalk/src/capacity/deletion.rs
@@ -1,4 +1,4 @@
-//! Returns machines to the cloud.
+//! Deletes machines in the cloud that are marked as `Deleting` in the cluster state.
 
 use super::CloudLoopParts;
 use crate::store::WritePriority;
@@ -11,27 +11,29 @@
 
 /// Deletes machines while this process leads.
 pub(crate) struct Deletion {
-    /// The parts it uses.
+    /// Dependencies of this loop.
     pub parts: CloudLoopParts,
 }
 
-/// A machine that is to be deleted.
+/// A machine to be deleted.
 struct Candidate<'a> {
     id: &'a MachineId,
-    /// How many tasks are on it.
+    /// Number of tasks assigned to it.
     tasks: usize,
 }
 
-/// Machines for the next call.
+/// The machines of the next deletion call.
 struct DeletionBatch {
     machines: Vec<MachineId>,
-    /// Tasks are on them, which are lost only when their deletion is confirmed.
+    /// Whether any of the machines still has tasks. These count as lost, and can be restarted,
+    /// only once the deletion is confirmed.
     is_urgent: bool,
 }
 
 impl Deletion {
-    /// Deletes machines until the process ends: at once if tasks are on them or a call is full,
-    /// else once in a round, for a call costs the same for one machine as for a hundred.
+    /// Deletes machines until the process ends. The call is made without delay if any of the
+    /// machines has tasks or if the call is full; otherwise there is at most one call a round,
+    /// since a call for one machine counts as much as one for a hundred.
     pub(crate) async fn run(self) {
         let mut last_call: Option<Instant> = None;
         loop {
@@ -40,10 +42,11 @@
                 continue;
             }
             let batch = self.next_batch();
-            let waits = last_call.is_some_and(|at| at.elapsed() < self.parts.context.timing.round)
+            let is_deferred = last_call
+                .is_some_and(|at| at.elapsed() < self.parts.context.timing.round)
                 && !batch.is_urgent
                 && batch.machines.len() < MAX_DELETE;
-            if batch.machines.is_empty() || waits {
+            if batch.machines.is_empty() || is_deferred {
                 continue;
             }
             self.delete(batch.machines).await;
@@ -57,7 +60,8 @@
             .machines
             .iter()
             .filter(|(_, machine)| machine.record.lifecycle == MachineLifecycle::Deleting);
-        // Those with the most tasks come first: the tasks can start anew only then.
+        // Machines with the most tasks come first, since the tasks can be restarted only after
+        // the deletion.
         let mut candidates: Vec<Candidate> = deleting
             .map(|(id, machine)| Candidate {
                 id,
@@ -75,7 +79,8 @@
         }
     }
 
-    /// Deletes machines; once the cloud has confirmed it, all on them is surely gone.
+    /// Deletes machines in the cloud. Once the cloud has confirmed that, the machines and
+    /// everything on them are gone, and this is committed.
     async fn delete(&self, machines: Vec<MachineId>) {
         let names = machines.iter().map(|id| id.to_string()).collect();
         if let Err(error) = self.parts.cloud.delete(names).await {
@@ -87,7 +92,7 @@
             let Some(version) = self.parts.leadership.version(&state) else {
                 return;
             };
-            self.record(&state, &machines);
+            self.record_deleted(&state, &machines);
             version
         };
         let deleted = [Mutation::MachinesDeleted(machines)];
@@ -97,7 +102,9 @@
             .await;
     }
 
-    fn record(&self, state: &ClusterState, machines: &[MachineId]) {
+    /// Remembers the deleted machines, which the cloud's list shows for a while longer, and logs
+    /// them.
+    fn record_deleted(&self, state: &ClusterState, machines: &[MachineId]) {
         let now = Instant::now();
         let deleted = machines.iter().map(|id| (id.clone(), now));
         self.parts.tracker.state().deleted.extend(deleted);
--- a/crates/rushwalk/src/capacity/inventory.rs
+++ b/crates/rushwalk/src/capacity/inventory.rs
@@ -1,5 +1,5 @@
-//! Reconciliation with the cloud: which machine types it offers, and which machines it
-//! lists as ours.
+//! Periodic reconciliation with the cloud: the machine types that it offers, and the machines
+//! that it lists as rented by this cluster.
 
 use super::CloudLoopParts;
 use super::shard_allocation::ShardAllocator;
@@ -14,31 +14,31 @@
 use rushwalk_state::{ClusterState, Mutation, UnixMillis, keys};
 use tokio::time::{Instant, sleep};
 
-/// Worker leases after which the machine types are read again.
-const TYPES_LEASES: u32 = 2;
+/// Interval between two reads of the machine types, in worker leases.
+const TYPES_INTERVAL_LEASES: u32 = 2;
 
-/// A listing may take at most one in so many of the calls to the cloud.
-const LIST_CALL_SHARE: f64 = 10.0;
+/// Listing the machines may take at most one in this many of the calls to the cloud.
+const CALLS_PER_LIST_CALL: f64 = 10.0;
 
-/// By how much a rental may be older than its machine, beyond the clocks' skew, in
-/// milliseconds.
+/// By how many milliseconds, in addition to the clock skew, a rental may seem to have been
+/// requested after the creation of a machine that it brought.
 const AGE_TOLERANCE_MS: UnixMillis = 2000;
 
-/// Reads machine types and the machine list while this process leads.
+/// Reads the machine types and the machine list periodically while this process leads.
 pub(crate) struct Inventory {
-    /// The parts it uses.
+    /// Dependencies of this loop.
     pub parts: CloudLoopParts,
 }
 
-/// What a comparison of the cloud's list with the state leads to.
+/// The result of comparing the cloud's list with the cluster state.
 struct Reconciliation {
-    /// The leadership under which it is committed.
+    /// The leadership under which `mutations` are to be committed.
     leader: LeaderVersion,
     mutations: Vec<Mutation>,
 }
 
 impl Inventory {
-    /// Reads both from time to time, until the process ends.
+    /// Reads the machine types and the machine list at their intervals, until the process ends.
     pub(crate) async fn run(self) {
         let mut types_read: Option<Instant> = None;
         let mut list_read: Option<Instant> = None;
@@ -48,7 +48,7 @@
             if !self.parts.leadership.is_leader() {
                 continue;
             }
-            let types_interval = timing.worker_lease * TYPES_LEASES;
+            let types_interval = timing.worker_lease * TYPES_INTERVAL_LEASES;
             if types_read.is_none_or(|at| at.elapsed() > types_interval)
                 && self.update_types().await
             {
@@ -62,21 +62,23 @@
         }
     }
 
-    /// A large fleet takes many pages.
+    /// Seconds between two reads of the machine list. The interval grows with the fleet, since
+    /// each page of `MAX_LIST` machines takes a call.
     fn list_interval_s(&self) -> f64 {
         let pages = (self.parts.replica.state().machines.len() / MAX_LIST + 1) as f64;
         let lag_s = self.parts.context.settings.site.cloud.list_lag_s.max(1.0);
-        (4.0 * lag_s).max(LIST_CALL_SHARE * pages / self.parts.cloud.rate())
+        (4.0 * lag_s).max(CALLS_PER_LIST_CALL * pages / self.parts.cloud.rate())
     }
 
-    /// Reads the machine types and commits them if they have changed; whether that is done.
+    /// Reads the machine types and commits them if they have changed. Returns whether the
+    /// committed types are up to date.
     async fn update_types(&self) -> bool {
         let types = match self.parts.cloud.machine_types().await {
             Ok(response) => MachineTypes {
                 types: response.types,
             },
             Err(error) => {
-                tracing::debug!(%error, "machine types not read");
+                tracing::debug!(%error, "could not read the machine types");
                 return false;
             }
         };
@@ -96,13 +98,13 @@
             .await
     }
 
-    /// Reads the list: machines that are not ours yet are returned, and those that failed
-    /// are deleted.
+    /// Reads the machine list and commits the deletion of failed machines, and of machines that
+    /// are neither in the cluster state nor brought by an open rental.
     async fn reconcile_list(&self) {
         let listed = match self.list().await {
             Ok(listed) => listed,
             Err(error) => {
-                tracing::debug!(%error, "machine list not read");
+                tracing::debug!(%error, "could not read the machine list");
                 return;
             }
         };
@@ -135,7 +137,7 @@
         let leader = self.parts.leadership.version(&state)?;
         let lag_s = self.parts.context.settings.site.cloud.list_lag_s;
         let mut tracked = self.parts.tracker.state();
-        // The list lags: a machine just deleted may still be on it.
+        // The list lags behind: it may still contain a machine that was just deleted.
         tracked
             .deleted
             .retain(|_, at| at.elapsed().as_secs_f64() < 4.0 * lag_s + 10.0);
@@ -155,7 +157,7 @@
                 Some(known)
                     if is_failed && known.record.lifecycle != MachineLifecycle::Deleting =>
                 {
-                    tracing::info!(machine = machine.name, "machine failed");
+                    tracing::info!(machine = machine.name, "cloud lists machine as failed");
                     failed.push(machine.name.as_str().into());
                 }
                 _ => {}
@@ -170,7 +172,8 @@
         Some(Reconciliation { leader, mutations })
     }
 
-    /// Whether no rental that is open may have brought a machine.
+    /// Whether no open rental can have brought a listed machine. Machines younger than twice the
+    /// list's lag are never unexpected.
     fn is_unexpected(&self, state: &ClusterState, machine: &ListedMachine) -> bool {
         let site = &self.parts.context.settings.site;
         if machine.age_s <= 2.0 * site.cloud.list_lag_s {
@@ -183,11 +186,13 @@
     }
 }
 
+/// When the cloud created a listed machine, by this process's clock.
 fn rented_ms(machine: &ListedMachine) -> UnixMillis {
     now_ms().saturating_sub((machine.age_s * 1000.0) as UnixMillis)
 }
 
-/// A machine of a rental that was answered late: it is returned.
+/// Adds a listed machine to the cluster state with the lifecycle `Deleting`, so that it is
+/// returned to the cloud. It can come from a rental whose response was late.
 fn adopt_to_delete(machine: &ListedMachine, shard: ShardId) -> Mutation {
     tracing::info!(
         machine = machine.name,
--- a/crates/rushwalk/src/capacity/machines.rs
+++ b/crates/rushwalk/src/capacity/machines.rs
@@ -1,5 +1,5 @@
-//! The machines of a scheduling round: those that exist, those being rented, and those that
-//! may be rented.
+//! The machines of a scheduling round: those that exist, those that are being rented, and those
+//! that may be rented.
 
 use super::boot_supervision::BootSupervisor;
 use super::rentals::{RentalState, kind_of};
@@ -15,26 +15,26 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Room for machines that are rented in a round.
-const RENTAL_ROOM: usize = 64;
+/// Number of machines rented in a round for which memory is reserved in advance.
+const RESERVED_RENTALS: usize = 64;
 
-/// Builds rounds of scheduling from the state.
+/// Builds scheduling rounds from the cluster state.
 pub(crate) struct RoundBuilder<'c, 's> {
-    /// This process's context.
+    /// Settings and timing of this process.
     pub context: &'c Context,
-    /// The state.
+    /// The cluster state.
     pub state: &'s ClusterState,
     /// The machine types that the cloud offers.
     pub types: &'s MachineTypes,
-    /// All zones, in their order.
+    /// Names of all zones; the index of a zone in this list identifies it in the round.
     pub zones: Vec<Arc<str>>,
-    /// How machines boot.
+    /// Estimates when booting machines become ready.
     pub boot_supervisor: &'s BootSupervisor,
     /// The current time, in seconds since the Unix epoch.
     pub now_s: f64,
 }
 
-/// How many machines there are in a zone.
+/// Numbers of machines in one zone.
 #[derive(Debug, Clone, Copy, Default)]
 struct ZoneCounts {
     machines: usize,
@@ -42,17 +42,19 @@
 }
 
 impl ZoneCounts {
-    /// Whether the zone is partitioned from this controller: machines rented there would be, too.
+    /// Whether most machines of the zone, and more than two, are unreachable. The zone then
+    /// counts as partitioned, and machines rented there would be unreachable, too.
     fn is_partitioned(self) -> bool {
         self.unreachable > 2 && self.unreachable * 2 > self.machines
     }
 }
 
 impl<'c> RoundBuilder<'c, '_> {
-    /// A round with all machines and rentals, and with what may be rented.
+    /// Builds a round with all active and reachable machines, the machines of open rentals, and
+    /// the machine kinds that may be rented.
     pub(crate) fn build(&self, rentals: &mut RentalState) -> SchedulingRound<'c> {
         let rentable = self.rentable(rentals);
-        let machines = self.state.machines.len() + RENTAL_ROOM;
+        let machines = self.state.machines.len() + RESERVED_RENTALS;
         let zones = self.zones.clone();
         let mut round = scheduler_inputs::empty_round(self.context, self.now_s, zones, machines);
         round.rentable = rentable;
@@ -92,37 +94,44 @@
         }
     }
 
-    /// Adds the machines that a rental should bring.
+    /// Adds the machines that an open rental has requested, as if the cloud granted all of them.
     fn add_rental(&self, round: &mut SchedulingRound, request: &RentalRequest) {
-        let Some(group) = self.types.position(&request.machine_type) else {
+        let Some(type_index) = self.types.position(&request.machine_type) else {
             return;
         };
         let Some(zone) = self.zones.iter().position(|z| **z == *request.zone) else {
             return;
         };
-        let machine_type = &self.types.types[group];
-        let boot_s = self.expected_boot_s(group, zone, machine_type);
+        let machine_type = &self.types.types[type_index];
+        let boot_s = self.expected_boot_s(type_index, zone, machine_type);
         let ready_s = (seconds(request.requested_ms) + boot_s).max(self.now_s + 1.0);
-        let timeline =
-            MachineTimeline::new("".into(), group, machine_type, zone, request.spot, ready_s);
+        let timeline = MachineTimeline::new(
+            "".into(),
+            type_index,
+            machine_type,
+            zone,
+            request.spot,
+            ready_s,
+        );
         for _ in 0..request.count {
             round.machines.push(timeline.clone());
         }
     }
 
-    fn expected_boot_s(&self, group: usize, zone: usize, machine_type: &MachineType) -> f64 {
+    /// Seconds that a machine rented now should take to boot.
+    fn expected_boot_s(&self, type_index: usize, zone: usize, machine_type: &MachineType) -> f64 {
         self.boot_supervisor
             .boot_times()
-            .expected_boot_s(BootGroup::new(group, zone), machine_type.boot_s)
+            .expected_boot_s(BootGroup::new(type_index, zone), machine_type.boot_s)
     }
 
-    /// What may be rented now, and how much of it.
+    /// The machine kinds that may be rented now, and how many of each.
     fn rentable(&self, rentals: &mut RentalState) -> Vec<RentableCapacity> {
         let in_zones = self.zone_counts();
         let owned = self.state.machines_by_kind();
         let requested = self.requested_by_kind();
         let mut rentable = Vec::new();
-        for (group, machine_type) in self.types.types.iter().enumerate() {
+        for (type_index, machine_type) in self.types.types.iter().enumerate() {
             for zone_name in &machine_type.zones {
                 let in_zone = in_zones
                     .get(zone_name.as_str())
@@ -145,7 +154,7 @@
                     let available = self.available(rentals, &kind, owned, requested);
                     if available > 0 {
                         rentable.push(RentableCapacity {
-                            machine: self.rentable_machine(group, zone, spot),
+                            machine: self.rentable_machine(type_index, zone, spot),
                             owned_in_zone: in_zone.machines,
                             available,
                             used: 0,
@@ -170,11 +179,11 @@
         capacity.headroom(kind, owned + requested, self.context.uptime_s(), MAX_RENT)
     }
 
-    /// A machine that is rented now.
-    fn rentable_machine(&self, group: usize, zone: usize, spot: bool) -> MachineTimeline {
-        let machine_type = &self.types.types[group];
-        let ready_s = self.now_s + self.expected_boot_s(group, zone, machine_type);
-        MachineTimeline::new("".into(), group, machine_type, zone, spot, ready_s)
+    /// The timeline of a machine that is rented now.
+    fn rentable_machine(&self, type_index: usize, zone: usize, spot: bool) -> MachineTimeline {
+        let machine_type = &self.types.types[type_index];
+        let ready_s = self.now_s + self.expected_boot_s(type_index, zone, machine_type);
+        MachineTimeline::new("".into(), type_index, machine_type, zone, spot, ready_s)
     }
 
     fn zone_counts(&self) -> BTreeMap<&str, ZoneCounts> {
@@ -187,6 +196,7 @@
         counts
     }
 
+    /// How many machines the open rentals have requested, by kind.
     fn requested_by_kind(&self) -> BTreeMap<InstanceKind, u32> {
         let mut requested: BTreeMap<InstanceKind, u32> = BTreeMap::new();
         for request in self.state.rentals.values() {
--- a/crates/rushwalk/src/capacity/rentals.rs
+++ b/crates/rushwalk/src/capacity/rentals.rs
@@ -1,4 +1,5 @@
-//! Requests the rentals that were committed, and commits their outcomes.
+//! Sends the rental requests that the leader has committed to the cloud, and commits their
+//! outcomes.
 
 use super::CloudLoopParts;
 use super::shard_allocation::ShardAllocator;
@@ -16,45 +17,48 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep};
 
-/// Rounds to wait before a kind that ran out is asked for again.
+/// Rounds until a machine kind that has run out is requested again for the first time; the pause
+/// grows with repeated refusals.
 const PROBE_PAUSE_ROUNDS: f64 = 6.0;
 
-/// A rental that was never requested from the cloud.
+/// A rental that was decided but has not been requested from the cloud yet.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct UnsentRental {
-    /// The leadership under which it was decided: no other controller can have requested it.
+    /// The leadership under which the rental was decided. While it lasts, no other controller can
+    /// have requested the rental.
     pub leader: LeaderVersion,
-    /// When it was decided, in seconds since the start of this process.
+    /// When the rental was decided, in seconds since the start of this process.
     pub decided_s: f64,
 }
 
-/// What is known of rentals beyond the cluster's state. It starts empty with each process.
+/// Rental state that is not part of the cluster state: it is kept in memory only and starts empty
+/// with each process.
 #[derive(Default)]
 pub(crate) struct RentalState {
-    /// What the cloud has to rent, as far as its responses show.
+    /// Estimate, from the cloud's responses, of how many machines of each kind can be rented.
     pub capacity: CapacityEstimator,
-    /// Rentals whose request is in flight.
+    /// Rentals whose request waits for a slot or a response, or whose outcome is being committed.
     pub in_flight: BTreeSet<RentalId>,
-    /// Rentals that were decided but never requested.
+    /// Rentals that were decided by this process and not requested yet.
     pub unsent: BTreeMap<RentalId, UnsentRental>,
-    /// Deleted machines, which the cloud's list still shows for a while.
+    /// When machines were deleted, since the cloud's list still contains them for a while.
     pub deleted: HashMap<MachineId, Instant>,
 }
 
-/// The rental state, shared by all that deal with the cloud.
+/// The [`RentalState`], shared by the scheduler and the loops that call the cloud.
 #[derive(Default)]
 pub(crate) struct RentalTracker {
     state: Mutex<RentalState>,
 }
 
 impl RentalTracker {
-    /// The state. The lock is taken after that of the cluster's state, if both are.
+    /// Locks the state. Where the cluster state is locked as well, that lock is taken first.
     pub(crate) fn state(&self) -> MutexGuard<'_, RentalState> {
         self.state.lock()
     }
 }
 
-/// The kind of machine that a rental asks for.
+/// The machine kind that a rental requests.
 pub(crate) fn kind_of(request: &RentalRequest) -> InstanceKind {
     InstanceKind::new(
         request.machine_type.as_str(),
@@ -63,22 +67,24 @@
     )
 }
 
-/// A rental with what the cloud answered; `None` if that is not known.
+/// A rental, and the outcome of its request.
 struct RentalResponse {
     rental: RentalId,
     request: RentalRequest,
+    /// `None` if the request failed: the cloud may have carried it out or not.
     outcome: Option<RentOutcome>,
 }
 
-/// Requests rentals while this process leads.
+/// Requests rentals from the cloud while this process leads.
 #[derive(Clone)]
 pub(crate) struct Rentals {
-    /// The parts it uses.
+    /// Dependencies of this loop.
     pub parts: CloudLoopParts,
 }
 
 impl Rentals {
-    /// Requests rentals side by side, and commits their outcomes together, until the process ends.
+    /// Requests open rentals concurrently, and commits the outcomes that have arrived together,
+    /// until the process ends.
     pub(crate) async fn run(self) {
         let (responses, mut received) = mpsc::unbounded_channel::<RentalResponse>();
         loop {
@@ -97,8 +103,8 @@
                     .append(version, &mutations, WritePriority::Scheduling)
                     .await;
             }
-            // Rentals that are still open are requested again under the same name: the
-            // request is idempotent.
+            // A rental that is still open, because its outcome is unknown or was not committed,
+            // is requested again with the same id: the request is idempotent.
             for response in &answered {
                 self.parts
                     .tracker
@@ -128,7 +134,8 @@
                 let rentals = self.clone();
                 tokio::spawn(async move {
                     let response = rentals.request(version, rental, request).await;
-                    // Nobody waits for it once the loop has ended.
+                    // Sending fails only if the receiving loop has ended; the response is not
+                    // needed then.
                     let _ = responses.send(response);
                 });
             }
@@ -146,7 +153,8 @@
         let is_exhausted = {
             let mut tracked = self.parts.tracker.state();
             let unsent = tracked.unsent.remove(&rental);
-            // Its kind ran out since: never requested, it can simply be dropped.
+            // If the kind has run out since the rental was decided, the rental is refused without
+            // a call. That is safe because it was never requested.
             unsent.is_some_and(|unsent| {
                 unsent.leader == version
                     && tracked.capacity.exhausted_since(&kind, unsent.decided_s)
@@ -183,8 +191,13 @@
         let outcome = match self.parts.cloud.rent(&rent).await {
             Ok(outcome) => outcome,
             Err(error) => {
-                // It may have been carried out: requested again under the same name.
-                tracing::info!(rental = &**rental, %error, "rental unanswered");
+                // The cloud may have carried the request out, so it is sent again with the same
+                // id.
+                tracing::info!(
+                    rental = &**rental,
+                    %error,
+                    "rental request failed; its outcome is unknown"
+                );
                 return None;
             }
         };
@@ -204,7 +217,8 @@
         Some(outcome)
     }
 
-    /// Records how many machines of a kind the cloud had, for the estimate of its capacity.
+    /// Records the response to a request for the estimate of how many machines of a kind the
+    /// cloud has.
     fn record_response(&self, kind: &InstanceKind, requested: u32, rented: u32) {
         let owned = self.parts.replica.state().count_of_kind(kind);
         let pause_s = PROBE_PAUSE_ROUNDS * self.parts.context.timing.round.as_secs_f64();
@@ -216,7 +230,8 @@
             .record_response(kind, requested, rented, owned, now_s, pause_s);
     }
 
-    /// The outcomes of rentals, with shards for the rented machines.
+    /// The mutations that record the known outcomes of rentals and assign rented machines to
+    /// shards.
     fn outcomes(&self, responses: &[RentalResponse]) -> Vec<Mutation> {
         let state = self.parts.replica.state();
         let mut allocator = ShardAllocator::new(&state, self.parts.context.controllers());
--- a/crates/rushwalk/src/capacity/scale_in.rs
+++ b/crates/rushwalk/src/capacity/scale_in.rs
@@ -1,4 +1,5 @@
-//! Scale in: which machines to remove.
+//! Scale in: chooses the machines to remove, which are idle or run tasks that fit on fewer
+//! machines.
 
 use crate::scheduler_inputs;
 use rushwalk_protocol::ids::MachineId;
@@ -11,48 +12,58 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Machines that one round may empty at most.
+/// Maximum number of machines that one round may empty.
 const MAX_EMPTIED: usize = 64;
 
-/// Machines used by more than this share are not worth emptying.
-const WELL_USED: f64 = 0.7;
+/// Machines whose most used resource is used by this share or more are not emptied.
+const MAX_USED_SHARE: f64 = 0.7;
 
-/// Services that started less than this ago are not moved: a start that is stopped so soon
-/// does not count for the users. In milliseconds.
+/// Services that started less than this many milliseconds ago are not moved: a start that is
+/// followed by a stop so soon does not count as a start for the users.
 const MIN_SERVICE_UPTIME_MS: UnixMillis = 30_000;
 
-/// The share of a boot time for which a machine stays idle: having it again costs a boot.
+/// How long a machine may be idle before it is drained, as a share of its nominal boot time:
+/// renting it again would cost a boot.
 const IDLE_BOOT_SHARE: f64 = 0.5;
 
-/// How long a machine of an unknown type stays idle, in seconds.
+/// How long a machine of unknown type may be idle before it is drained, in seconds.
 const DEFAULT_IDLE_S: f64 = 60.0;
 
-/// The share of the shortest boot time for which nothing is emptied after that failed.
+/// How long no machine is emptied after a failed attempt, and no further services are moved after
+/// a move, as a share of the shortest nominal boot time of any type.
 const PAUSE_BOOT_SHARE: f64 = 0.3;
 
-/// The boot time that counts if all are longer, in seconds.
+/// Upper limit of the shortest boot time from which that pause is computed, in seconds.
 const MAX_SHORTEST_BOOT_S: f64 = 60.0;
 
-/// Chooses machines to remove. A new leader starts without any history.
+/// Chooses machines to remove. Its history is kept in memory only, so a new leader starts without
+/// any.
 #[derive(Default)]
 pub(crate) struct ScaleIn {
+    /// When each machine that is idle now was first seen idle.
     idle_since: HashMap<MachineId, Instant>,
-    /// When a machine with services was last emptied.
-    service_moved: Option<Instant>,
-    /// How many machines to try to remove; doubles while that succeeds.
+    /// When a machine with services was last emptied; `None` if none was.
+    last_service_move: Option<Instant>,
+    /// How many machines the next attempt may empty: doubled after a successful attempt, halved
+    /// after a failed one, and at least 1.
     batch: usize,
-    /// When that last failed.
-    failed: Option<Instant>,
+    /// When an attempt last failed because the jobs did not fit on the other machines; `None` if
+    /// none has.
+    last_failure: Option<Instant>,
 }
 
 /// A machine that might be emptied.
 struct Candidate {
+    /// The used share of the machine divided by its price: a low value means that the machine is
+    /// expensive for what it runs.
     used_per_price: f64,
+    /// Index of the machine in the round.
     machine: usize,
 }
 
 impl ScaleIn {
-    /// Drains machines that nothing needs, and deletes drained ones.
+    /// Drains machines that have been idle for long enough and on which the round has planned
+    /// nothing, and marks drained machines without tasks for deletion.
     pub(crate) fn remove_idle(
         &mut self,
         state: &ClusterState,
@@ -84,7 +95,7 @@
         mutations
     }
 
-    /// The next lifecycle of an idle machine, if it changes now.
+    /// The lifecycle that an idle machine enters now; `None` if its lifecycle does not change.
     fn next_lifecycle(
         &mut self,
         state: &ClusterState,
@@ -104,10 +115,13 @@
         }
     }
 
-    /// Machines to remove, if what is pending and what is expected finds its places without
-    /// them: the most expensive for what is on them first. They are cordoned in the round. Batch
-    /// tasks end where they are; services move, one machine's at a time, to where their
-    /// images are already.
+    /// Selects machines that may be drained and cordons them in the round, in ascending order of
+    /// used share per price. The caller drains them if the round can place all pending and
+    /// expected jobs without them, and reports whether it can to [`ScaleIn::record_trial`].
+    ///
+    /// Batch tasks stay on a drained machine until they end. Services are planned on other
+    /// machines that already have their images, and only one machine with services is emptied at
+    /// a time.
     pub(crate) fn empty_machines(
         &mut self,
         state: &ClusterState,
@@ -115,9 +129,9 @@
         types: &MachineTypes,
         now_ms: UnixMillis,
     ) -> Vec<MachineId> {
-        let pause = pause(types);
+        let pause = pause_after_attempt(types);
         let is_recent = |at: Option<Instant>| at.is_some_and(|at| at.elapsed() < pause);
-        if is_recent(self.failed) {
+        if is_recent(self.last_failure) {
             return Vec::new();
         }
         self.batch = self.batch.max(1);
@@ -135,13 +149,13 @@
                 continue;
             };
             let has_services = !services.is_empty();
-            if has_services && is_recent(self.service_moved) {
+            if has_services && is_recent(self.last_service_move) {
                 continue;
             }
             if move_services(round, &services) {
                 round.machines.set_cordoned(index, true);
                 if has_services {
-                    self.service_moved = Some(Instant::now());
+                    self.last_service_move = Some(Instant::now());
                 }
                 emptied.push(name.into());
             }
@@ -149,13 +163,14 @@
         emptied
     }
 
-    /// Records whether the jobs found their places without the emptied machines.
+    /// Records whether the jobs could be placed without the emptied machines, and adapts the size
+    /// of the next attempt.
     pub(crate) fn record_trial(&mut self, succeeded: bool) {
         if succeeded {
             self.batch = (self.batch * 2).min(MAX_EMPTIED);
         } else {
             self.batch = (self.batch / 2).max(1);
-            self.failed = Some(Instant::now());
+            self.last_failure = Some(Instant::now());
         }
     }
 }
@@ -167,25 +182,26 @@
         .map_or(DEFAULT_IDLE_S, |t| IDLE_BOOT_SHARE * t.boot_s)
 }
 
-fn pause(types: &MachineTypes) -> Duration {
+/// The minimum time from a failed attempt to the next one, and between two moves of services.
+fn pause_after_attempt(types: &MachineTypes) -> Duration {
     let boot_times = types.types.iter().map(|t| t.boot_s);
     let shortest_s = boot_times.fold(MAX_SHORTEST_BOOT_S, f64::min);
     Duration::from_secs_f64(PAUSE_BOOT_SHARE * shortest_s)
 }
 
-/// Machines that might be emptied, the most expensive for what is on them first.
+/// Machines that might be emptied, in ascending order of used share per price.
 fn candidates(state: &ClusterState, round: &SchedulingRound) -> Vec<Candidate> {
     let mut candidates = Vec::new();
     for (index, machine) in round.machines.iter().enumerate() {
         let Some(known) = state.machines.get(&*machine.name) else {
             continue;
         };
-        // What is planned for it beside its tasks must not be lost.
-        let has_only_its_tasks = machine.tasks == known.tasks.len();
-        let is_candidate = machine.up && machine.tasks > 0 && has_only_its_tasks;
+        // Tasks that this round has planned on a machine would be lost if it were emptied.
+        let has_no_planned_tasks = machine.tasks == known.tasks.len();
+        let is_candidate = machine.up && machine.tasks > 0 && has_no_planned_tasks;
         let free = machine.free_at(round.planned_time_s);
         let used = 1.0 - free.least_share_of(&machine.capacity);
-        if is_candidate && used < WELL_USED {
+        if is_candidate && used < MAX_USED_SHARE {
             candidates.push(Candidate {
                 used_per_price: used / machine.price,
                 machine: index,
@@ -196,8 +212,8 @@
     candidates
 }
 
-/// Plans services on other machines that are in use and have their images; false, and
-/// nothing is planned, if not all find such a place.
+/// Plans services on other machines that are in use and have their images. If not all services
+/// find such a machine, plans none of them and returns false.
 fn move_services(round: &mut SchedulingRound, services: &[PendingJob]) -> bool {
     let mut before: Vec<MachineSnapshot> = Vec::new();
     for job in services {
@@ -205,12 +221,12 @@
             round.restore_snapshots(before);
             return false;
         };
-        let is_warm = choice.finish.running_s <= round.planned_time_s + job.overhead_s + 0.1;
+        let has_image = choice.finish.running_s <= round.planned_time_s + job.overhead_s + 0.1;
         let machine = &round.machines[choice.machine];
         let is_in_use = machine.tasks > 0;
         before.push(round.snapshot(choice.machine));
         round.machines.place(choice.machine, job, &choice.finish);
-        if !(is_in_use && is_warm) {
+        if !(is_in_use && has_image) {
             round.restore_snapshots(before);
             return false;
         }
@@ -218,8 +234,9 @@
     true
 }
 
-/// A machine's services as pending jobs; `None` if the machine should stay as it is:
-/// gangs keep what they have, and what has just started is not disturbed.
+/// A machine's services, as pending jobs. `None` if the machine must not be emptied: it runs a
+/// task of a gang, whose tasks are not moved, or a service that has not run for long enough, or a
+/// task that is to stop or whose job is not active.
 fn services_to_move(
     state: &ClusterState,
     machine: &MachineState,
--- a/crates/rushwalk/src/capacity/scale_out.rs
+++ b/crates/rushwalk/src/capacity/scale_out.rs
@@ -1,4 +1,4 @@
-//! Scale out: rents the machines of a scheduling round's shortfall.
+//! Scale out: rents the machines that a scheduling round found to be missing.
 
 use super::rentals::{RentalTracker, UnsentRental};
 use crate::context::Context;
@@ -13,18 +13,19 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The round for which rentals are decided.
+/// The scheduling round for which rentals are decided.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct RentalBasis {
-    /// The leadership of the round.
+    /// The leadership under which the round was made.
     pub leader: LeaderVersion,
-    /// When the round began.
+    /// When the round began, in milliseconds since the Unix epoch.
     pub began_ms: UnixMillis,
-    /// The number of the round's machines, those to rent for pending jobs included.
+    /// The number of machines in the round after the pending jobs were planned, including those
+    /// to rent for them. Machines added after these are for expected jobs only.
     pub for_pending: usize,
 }
 
-/// Which demand a round has planned.
+/// Which jobs a round has planned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum PlannedDemand {
     /// Pending jobs only.
@@ -33,18 +34,20 @@
     PendingAndExpected,
 }
 
-/// The shortfall of machines for which no rental was decided yet.
+/// Decides rentals, and keeps the shortfall that is not covered yet.
 #[derive(Default)]
 pub(crate) struct ScaleOut {
+    /// Missing machines for which no rental was decided yet, by kind.
     shortfall: BTreeMap<InstanceKind, Shortfall>,
 }
 
 impl ScaleOut {
-    /// Rentals for the shortfall of a round, as far as there are calls until the next
-    /// round, which comes the later the longer this one took (`took`).
+    /// Decides rentals for the shortfall, limited to the calls that can be made until the next
+    /// round, less those in flight. If this round has taken longer (`took`) than the round
+    /// interval, the next one is as far away as that.
     ///
-    /// Without that limit a queue of requests, many of them for kinds refused meanwhile,
-    /// delayed those that were needed by then.
+    /// Without that limit, requests waited in a queue, many of them for kinds that had been
+    /// refused meanwhile, and delayed the requests that were needed by then.
     pub(crate) fn rent(
         &mut self,
         context: &Context,
@@ -79,9 +82,9 @@
         mutations
     }
 
-    /// Updates the shortfall by a round: machines beyond `for_pending` are for expected jobs
-    /// only. Those are not planned in each round, so their shortfall of the last time stays
-    /// until they are planned anew.
+    /// Updates the shortfall by that of a round, in which machines from index `for_pending` on
+    /// are for expected jobs only. Expected jobs are not planned in every round, so their
+    /// shortfall is kept until they are planned again.
     pub(crate) fn update_shortfall(
         &mut self,
         round: &SchedulingRound,
@@ -104,6 +107,7 @@
     }
 }
 
+/// The machines that a round plans to rent, by kind.
 fn shortfall_by_kind(
     round: &SchedulingRound,
     types: &MachineTypes,
--- a/crates/rushwalk/src/capacity/scarcity.rs
+++ b/crates/rushwalk/src/capacity/scarcity.rs
@@ -1,4 +1,5 @@
-//! Price factors of machine kinds that ran out, for each class of jobs.
+//! Price factors that keep scarce machines for the job classes that need them most. A machine
+//! kind is scarce if no more of it can be rented.
 
 use rushwalk_protocol::jobs::JobSpec;
 use rushwalk_scheduler::Resources;
@@ -8,21 +9,24 @@
 use rushwalk_state::records::MachineTypes;
 use std::collections::BTreeMap;
 
-/// The largest factor by which a kind counts as more or less expensive.
-const MAX_FACTOR: f64 = 4.0;
+/// Upper limit of a loss (see [`losses`]); the lower limit is its reciprocal.
+const MAX_LOSS: f64 = 4.0;
 
-/// Two factors, for ordinary machines and for spot instances of one type.
+/// A value each for the on-demand machines and for the spot instances of one machine type, in
+/// this order: price factors or, before these are computed, losses.
 type PriceFactors = [f64; 2];
 
-/// The factors of each class of jobs, by machine type. Where no zone has more of a kind to
-/// rent, its machines should serve the classes for which another kind would be the most
-/// expensive: for the others they count as more expensive, by as much as those would lose less.
+/// The price factors of each job class. Where no more machines of a kind can be rented in any
+/// zone, those in the fleet should run the classes for which the cheapest other kind would be the
+/// most expensive. For any other class they count as more expensive, by the ratio of the greatest
+/// loss of all classes to that of the class.
 pub(crate) struct PriceBias {
+    /// By job class; the factors are indexed by machine type. Empty if no kind is exhausted.
     by_class: BTreeMap<String, Vec<PriceFactors>>,
 }
 
 impl PriceBias {
-    /// The factors at this moment; none if nothing has run out.
+    /// Computes the factors for the present state; there are none if no kind is exhausted.
     pub(crate) fn new(
         state: &ClusterState,
         capacity: &CapacityEstimator,
@@ -43,12 +47,12 @@
         }
         let greatest = greatest_losses(by_class.values(), types.types.len());
         for factors in by_class.values_mut() {
-            weigh(factors, &greatest, &exhausted);
+            losses_to_factors(factors, &greatest, &exhausted);
         }
         PriceBias { by_class }
     }
 
-    /// Sets the factors of a job.
+    /// Sets the price factors of a job by its class; a job of a class without factors gets none.
     pub(crate) fn apply(&self, job: &mut PendingJob) {
         job.price_bias = self
             .by_class
@@ -58,8 +62,8 @@
     }
 }
 
-/// Which types have run out in all of their zones, as ordinary machines and as spot
-/// instances.
+/// For each machine type, whether it is exhausted in all of its zones: on demand, and as a spot
+/// instance.
 fn exhausted_types(capacity: &CapacityEstimator, types: &MachineTypes) -> Vec<[bool; 2]> {
     let types = types.types.iter();
     types
@@ -74,28 +78,31 @@
         .collect()
 }
 
-/// What a job loses without a type: the least price of what is not exhausted over this
-/// one's.
+/// How much more a job's tasks would cost without a machine type: the lowest cost of a task among
+/// the kinds that are not exhausted, divided by its cost on this type. It is limited to the range
+/// from `1 / MAX_LOSS` to `MAX_LOSS`, and 1 for a type that the job can't use.
 fn losses(spec: &JobSpec, types: &MachineTypes, exhausted: &[[bool; 2]]) -> Vec<PriceFactors> {
-    let kinds = (0..types.types.len()).flat_map(|group| [(group, false), (group, true)]);
-    let available = kinds.filter(|(group, spot)| !exhausted[*group][usize::from(*spot)]);
+    let kinds =
+        (0..types.types.len()).flat_map(|type_index| [(type_index, false), (type_index, true)]);
+    let available = kinds.filter(|(type_index, spot)| !exhausted[*type_index][usize::from(*spot)]);
     let next_cost = available
-        .filter_map(|(group, spot)| task_cost(spec, types, group, spot))
+        .filter_map(|(type_index, spot)| task_cost(spec, types, type_index, spot))
         .fold(f64::INFINITY, f64::min);
-    let loss = |group: usize, spot: bool| {
-        let cost = task_cost(spec, types, group, spot);
-        let lost = cost.map_or(1.0, |cost| next_cost / cost.max(1e-9));
-        lost.clamp(1.0 / MAX_FACTOR, MAX_FACTOR)
+    let loss = |type_index: usize, spot: bool| {
+        let cost = task_cost(spec, types, type_index, spot);
+        let ratio = cost.map_or(1.0, |cost| next_cost / cost.max(1e-9));
+        ratio.clamp(1.0 / MAX_LOSS, MAX_LOSS)
     };
     (0..types.types.len())
-        .map(|group| [loss(group, false), loss(group, true)])
+        .map(|type_index| [loss(type_index, false), loss(type_index, true)])
         .collect()
 }
 
-/// What a task of a job costs on a type, an hour; `None` if the job can't use it.
-fn task_cost(spec: &JobSpec, types: &MachineTypes, group: usize, spot: bool) -> Option<f64> {
-    let machine_type = &types.types[group];
-    let is_named = spec
+/// Cost of one task of a job per hour, on a machine that is filled with such tasks; `None` if the
+/// job can't use the type.
+fn task_cost(spec: &JobSpec, types: &MachineTypes, type_index: usize, spot: bool) -> Option<f64> {
+    let machine_type = &types.types[type_index];
+    let is_allowed = spec
         .types
         .as_ref()
         .is_none_or(|names| names.contains(&machine_type.name));
@@ -107,17 +114,18 @@
     let task = Resources::of_task(spec);
     let fit = task.count_in(&Resources::of_type(machine_type), u32::MAX);
     price
-        .filter(|_| is_named && fit > 0)
+        .filter(|_| is_allowed && fit > 0)
         .map(|price| price / f64::from(fit))
 }
 
+/// The greatest loss of any class, for each machine type.
 fn greatest_losses<'a>(
     losses: impl Iterator<Item = &'a Vec<PriceFactors>>,
     types: usize,
 ) -> Vec<PriceFactors> {
     let mut greatest = vec![[0.0f64; 2]; types];
-    for each in losses {
-        for (greatest, loss) in greatest.iter_mut().zip(each) {
+    for class_losses in losses {
+        for (greatest, loss) in greatest.iter_mut().zip(class_losses) {
             greatest[0] = greatest[0].max(loss[0]);
             greatest[1] = greatest[1].max(loss[1]);
         }
@@ -125,12 +133,17 @@
     greatest
 }
 
-/// Converts the losses of a class into factors.
-fn weigh(losses: &mut [PriceFactors], greatest: &[PriceFactors], exhausted: &[[bool; 2]]) {
-    for (group, factors) in losses.iter_mut().enumerate() {
+/// Converts the losses of a class into price factors; the factor of a kind that is not exhausted
+/// is 1.
+fn losses_to_factors(
+    losses: &mut [PriceFactors],
+    greatest: &[PriceFactors],
+    exhausted: &[[bool; 2]],
+) {
+    for (type_index, factors) in losses.iter_mut().enumerate() {
         for spot in [0, 1] {
-            factors[spot] = if exhausted[group][spot] {
-                greatest[group][spot] / factors[spot]
+            factors[spot] = if exhausted[type_index][spot] {
+                greatest[type_index][spot] / factors[spot]
             } else {
                 1.0
             };
--- a/crates/rushwalk/src/capacity/shard_allocation.rs
+++ b/crates/rushwalk/src/capacity/shard_allocation.rs
@@ -1,38 +1,40 @@
-//! Which shards new machines join, and how many machines a shard may have.
+//! Allocates new machines to shards, whose number of machines is limited.
 //!
-//! A zone's shards are filled one after the other, `<zone>` first, then `<zone>#1` and so on.
+//! A zone's shards are filled one after the other: `<zone>` first, then `<zone>#1` and so on.
 
 use rushwalk_protocol::ids::ShardId;
 use rushwalk_state::ClusterState;
 use std::collections::{BTreeSet, HashMap};
 
-/// The most machines of a shard, times the number of controllers.
+/// The maximum number of machines in a shard is this number divided by that of controllers.
 const SHARD_SIZE_TIMES_CONTROLLERS: usize = 768;
 
-/// Up to this many controllers don't make shards smaller.
+/// Clusters with fewer controllers than this have the same maximum shard size as one with this
+/// many.
 const MIN_CONTROLLERS: usize = 3;
 
-/// The smallest limit of a shard's machines, however many controllers there are: smaller
-/// shards would need more leases than the store takes writes for.
+/// The maximum number of machines in a shard is never lower than this, however many controllers
+/// there are: smaller shards would need more leases than the store takes writes for.
 const MIN_SHARD_SIZE: usize = 32;
 
-/// The most machines of a shard: so many that few leases cover the fleet, so few that a
-/// failed controller's machines can be shared out, and that more controllers have more
-/// shards to share.
+/// Maximum number of machines in a shard. It is large enough that few leases cover the fleet, and
+/// small enough that the machines of a failed controller can be divided among the others. More
+/// controllers need more shards to divide, so it shrinks with their number.
 fn max_shard_size(controllers: usize) -> usize {
     (SHARD_SIZE_TIMES_CONTROLLERS / controllers.max(MIN_CONTROLLERS)).max(MIN_SHARD_SIZE)
 }
 
-/// Gives new machines to the shards of their zones.
+/// Allocates new machines to the shards of their zones.
 pub(super) struct ShardAllocator<'a> {
     state: &'a ClusterState,
     controllers: usize,
-    /// Machines given so far, by shard.
+    /// Number of machines allocated so far, by shard; the cluster state does not include them
+    /// yet.
     added: HashMap<ShardId, usize>,
 }
 
 impl<'a> ShardAllocator<'a> {
-    /// An allocator that has given none.
+    /// An allocator that has not allocated any machines yet.
     pub(super) fn new(state: &'a ClusterState, controllers: usize) -> ShardAllocator<'a> {
         ShardAllocator {
             state,
@@ -41,28 +43,29 @@
         }
     }
 
-    /// Shards with room for so many machines of a zone, one for each.
+    /// Allocates `machines` new machines of a zone to shards that are not full; returns one shard
+    /// for each machine.
     pub(super) fn allocate(&mut self, zone: &str, machines: usize) -> Vec<ShardId> {
         let max_size = max_shard_size(self.controllers);
         let mut allocated = Vec::with_capacity(machines);
-        let mut number = 0;
+        let mut index = 0;
         while allocated.len() < machines {
-            let shard = shard_of_zone(zone, number);
+            let shard = shard_of_zone(zone, index);
             let used = self.state.shards.get(&shard).map_or(0, BTreeSet::len);
             let added = self.added.entry(shard.clone()).or_default();
-            let room = max_size.saturating_sub(used + *added);
-            let take = room.min(machines - allocated.len());
-            *added += take;
-            allocated.extend(std::iter::repeat_n(shard, take));
-            number += 1;
+            let free = max_size.saturating_sub(used + *added);
+            let count = free.min(machines - allocated.len());
+            *added += count;
+            allocated.extend(std::iter::repeat_n(shard, count));
+            index += 1;
         }
         allocated
     }
 }
 
-fn shard_of_zone(zone: &str, number: usize) -> ShardId {
-    match number {
+fn shard_of_zone(zone: &str, index: usize) -> ShardId {
+    match index {
         0 => zone.into(),
-        number => format!("{zone}#{number}").into(),
+        index => format!("{zone}#{index}").into(),
     }
 }
