--- a/crates/rushwalk/src/http.rs
+++ b/crates/rushwalk/src/http.rs
@@ -1,5 +1,5 @@
-//! The HTTP interfaces: users and workers on the public address, other controllers and
-//! operators on the peer address.
+//! The HTTP interfaces. The public address serves users and workers; the peer address serves
+//! other controllers and operators.
 
 mod admin;
 pub mod admission;
--- a/crates/rushwalk/src/http/admin.rs
+++ b/crates/rushwalk/src/http/admin.rs
@@ -15,15 +15,16 @@
 use status_response::StatusResponse;
 use std::sync::Arc;
 
-/// Where a page of machines begins.
+/// The query of `/admin/machines`.
 #[derive(Deserialize)]
 pub(crate) struct PageQuery {
-    /// The last machine of the page before; empty for the first page.
+    /// The name of the last machine on the previous page; empty for the first page.
     #[serde(default)]
     after: String,
 }
 
-/// Leader, members, shard leases, machines by zone and type, pending jobs by reason.
+/// Responds with the leader, members, shard leases, machines by zone and type, and pending jobs
+/// by reason.
 #[handler]
 pub(crate) async fn get_status(controller: Data<&Arc<Controller>>) -> poem::Result<Response> {
     let health = controller.local_health().now();
@@ -31,7 +32,7 @@
     json_response(&StatusResponse::new(&controller, &state, health))
 }
 
-/// Machines one by one, a page at a time, in the order of their names.
+/// Responds with one page of the machines, in the order of their names.
 #[handler]
 pub(crate) async fn get_machines(
     controller: Data<&Arc<Controller>>,
@@ -45,7 +46,7 @@
 
 /// A response with `body` as JSON, the keys of its objects in alphabetical order.
 fn json_response(body: &impl Serialize) -> poem::Result<Response> {
-    // The maps of a `Value` are sorted.
+    // The maps of a `serde_json::Value` are sorted by key.
     let body = serde_json::to_value(body).map_err(InternalServerError)?;
     Ok(Response::builder()
         .content_type("application/json")
--- a/crates/rushwalk/src/http/admin/machines_page.rs
+++ b/crates/rushwalk/src/http/admin/machines_page.rs
@@ -5,14 +5,14 @@
 use serde::Serialize;
 use std::ops::Bound;
 
-/// Machines on one page.
+/// Maximum number of machines on a page.
 pub(super) const MACHINES_PER_PAGE: usize = 100;
 
 /// A page of machines in the order of their names.
 #[derive(Serialize)]
 pub(super) struct MachinesPage<'a> {
     machines: Vec<MachineEntry<'a>>,
-    /// Whether there are machines after the last one.
+    /// Whether there are further machines after this page.
     more: bool,
 }
 
@@ -25,22 +25,24 @@
     spot: bool,
     #[serde(rename = "block")]
     shard: &'a str,
-    /// It takes no new tasks, or is being deleted.
+    /// Whether the machine accepts no new tasks, because it is draining or to be deleted.
     #[serde(rename = "leaving")]
     draining: bool,
-    /// It has sent a heartbeat.
+    /// Whether the machine has sent a heartbeat.
     #[serde(rename = "up")]
     ready: bool,
+    /// Whether the machine's heartbeats do not arrive at the owner of its shard.
     #[serde(rename = "silent")]
     unreachable: bool,
-    /// How many images are on it.
+    /// Number of images in the machine's cache.
     images: usize,
-    /// Its tasks as `job/index`.
+    /// The tasks assigned to the machine, each as `job/index`.
     tasks: Vec<String>,
 }
 
 impl<'a> MachinesPage<'a> {
-    /// The page that begins after the machine `after`, whether that exists or not.
+    /// The page of the machines whose names come after `after`, which need not be the name of a
+    /// machine.
     pub(super) fn after(state: &'a ClusterState, after: &str) -> MachinesPage<'a> {
         let range = (Bound::Excluded(after), Bound::Unbounded);
         let mut rest = state.machines.range::<str, _>(range);
--- a/crates/rushwalk/src/http/admin/status_response.rs
+++ b/crates/rushwalk/src/http/admin/status_response.rs
@@ -12,10 +12,10 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// How many jobs are named for each reason to be pending.
+/// Maximum number of jobs that are named for each pending reason.
 const JOBS_NAMED_PER_REASON: usize = 10;
 
-/// The state of a controller as operators see it.
+/// The body of `/admin/status`.
 #[derive(Serialize)]
 pub(super) struct StatusResponse<'a> {
     member: &'a str,
@@ -25,33 +25,37 @@
     cluster: ClusterStatus<'a>,
     #[serde(flatten)]
     process: ProcessStatus,
+    /// The other controllers, as this one's failure detector sees them.
     #[serde(rename = "standings")]
     peers: Vec<PeerStatus>,
+    /// Empty unless this controller leads.
     #[serde(rename = "waiting")]
     pending: Vec<PendingJobs<'a>>,
 }
 
-/// What a controller's replica holds of the cluster's state.
+/// The cluster state, as this controller's replica holds it.
 #[derive(Serialize)]
 struct ClusterStatus<'a> {
-    /// The member that leads.
+    /// The member that leads; `None` if no member does.
     leader: Option<&'a str>,
-    /// The store's revision up to which this controller has applied all changes.
+    /// The store revision up to which the replica has applied all changes.
     revision: u64,
-    /// The key of a record that can't be read.
+    /// The first key whose record this version can't read; `None` if it can read all records.
     unreadable: Option<&'a str>,
     snapshot: SnapshotStatus,
     members: Vec<&'a str>,
     #[serde(rename = "grants")]
     shard_leases: Vec<ShardLeaseStatus<'a>>,
     machines: Vec<MachineGroup<'a>>,
+    /// Job counts by class and by team.
     #[serde(rename = "served")]
     service_counts: &'a ServiceCounts,
-    /// Rental requests under way.
+    /// Number of open rental requests.
     rentals: usize,
+    /// Number of active jobs.
     #[serde(rename = "jobs_active")]
     active_jobs: usize,
-    /// Jobs that have active tasks.
+    /// Number of jobs that have assigned tasks.
     #[serde(rename = "jobs_live")]
     jobs_with_tasks: usize,
 }
@@ -59,30 +63,36 @@
 /// The load of a controller's process, and the incidents that it observed.
 #[derive(Serialize)]
 struct ProcessStatus {
-    /// Seconds since the latest successful read of the store was sent.
+    /// Seconds since the latest successful read of the store was sent; `None` if none has
+    /// succeeded.
     #[serde(rename = "state_age_s")]
     staleness_s: Option<f64>,
     /// Seconds since the start of the process.
     #[serde(rename = "up_s")]
     uptime_s: f64,
-    /// For how many of these seconds its thread was busy.
+    /// Seconds since the start of the process in which its thread was busy.
     busy_s: f64,
+    /// The recent lag of the event loop, in milliseconds.
     #[serde(rename = "late_ms")]
     lag_ms: u64,
+    /// The ongoing incident; `None` if there is none.
     #[serde(rename = "trouble")]
     incident: Option<Incident>,
+    /// The last incident that was resolved; `None` if none was.
     #[serde(rename = "last_trouble")]
     last_incident: Option<Incident>,
     connections: ConnectionCounts,
     work: WorkSummary,
 }
 
-/// The snapshot that the store holds, and the log since.
+/// The snapshot that the store holds, and the length of the log since.
 #[derive(Serialize)]
 struct SnapshotStatus {
+    /// The store revision of the snapshot.
     #[serde(rename = "at")]
     revision: u64,
     chunks: usize,
+    /// Number of log entries since the snapshot.
     entries_since: usize,
 }
 
@@ -92,9 +102,10 @@
     shard: &'a str,
     #[serde(rename = "holder")]
     owner: &'a str,
+    /// The version of the lease's record in the store.
     #[serde(rename = "token")]
     fencing_token: u64,
-    /// How many machines the shard has.
+    /// Number of machines in the shard.
     machines: usize,
 }
 
@@ -107,21 +118,22 @@
     spot: bool,
 }
 
-/// How many machines of a group there are, and how many in each condition.
+/// The number of machines in a group, and how many of them are in each condition.
 #[derive(Default, Serialize)]
 struct MachineCounts {
     machines: usize,
-    /// Have sent a heartbeat.
+    /// Machines that have sent a heartbeat.
     #[serde(rename = "up")]
     ready: usize,
+    /// Machines whose heartbeats do not arrive at the owner of their shard.
     #[serde(rename = "silent")]
     unreachable: usize,
-    /// Take no new tasks, or are being deleted.
+    /// Machines that accept no new tasks, because they are draining or to be deleted.
     #[serde(rename = "leaving")]
     draining: usize,
-    /// Have no task.
+    /// Machines without tasks.
     idle: usize,
-    /// Tasks on all of them.
+    /// Tasks assigned to any machine of the group.
     tasks: usize,
 }
 
@@ -140,7 +152,7 @@
     reason: &'a str,
     #[serde(rename = "jobs")]
     count: usize,
-    /// The first of them by name.
+    /// The names of the first of these jobs, in alphabetical order.
     first: Vec<String>,
 }
 
@@ -240,7 +252,8 @@
         .collect()
 }
 
-/// The machines by zone, type and kind of rental, in that order.
+/// The machines in groups, sorted by zone, then by type, on-demand machines before spot
+/// instances.
 fn machine_groups(state: &ClusterState) -> Vec<MachineGroup<'_>> {
     let mut groups: BTreeMap<MachineGroupKey<'_>, MachineCounts> = BTreeMap::new();
     for machine in state.machines.values() {
@@ -257,7 +270,7 @@
         .collect()
 }
 
-/// The pending jobs by reason, as of the leader's latest round.
+/// The pending jobs by reason, as of the latest scheduling round of this controller.
 fn pending_jobs(controller: &Controller) -> Vec<PendingJobs<'static>> {
     let mut jobs_by_reason: BTreeMap<&str, Vec<String>> = BTreeMap::new();
     for (job, reason) in &*controller.pending_reasons.by_job() {
--- a/crates/rushwalk/src/http/admin/tests.rs
+++ b/crates/rushwalk/src/http/admin/tests.rs
@@ -74,7 +74,7 @@
     })
 }
 
-/// Two machines of three run tasks of one job; another job waits.
+/// One job has tasks on two of the three machines; another job is pending.
 fn fill_cluster_state(controller: &Controller) {
     let mut state = controller.replica.state();
     let idle = MachineRecord {
@@ -190,14 +190,14 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_status_body_keeps_its_bytes() {
+async fn status_body_is_unchanged() {
     let controller = controller();
     fill_cluster_state(&controller);
     fill_leadership(&controller);
     record_incidents(&controller);
     let address = SocketAddr::from(([10, 0, 0, 1], 7));
     let remote = RemoteAddr(Addr::SocketAddr(address));
-    let (io, _other) = tokio::io::duplex(64);
+    let (io, _remote_end) = tokio::io::duplex(64);
     let _open = TrackedConnection::new(io, &controller.connections, &remote);
     let now = Instant::now();
     controller.replica.record_read(now);
@@ -206,14 +206,14 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_status_body_of_a_controller_that_knows_nothing_keeps_its_bytes() {
+async fn status_body_of_a_new_controller_is_unchanged() {
     let controller = controller();
     let expected = include_str!("tests/status_at_start.json");
     assert_eq!(get(&controller, "/admin/status").await, expected.trim_end());
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_machines_page_keeps_its_bytes() {
+async fn machines_page_is_unchanged() {
     let controller = controller();
     fill_cluster_state(&controller);
     let body = get(&controller, "/admin/machines").await;
@@ -221,7 +221,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_machines_page_begins_after_the_named_machine_and_says_whether_there_are_more() {
+async fn machines_page_begins_after_the_given_name_and_shows_whether_more_follow() {
     let controller = controller();
     for n in 0..=MACHINES_PER_PAGE {
         let name = format!("m-{n:03}");
--- a/crates/rushwalk/src/http/admission.rs
+++ b/crates/rushwalk/src/http/admission.rs
@@ -1,15 +1,16 @@
-//! Admission control at the public listener: how many new connections are served at once,
-//! and in which order.
+//! Admission control at the public listener: how many new connections are served in one pass of
+//! the event loop, and in which order.
 //!
-//! After a restart of all controllers every worker of the fleet connects at once. Serving
-//! all of them made each wait behind all others: responses came later than workers wait for
-//! them, which brought the workers back on new connections, and the membership lease was
-//! renewed too late, which sent them to other controllers. So the number of connections
-//! that are admitted in one pass of the event loop follows from how long such a pass takes.
+//! After a restart of all controllers, all workers of the fleet connect at the same time. When
+//! all these connections were served together, each waited for all others. Responses came later
+//! than workers wait for them, so that the workers connected again. The membership lease was
+//! renewed too late as well, so that workers were sent to other controllers. For this reason the
+//! number of connections that are admitted in one pass of the event loop depends on how long
+//! passes take.
 //!
-//! The others are accepted from the kernel and queued here, and the newest is served first.
-//! When they were served in order of arrival, two of five had already given up, and the
-//! users' health probe waited behind them until its controller counted as failed.
+//! Other connections are accepted from the kernel and queued here, and the newest is served
+//! first. When they were served in order of arrival, the clients of two in five had already given
+//! up, and the users' health probe waited behind them until its controller counted as failed.
 //! Connections that are queued for longer than clients wait are dropped.
 
 mod pacer;
@@ -34,11 +35,11 @@
 /// The time limits of admission control.
 #[derive(Debug, Clone, Copy)]
 pub struct AdmissionLimits {
-    /// How long a pass of the event loop may take before fewer connections are admitted
-    /// in it.
+    /// Maximum duration of a pass of the event loop; if it is exceeded, fewer connections are
+    /// admitted in a pass.
     pub pass_limit: Duration,
-    /// How long a connection may be queued, and a user's connection may be idle when the
-    /// table is full: clients go to another controller after that.
+    /// How long a connection may be queued; also, how long a user's connection may be idle when
+    /// the table is full. Clients go to another controller after that time.
     pub queue_timeout: Duration,
     /// How long a worker's connection may be idle when the table is full.
     pub worker_idle_limit: Duration,
@@ -87,13 +88,13 @@
     pacer: AdmissionPacer,
     connections: Arc<ConnectionTable>,
     limits: AdmissionLimits,
-    /// Accepted but not served yet, in order of arrival.
+    /// Connections that are accepted but not served yet, in order of arrival.
     queue: VecDeque<QueuedConnection<TrackedConnection<A::Io>>>,
-    /// When idle connections were last closed because the table was full.
+    /// When idle connections were last closed because the table was full; `None` if never.
     last_shed: Option<Instant>,
 }
 
-/// The return type of an acceptor, as poem defines it.
+/// The return type of [`Acceptor::accept`], as poem defines it.
 type AcceptedConnection<T> = (T, LocalAddr, RemoteAddr, Scheme);
 
 struct QueuedConnection<T> {
@@ -123,9 +124,9 @@
 }
 
 impl<A: Acceptor> AdmissionAcceptor<A> {
-    /// Accepts all connections that wait in the kernel's queue, up to the table's capacity,
-    /// and drops those that have been queued here for too long. Returns whether that
-    /// capacity was reached.
+    /// Accepts all connections that wait in the kernel's queue, up to the capacity of the table,
+    /// and drops those that have been queued here for too long. Returns whether the table is
+    /// full.
     async fn fill_queue(&mut self) -> io::Result<bool> {
         let is_full = loop {
             if self.connections.is_full() {
@@ -141,14 +142,14 @@
         Ok(is_full)
     }
 
-    /// A connection if one is ready, without waiting for it.
+    /// Accepts a connection if one is ready, without waiting for it.
     async fn poll_accept_once(&mut self) -> Poll<io::Result<AcceptedConnection<A::Io>>> {
         let mut accept = pin!(self.inner.accept());
         poll_fn(|context| Poll::Ready(accept.as_mut().poll(context))).await
     }
 
-    /// Closes idle connections, at most once in a pass: it examines all of them, and those
-    /// that it closes leave the table only after a pass.
+    /// Closes idle connections, at most once in the time limit of a pass: closing them examines
+    /// all connections, and those that are closed leave the table only after a pass.
     fn shed_idle(&mut self) {
         let recently = |at: Instant| at.elapsed() <= self.limits.pass_limit;
         if self.last_shed.is_some_and(recently) {
@@ -170,7 +171,7 @@
         self.queue.drain(..expired);
     }
 
-    /// Waits for the next connection or, if the table is full, for a pass.
+    /// Waits for the next connection or, if the table is full, for the time limit of a pass.
     async fn wait_for_connection(&mut self, is_full: bool) -> io::Result<()> {
         if is_full {
             sleep(self.limits.pass_limit).await;
@@ -180,7 +181,7 @@
         self.enqueue(accepted).await
     }
 
-    /// Lets the other tasks run once, and measures how long that took.
+    /// Lets the other tasks run for one pass, and measures how long that takes.
     async fn yield_for_pass(&mut self) {
         let started = Instant::now();
         tokio::task::yield_now().await;
@@ -191,7 +192,8 @@
         let (io, local, remote, scheme) = match accepted {
             Ok(connection) => connection,
             Err(error) => {
-                // Without a free socket another try at once would only take processor time.
+                // If no file descriptor is free, another attempt without a pause would only use
+                // CPU time.
                 sleep(self.limits.pass_limit).await;
                 return Err(error);
             }
--- a/crates/rushwalk/src/http/admission/pacer.rs
+++ b/crates/rushwalk/src/http/admission/pacer.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-/// Adapts the number of admitted connections to how long passes take: it is halved after
-/// a pass over the limit and raised by one after any other.
+/// Adapts the number of connections admitted in a pass to how long passes take: the number is
+/// halved after a pass over the limit and raised by one after any other.
 pub(super) struct AdmissionPacer {
     pass_limit: Duration,
-    /// How many connections a pass may admit.
+    /// Maximum number of connections that the current pass may admit.
     per_pass: usize,
-    /// How many this pass has admitted.
+    /// Number of connections that the current pass has admitted.
     admitted: usize,
 }
 
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Counts one more connection; `false` if this pass has admitted all it may.
+    /// Counts one more admitted connection; `false` if the current pass may admit no more.
     pub(super) fn try_admit(&mut self) -> bool {
         if self.admitted >= self.per_pass {
             return false;
@@ -32,7 +32,7 @@
         true
     }
 
-    /// Begins the next pass, after one that took `duration`.
+    /// Begins the next pass after one that took `duration`, and adapts the number of connections.
     pub(super) fn finish_pass(&mut self, duration: Duration) {
         self.admitted = 0;
         self.per_pass = if duration > self.pass_limit {
--- a/crates/rushwalk/src/http/admission/tests.rs
+++ b/crates/rushwalk/src/http/admission/tests.rs
@@ -4,8 +4,8 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 
-/// Admits what one pass may, lets it take so many milliseconds, and returns how many
-/// were admitted.
+/// Admits as many connections as one pass may, ends the pass after `duration_ms`, and returns how
+/// many were admitted.
 fn run_pass(pacer: &mut AdmissionPacer, duration_ms: u64) -> usize {
     let mut admitted = 0;
     while pacer.try_admit() {
@@ -22,7 +22,11 @@
     for _ in 0..8 {
         run_pass(&mut pacer, 400);
     }
-    assert_eq!(run_pass(&mut pacer, 400), 1, "but one always is");
+    assert_eq!(
+        run_pass(&mut pacer, 400),
+        1,
+        "at least one connection is admitted"
+    );
     for _ in 0..100 {
         run_pass(&mut pacer, 5);
     }
@@ -63,10 +67,10 @@
     }
 }
 
-/// Without free sockets a controller could make no calls any more, and spun on a
-/// listener that it could accept nothing from.
+/// Without free file descriptors, a controller can make no calls, and its accept loop uses CPU
+/// time on a listener from which it can accept nothing.
 #[tokio::test]
-async fn no_more_connections_are_accepted_than_may_be_open() {
+async fn connections_are_accepted_up_to_the_capacity() {
     let mut listener = TestListener::bind(3, 60_000).await;
     let clients = listener.connect(5).await;
     let mut accepted = Vec::new();
@@ -76,15 +80,15 @@
     assert_eq!(listener.connections.count().open, 3);
     let mut next = std::pin::pin!(listener.acceptor.accept());
     let early = tokio::time::timeout(Duration::from_millis(30), &mut next).await;
-    assert!(early.is_err(), "a fourth was accepted");
+    assert!(early.is_err(), "a fourth connection was accepted");
     drop(accepted.pop());
     let (mut io, ..) = next.await.unwrap();
     drop(clients);
     assert_eq!(io.read(&mut [0; 8]).await.unwrap(), 0);
 }
 
-/// Served in order of arrival, clients got their responses when they had already gone
-/// elsewhere, and connected again.
+/// If connections are served in order of arrival, clients get responses only after they have gone
+/// to another controller, and connect again.
 #[tokio::test]
 async fn the_newest_connection_is_served_first() {
     let mut listener = TestListener::bind(100, 60_000).await;
--- a/crates/rushwalk/src/http/forwarding.rs
+++ b/crates/rushwalk/src/http/forwarding.rs
@@ -1,4 +1,4 @@
-//! Requests of users that this controller can't carry out, forwarded to its peers.
+//! Forwards users' requests to other controllers if this one can't carry them out.
 
 use crate::context::Context;
 use crate::peers::PeerMonitor;
@@ -10,25 +10,26 @@
 use rushwalk_protocol::settings::PeerSettings;
 use std::sync::Arc;
 
-/// The path at which controllers answer each other about a job.
+/// The path at which a controller answers other controllers' queries for a job's status.
 pub(super) const JOB_STATUS_PATH: &str = "/mesh/job";
 
-/// The path at which controllers take forwarded requests.
+/// The path at which a controller accepts requests that other controllers forward.
 pub(super) const FORWARD_PATH: &str = "/mesh/change";
 
-/// Peers that are asked at most.
+/// Maximum number of peers to which one request is sent, one after the other.
 const MAX_PEERS: usize = 2;
 
-/// Rounds after which a peer's heartbeat, or the read that it reports, is too old.
+/// Maximum age in rounds, for an eligible peer, of its last heartbeat and of the read of the
+/// store that this heartbeat reports.
 const MAX_AGE_ROUNDS: f64 = 4.0;
 
-/// Statuses from here on say that the peer could not carry the request out.
+/// Lowest status code with which a peer responds if it could not carry the request out.
 const SERVER_ERROR: u16 = 500;
 
-/// Forwards requests to peers that reach the store.
+/// Forwards requests to peers that have contact with the store.
 #[derive(Clone)]
 pub(super) struct PeerForwarder {
-    /// This process's context.
+    /// Settings and timing of this process.
     pub context: Arc<Context>,
     /// Shows which peers are healthy.
     pub peers: Arc<PeerMonitor>,
@@ -37,12 +38,13 @@
 }
 
 impl PeerForwarder {
-    /// The endpoints of peers that lately reached the store, and are not suspected.
-    fn able_peers(&self) -> Vec<String> {
+    /// The endpoints of the peers that have read the store recently and are not suspected to have
+    /// failed.
+    fn eligible_peers(&self) -> Vec<String> {
         let max_age_s = self.context.timing.round.as_secs_f64() * MAX_AGE_ROUNDS;
         let detector = self.peers.detector();
         let now_s = self.context.uptime_s();
-        let is_able = |peer: &&PeerSettings| {
+        let is_eligible = |peer: &&PeerSettings| {
             let heartbeat = detector.last_heartbeat(&peer.member, now_s);
             detector.health(&peer.member) == PeerHealth::Healthy
                 && heartbeat.is_some_and(|last| {
@@ -50,14 +52,15 @@
                     last.age_s < max_age_s && staleness_ms < max_age_s * 1000.0
                 })
         };
-        let able = self.context.settings.peers.iter().filter(is_able);
-        able.map(|peer| peer.endpoint.clone()).collect()
+        let eligible = self.context.settings.peers.iter().filter(is_eligible);
+        eligible.map(|peer| peer.endpoint.clone()).collect()
     }
 
-    /// Forwards a request; `None` if no peer could carry it out. If the response is lost it
-    /// may have been: as with any lost response, users ask again.
+    /// Forwards a request; `None` if no peer could carry it out. A peer may have carried it out
+    /// if its response was lost: as after any lost response, the user has to send the request
+    /// again.
     pub(super) async fn forward(&self, request: &ForwardedRequest) -> Option<ForwardedResponse> {
-        for endpoint in self.able_peers().iter().take(MAX_PEERS) {
+        for endpoint in self.eligible_peers().iter().take(MAX_PEERS) {
             let timeout = self.context.timing.round;
             let call =
                 self.client
@@ -71,10 +74,10 @@
         None
     }
 
-    /// Asks for a job's status; `None` if no peer answers.
+    /// Asks peers for a job's status; `None` if no peer answers.
     pub(super) async fn job_status(&self, job: &str) -> Option<JobStatusReply> {
         let query = JobStatusQuery { job: job.into() };
-        for endpoint in self.able_peers().iter().take(MAX_PEERS) {
+        for endpoint in self.eligible_peers().iter().take(MAX_PEERS) {
             let timeout = self.context.timing.round / 2;
             let call = self.client.call(endpoint, JOB_STATUS_PATH, &query, timeout);
             if let Ok(reply) = call.await {
--- a/crates/rushwalk/src/http/health.rs
+++ b/crates/rushwalk/src/http/health.rs
@@ -1,14 +1,16 @@
-//! Whether users should be sent to this controller.
+//! The health check: whether users should be sent to this controller.
 
 use crate::context::Context;
 use crate::peers::PeerMonitor;
 use crate::store::Replica;
 
-/// Rounds after which a replica is too old to serve users by itself.
+/// Rounds without a read of the store after which a controller is healthy only if its peers are
+/// no better off.
 const MAX_STALENESS_ROUNDS: u32 = 5;
 
-/// Whether users should be sent here: this controller reaches the store or, if none does, is as
-/// good as any other.
+/// Whether users should be sent to this controller: it has read the store recently or, if it has
+/// not, it is no worse off than its peers. A controller that has never read the store is
+/// unhealthy.
 pub(super) fn is_healthy(context: &Context, replica: &Replica, peers: &PeerMonitor) -> bool {
     let limit = context.timing.round * MAX_STALENESS_ROUNDS;
     if replica.staleness() < limit {
@@ -17,10 +19,11 @@
     if !replica.has_been_read() {
         return false;
     }
-    // In an outage the staleness of all grows alike, and a peer's is known as of its last
-    // heartbeat: only a peer that is well below the limit by now is better off. A controller
-    // without contact to any peer cannot compare, and is more likely the one that is
-    // partitioned: users that were sent to it got no answer for as long as that lasted.
+    // During an outage of the store the staleness of all controllers grows alike, and that of a
+    // peer is known as of its last heartbeat: only a peer whose staleness is now below half of
+    // the limit is better off. A controller without contact to any peer can't compare, and is
+    // more likely to be the one that is partitioned. When users were sent to such a controller,
+    // they got no response for as long as the partition lasted.
     let limit_s = limit.as_secs_f64();
     let detector = peers.detector();
     let now_s = context.uptime_s();
--- a/crates/rushwalk/src/http/peers.rs
+++ b/crates/rushwalk/src/http/peers.rs
@@ -1,4 +1,4 @@
-//! The other controllers' interface on the peer address.
+//! The interface for other controllers on the peer address.
 
 use super::forwarding::{FORWARD_PATH, JOB_STATUS_PATH};
 use super::responses::{empty, read_body};
@@ -15,10 +15,10 @@
 };
 use std::sync::Arc;
 
-/// A submission of the largest size takes no more than so many times its size as CBOR.
-const CBOR_FACTOR: usize = 4;
+/// A submission in CBOR takes at most this many times its own size.
+const MAX_CBOR_EXPANSION: usize = 4;
 
-/// What the peers' interface uses.
+/// The dependencies of the peer interface.
 pub(super) struct PeerApi {
     /// Builds this controller's heartbeat.
     pub heartbeats: Arc<HeartbeatSource>,
@@ -31,7 +31,7 @@
     Route::new()
         .at(HEARTBEAT_PATH, post(heartbeat.data(api.clone())))
         .at(JOB_STATUS_PATH, post(job_status.data(api.clone())))
-        .at(FORWARD_PATH, post(forwarded.data(api)))
+        .at(FORWARD_PATH, post(forwarded_request.data(api)))
 }
 
 #[handler]
@@ -68,10 +68,10 @@
     Response::builder().body(encode(&JobStatusReply { status }))
 }
 
-/// Carries a request out locally or not at all: it is forwarded once.
+/// Carries out a request that a peer has forwarded, without forwarding it again.
 #[handler]
-async fn forwarded(body: Body, api: Data<&Arc<PeerApi>>) -> Response {
-    let Ok(body) = body.into_bytes_limit(CBOR_FACTOR * MAX_BODY).await else {
+async fn forwarded_request(body: Body, api: Data<&Arc<PeerApi>>) -> Response {
+    let Ok(body) = body.into_bytes_limit(MAX_CBOR_EXPANSION * MAX_BODY).await else {
         return empty(StatusCode::BAD_REQUEST);
     };
     let response = match decode::<ForwardedRequest>(&body) {
--- a/crates/rushwalk/src/http/public.rs
+++ b/crates/rushwalk/src/http/public.rs
@@ -1,4 +1,4 @@
-//! The users' and workers' interface on the public address.
+//! The interface for users and workers on the public address.
 
 use super::health::is_healthy;
 use super::responses::{error, json, read_body};
@@ -13,15 +13,15 @@
 use rushwalk_protocol::worker::{Heartbeat, Redirect};
 use std::sync::Arc;
 
-/// What the public interface uses.
+/// The dependencies of the public interface.
 pub(super) struct PublicApi {
     /// Carries out users' requests.
     pub user_requests: UserRequests,
     /// Answers workers' heartbeats.
     pub heartbeats: HeartbeatHandler,
-    /// Shows whether peers are better off.
+    /// Shows the staleness of the other controllers, for the health check.
     pub peers: Arc<PeerMonitor>,
-    /// Knows the connections that are workers'.
+    /// The table in which workers' connections are marked as such.
     pub connections: Arc<ConnectionTable>,
 }
 
--- a/crates/rushwalk/src/http/responses.rs
+++ b/crates/rushwalk/src/http/responses.rs
@@ -1,4 +1,4 @@
-//! Responses, and how bodies are read.
+//! Building responses and reading request bodies.
 
 #[cfg(test)]
 mod tests;
@@ -11,7 +11,7 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// The longest `Retry-After` of a rejection, in seconds.
+/// The largest `Retry-After` of a rejection, in seconds.
 const MAX_RETRY_AFTER_S: f64 = 30.0;
 
 /// A response with a JSON body.
@@ -22,7 +22,7 @@
         .body(serde_json::to_vec(value).unwrap_or_default())
 }
 
-/// A response that says what is wrong.
+/// A response with an error message.
 pub(super) fn error(status: StatusCode, message: impl Into<String>) -> Response {
     let body = ErrorBody {
         error: message.into(),
@@ -30,8 +30,8 @@
     json(status, &body)
 }
 
-/// A rejection for the moment, which says when to come back: in whole seconds, as HTTP has
-/// it.
+/// A temporary rejection with the header `Retry-After`, which HTTP defines in whole seconds:
+/// `retry_after` is rounded up, and limited to the range from 1 to `MAX_RETRY_AFTER_S`.
 pub(super) fn error_with_retry_after(
     status: StatusCode,
     message: &str,
@@ -52,7 +52,8 @@
     Response::builder().status(status).finish()
 }
 
-/// Reads a body of limited size; the response to its sender if it can't be read.
+/// Reads a request body of at most `MAX_BODY` bytes. If that fails, returns the response to the
+/// sender.
 pub(super) async fn read_body(body: Body) -> Result<Vec<u8>, Response> {
     match body.into_bytes_limit(MAX_BODY).await {
         Ok(bytes) => Ok(bytes.to_vec()),
--- a/crates/rushwalk/src/http/user_requests.rs
+++ b/crates/rushwalk/src/http/user_requests.rs
@@ -1,8 +1,8 @@
-//! What users ask for: submissions, questions and cancellations.
+//! Users' requests: submissions, status queries and cancellations of jobs.
 //!
-//! A request is carried out here. If the store is out of reach of this controller alone, a
-//! peer carries it out in its place; if the store is slow, both do, and the first response
-//! counts: the second time changes nothing.
+//! A request is carried out by this controller. If only this controller can't reach the store, a
+//! peer carries the request out instead. If the store is slow, both do, and the first response is
+//! used; carrying the request out a second time changes nothing.
 
 use super::forwarding::PeerForwarder;
 use super::responses::{error, error_with_retry_after, json};
@@ -24,38 +24,38 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// How long a linearizable read may take: users give up on a question after 2 s.
+/// Maximum duration of a linearizable read: users give up on a status query after 2 s.
 const MAX_READ_WAIT: Duration = Duration::from_millis(1500);
 
-/// Rounds after which the store counts as unreachable for a controller that has not read it:
-/// longer than the pause between two reads of an idle controller.
+/// Rounds without a read after which the store counts as unreachable for this controller: more
+/// than the pause between two reads of an idle controller.
 const STORE_UNREACHABLE_ROUNDS: u32 = 4;
 
-/// Why users are asked to come back.
+/// The reason for which users are asked to retry when the store does not answer.
 const STORE_UNAVAILABLE: &str = "the state service does not answer";
 
 /// Carries out users' requests.
 #[derive(Clone)]
 pub(super) struct UserRequests {
-    /// This process's context.
+    /// Settings and timing of this process.
     pub context: Arc<Context>,
-    /// Answers questions.
+    /// The local replica of the cluster state, from which status queries are answered.
     pub replica: Arc<Replica>,
-    /// Knows the size of a value.
+    /// Checks that a submission is small enough to be stored.
     pub log: Arc<LogWriter>,
-    /// Commits the writes.
+    /// Commits users' writes.
     pub writes: UserWrites,
-    /// Shows when the next write may be tried.
+    /// Knows when the write budget allows the next write, for `Retry-After`.
     pub committer: Arc<Committer>,
-    /// Forwards what can't be carried out here.
+    /// Forwards requests that can't be carried out here.
     pub forwarder: PeerForwarder,
-    /// Counts what is rejected.
+    /// Counts responses with status 429 or 503.
     pub rejections: Arc<RejectionCounter>,
-    /// Measures the work that is done.
+    /// Measures the time that requests take on this thread.
     pub work_profile: Arc<WorkProfile>,
 }
 
-/// Why a submission is rejected permanently.
+/// A permanent rejection of a submission.
 struct Rejection {
     status: StatusCode,
     reason: String,
@@ -63,14 +63,15 @@
 
 /// Why a submission is not accepted.
 enum SubmissionError {
-    /// It never will be.
+    /// The submission is invalid or can never run.
     Rejected(Rejection),
-    /// Whether the job can ever run is not known yet: the machine types were not read.
+    /// The machine types were not read yet, so whether the job can ever run is not known.
     TypesUnknown,
 }
 
-/// Makes rejections with a status, each with what is wrong as its reason.
-fn rejection<E: Display>(status: StatusCode) -> impl Fn(E) -> SubmissionError {
+/// Returns a function that turns an error into a rejection with `status`; the reason is the
+/// error's text.
+fn rejected_with<E: Display>(status: StatusCode) -> impl Fn(E) -> SubmissionError {
     move |error| {
         SubmissionError::Rejected(Rejection {
             status,
@@ -80,21 +81,22 @@
 }
 
 impl UserRequests {
-    /// A submission.
+    /// Handles a submission, here or through a peer.
     pub(super) async fn submit(&self, body: Vec<u8>) -> Response {
         let request = ForwardedRequest::Submit(body.clone());
-        self.local_or_forwarded(self.submit_locally(&body), &request)
+        self.run_locally_or_forward(self.submit_locally(&body), &request)
             .await
     }
 
-    /// A cancellation.
+    /// Handles a cancellation, here or through a peer.
     pub(super) async fn cancel(&self, job: String) -> Response {
         let request = ForwardedRequest::Cancel(job.clone());
-        self.local_or_forwarded(self.cancel_locally(&job), &request)
+        self.run_locally_or_forward(self.cancel_locally(&job), &request)
             .await
     }
 
-    /// A question about a job: final statuses from memory, others after a linearizable read.
+    /// Handles a status query: returns a final status from memory, any other after a linearizable
+    /// read.
     pub(super) async fn status(&self, job: &str) -> Response {
         let final_status = {
             let state = self.replica.state();
@@ -104,8 +106,9 @@
         if let Some(status) = final_status {
             return json(StatusCode::OK, &status);
         }
-        // If the store is unreachable a peer's read is as good, and comes sooner. If it is only
-        // slow, a peer's may come sooner, and ours is waited for as long as the user waits.
+        // If this controller can't reach the store, a peer's read is as good and comes sooner. If
+        // the store is only slow, a peer's read may come sooner, and the local one is awaited for
+        // as long as the user waits.
         let round = self.context.timing.round;
         let (hedge_delay, max_wait) = if self.is_store_unreachable() {
             (round / 10, round / 10)
@@ -133,7 +136,7 @@
         {
             return self.status_response(reply.status);
         }
-        self.rejected_for_now(STORE_UNAVAILABLE)
+        self.reject_unavailable(STORE_UNAVAILABLE)
     }
 
     fn status_response(&self, status: Option<JobStatus>) -> Response {
@@ -145,44 +148,48 @@
         }
     }
 
-    /// Carries a request out locally; by a peer if that is rejected, and as a hedged request
-    /// if it takes long.
-    async fn local_or_forwarded(
+    /// Carries a request out locally. Forwards it to a peer if the store is unreachable, if the
+    /// local response has status 503, or, as a hedged request, if there is no local response
+    /// within a sixth of a round.
+    async fn run_locally_or_forward(
         &self,
-        here: impl Future<Output = Response>,
+        local: impl Future<Output = Response>,
         request: &ForwardedRequest,
     ) -> Response {
-        let mut here = std::pin::pin!(here);
+        let mut local = std::pin::pin!(local);
         if self.is_store_unreachable() {
-            return self.forwarded(request).await;
+            return self.forward_or_reject(request).await;
         }
-        match timeout(self.context.timing.round / 6, &mut here).await {
-            Ok(response) if is_unavailable(&response) => return self.forwarded(request).await,
+        match timeout(self.context.timing.round / 6, &mut local).await {
+            Ok(response) if is_unavailable(&response) => {
+                return self.forward_or_reject(request).await;
+            }
             Ok(response) => return response,
             Err(_) => {}
         }
-        let mut forwarded = std::pin::pin!(self.forwarded(request));
+        let mut forwarded = std::pin::pin!(self.forward_or_reject(request));
         tokio::select! {
             biased;
-            response = &mut here => {
+            response = &mut local => {
                 if is_unavailable(&response) { forwarded.await } else { response }
             }
             response = &mut forwarded => {
-                if is_unavailable(&response) { here.await } else { response }
+                if is_unavailable(&response) { local.await } else { response }
             }
         }
     }
 
-    /// Whether this controller has not read the store for longer than an idle one pauses
+    /// Whether this controller has not read the store for longer than an idle controller pauses
     /// between two reads.
     fn is_store_unreachable(&self) -> bool {
         self.replica.staleness() > self.context.timing.round * STORE_UNREACHABLE_ROUNDS
     }
 
-    /// A peer's response in place of ours, which would be 503.
-    async fn forwarded(&self, request: &ForwardedRequest) -> Response {
+    /// The response of a peer that carries the request out in place of this controller; status
+    /// 503 if no peer could.
+    async fn forward_or_reject(&self, request: &ForwardedRequest) -> Response {
         let Some(response) = self.forwarder.forward(request).await else {
-            return self.rejected_for_now(STORE_UNAVAILABLE);
+            return self.reject_unavailable(STORE_UNAVAILABLE);
         };
         if response.status == StatusCode::TOO_MANY_REQUESTS {
             return self.too_many_requests();
@@ -194,11 +201,12 @@
             .body(response.body)
     }
 
-    /// A submission, carried out locally or not at all.
+    /// Handles a submission without forwarding it to a peer.
     pub(super) async fn submit_locally(&self, body: &[u8]) -> Response {
         let mut timer = self.work_profile.start(WorkKind::UserRequest);
         timer.add_items(1);
-        // A known job is answered by its status, however the submission looks now.
+        // A submission of a known job is answered with the job's status, even if this body
+        // differs from the first one or is invalid.
         let named_job = named_job(body);
         let known_job = named_job.as_deref().filter(|job| self.knows_job(job));
         if let Some(job) = known_job {
@@ -207,7 +215,7 @@
         }
         let parsed = JobSpec::parse(body);
         drop(timer);
-        let checked = parsed.map_err(rejection(StatusCode::BAD_REQUEST));
+        let checked = parsed.map_err(rejected_with(StatusCode::BAD_REQUEST));
         match checked.and_then(|spec| self.check(spec)) {
             Ok(spec) => self.accept(spec).await,
             Err(SubmissionError::TypesUnknown) => {
@@ -219,8 +227,9 @@
         }
     }
 
-    /// Reads the store before a request is denied; the response to the user if it does not
-    /// answer.
+    /// Waits for a read of the store, which must precede the denial of a request: another
+    /// controller may have accepted the job. If the store does not answer, returns the response
+    /// to the user.
     async fn linearizable_read(&self) -> Result<(), Response> {
         if self.replica.linearizable_read(MAX_READ_WAIT).await {
             Ok(())
@@ -233,26 +242,27 @@
         self.replica.state().knows_job(job)
     }
 
-    /// Returns a job if it can ever run, and be stored.
+    /// Returns a job if the cluster can ever run it, and store it.
     ///
     /// # Errors
     ///
-    /// A rejection with status 422 if it can't.
+    /// A rejection with status 422 if it can't, and [`SubmissionError::TypesUnknown`] if that
+    /// can't be decided yet.
     fn check(&self, spec: JobSpec) -> Result<JobSpec, SubmissionError> {
         let Some(types) = self.replica.state().machine_types.clone() else {
             return Err(SubmissionError::TypesUnknown);
         };
         let site = &self.context.settings.site;
         check_satisfiable(&spec, &site.teams, &types.types, &site.zones)
-            .map_err(rejection(StatusCode::UNPROCESSABLE_ENTITY))?;
+            .map_err(rejected_with(StatusCode::UNPROCESSABLE_ENTITY))?;
         self.log
             .check_size(&spec)
-            .map_err(rejection(StatusCode::UNPROCESSABLE_ENTITY))?;
+            .map_err(rejected_with(StatusCode::UNPROCESSABLE_ENTITY))?;
         Ok(spec)
     }
 
-    /// Rejects a submission, unless it was accepted by another controller, with another
-    /// body.
+    /// Rejects a submission, unless the job is known because another controller has accepted it
+    /// with another body: then its status is returned.
     async fn reject(&self, job: Option<&str>, rejection: Rejection) -> Response {
         if let Some(job) = job {
             if let Err(response) = self.linearizable_read().await {
@@ -278,7 +288,8 @@
         if let Err(response) = self.write(submit).await {
             return response;
         }
-        // The first submission decides: a known job's status is returned as it is.
+        // If the job was known already, its first submission counts: its status is returned as it
+        // is.
         tracing::info!(job, class, tasks, "job accepted");
         let status = self.replica.state().job_status(&job);
         match status {
@@ -290,7 +301,7 @@
         }
     }
 
-    /// A cancellation, carried out locally or not at all.
+    /// Handles a cancellation without forwarding it to a peer.
     pub(super) async fn cancel_locally(&self, job: &str) -> Response {
         if !self.knows_job(job) {
             if let Err(response) = self.linearizable_read().await {
@@ -307,12 +318,13 @@
         if let Err(response) = self.write(Mutation::Cancel(job.into())).await {
             return response;
         }
-        // Cancelled, or done just before: the order of the log says which.
+        // The job is now cancelled, or had finished just before: the order of the log entries
+        // decides which.
         tracing::info!(job, "job cancelled");
         self.status(job).await
     }
 
-    /// Commits a user's write; the response to the user if that was not possible.
+    /// Commits a user's write. If that fails, returns the response to the user.
     async fn write(&self, mutation: Mutation) -> Result<(), Response> {
         match self.writes.write(mutation).await {
             Ok(CommitOutcome::Committed(_)) => Ok(()),
@@ -326,27 +338,29 @@
         }
     }
 
-    /// Rejected because the write budget is used up; `Retry-After` says when it has a write.
+    /// The response if the write budget or the queue of writes is exhausted. `Retry-After` says
+    /// when the budget allows the next write.
     fn too_many_requests(&self) -> Response {
         self.rejections.record();
         let wait = self.committer.time_until_write();
         error_with_retry_after(StatusCode::TOO_MANY_REQUESTS, "too many requests", wait)
     }
 
-    /// Rejected because the store is out of reach, or not applied yet: it is tried anew
-    /// within a quarter of a round.
+    /// The response if the store can't be reached, or a change is not applied yet. `Retry-After`
+    /// is a quarter of a round, within which that is tried again.
     pub(super) fn unavailable(&self, reason: &str) -> Response {
         unavailable(&self.context, reason)
     }
 
-    /// The same as the final response to a user, which counts as a rejection.
-    fn rejected_for_now(&self, reason: &str) -> Response {
+    /// The same as [`Self::unavailable`] for a final response to a user, which is counted as a
+    /// rejection.
+    fn reject_unavailable(&self, reason: &str) -> Response {
         self.rejections.record();
         self.unavailable(reason)
     }
 }
 
-/// A response with status 503.
+/// A response with status 503, whose `Retry-After` is a quarter of a round.
 pub(super) fn unavailable(context: &Context, reason: &str) -> Response {
     let retry_after = context.timing.round / 4;
     error_with_retry_after(StatusCode::SERVICE_UNAVAILABLE, reason, retry_after)
@@ -356,7 +370,8 @@
     response.status() == StatusCode::SERVICE_UNAVAILABLE
 }
 
-/// The job that a submission names, if it can be read so far.
+/// The job id in the body of a submission; `None` if the body is not JSON or has no valid id.
+/// Other fields may be missing or invalid.
 fn named_job(body: &[u8]) -> Option<String> {
     let value = serde_json::from_slice::<serde_json::Value>(body).ok()?;
     let job = value.get("uid")?.as_str()?;
