--- a/crates/rushwalk/src/connections.rs
+++ b/crates/rushwalk/src/connections.rs
@@ -1,15 +1,15 @@
-//! The connections open at the public address: their limit, and which are closed first
-//! when it is reached.
+//! The connections that are open at the public address: how many may be open, and which are
+//! closed first when the limit is reached.
 //!
-//! The limit leaves sockets for the calls that the controller itself must make: without
-//! the key-value store, the cloud and its workers it can keep no guarantee. At the limit
-//! connections are closed in this order: idle ones of users, the longest idle first, then
+//! The limit leaves file descriptors for the calls that the controller itself must make: without
+//! contact to the key-value store, the cloud and its workers it can keep no guarantee. At the
+//! limit connections are closed in this order: idle ones of users, the longest idle first, then
 //! those of workers that no longer send heartbeats.
 //!
-//! Machines that fail close no connection, so whatever is idle for as long as a worker
-//! lease is closed at any time: when a third of the machines had failed, a controller once
-//! stayed at its limit, accepted no users and answered no health probe until the end of
-//! the day.
+//! A machine that fails does not close its connections, so any connection that is idle for as
+//! long as a worker lease is closed even below the limit. Without this, when a third of the
+//! machines had failed, a controller stayed at its limit, accepted no users and answered no
+//! health probe until the end of the day.
 
 mod tracked;
 
@@ -29,18 +29,20 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// At most one in this many connections is closed by one call of
-/// [`ConnectionTable::shed`].
+/// [`ConnectionTable::shed`] closes at most one in this many of the connections that may be open,
+/// but at least one.
 const SHED_DIVISOR: usize = 64;
 
-/// How often [`ConnectionTable::sweep_loop`] sweeps within the idle limit.
+/// How many times per idle limit [`ConnectionTable::sweep_loop`] closes idle connections.
 const SWEEPS_PER_IDLE_LIMIT: u32 = 4;
 
 /// The connections that are open at the public address.
 pub struct ConnectionTable {
-    /// How many connections may be open.
+    /// Maximum number of open connections.
     capacity: usize,
+    /// When the table was created.
     started: Instant,
+    /// The open connections, by the address of the remote end.
     connections: Mutex<HashMap<SocketAddr, Arc<ConnectionState>>>,
 }
 
@@ -49,18 +51,20 @@
 pub struct ConnectionCounts {
     /// All open connections.
     pub open: usize,
-    /// Of the open ones, those of workers.
+    /// Open connections through which a worker has sent a heartbeat.
     pub workers: usize,
 }
 
-/// What the table knows of one connection.
+/// The state of one connection, shared by the table and the stream.
 struct ConnectionState {
-    /// When data was last read or written, in milliseconds since the table was made.
+    /// When data was last read or written, in milliseconds since the table was created.
     last_used_ms: AtomicU64,
-    /// A worker has sent a heartbeat through it.
+    /// Whether a worker has sent a heartbeat through the connection.
     is_worker: AtomicBool,
+    /// Whether the table has closed the connection; it stays in the table until the stream is
+    /// dropped.
     closed: AtomicBool,
-    /// The task that waits to read from it.
+    /// Wakes the task that waits to read from the connection; `None` if none has waited yet.
     reader: Mutex<Option<Waker>>,
 }
 
@@ -81,7 +85,7 @@
         }
     }
 
-    /// Whether no further connection may be accepted.
+    /// Whether the table is at its limit, so that no further connection may be accepted.
     pub(super) fn is_full(&self) -> bool {
         self.connections.lock().len() >= self.capacity
     }
@@ -96,15 +100,16 @@
         }
     }
 
-    /// Records that a worker has sent a heartbeat from this address.
+    /// Records that a worker has sent a heartbeat from `remote`.
     pub fn mark_worker(&self, remote: &RemoteAddr) {
         if let Some(connection) = self.connections.lock().get(&connection_key(remote)) {
             connection.is_worker.store(true, Ordering::Relaxed);
         }
     }
 
-    /// Closes some connections to make room: users' that are idle for longer than
-    /// `user_idle`, or workers' that are idle for longer than `worker_idle`.
+    /// Closes some connections to make room: those of users that are idle for longer than
+    /// `user_idle`, then those of workers that are idle for longer than `worker_idle`, the
+    /// longest idle first.
     pub(super) fn shed(&self, user_idle: Duration, worker_idle: Duration) {
         let mut candidates = self.shed_candidates(user_idle, worker_idle);
         candidates.sort_by_key(|candidate| (candidate.is_worker, candidate.last_used_ms));
@@ -124,7 +129,7 @@
         }
     }
 
-    /// Closes idle connections from time to time, until the process ends.
+    /// Closes connections that are idle for longer than `idle_limit`, until the process ends.
     pub async fn sweep_loop(self: Arc<ConnectionTable>, idle_limit: Duration) {
         loop {
             sleep(idle_limit / SWEEPS_PER_IDLE_LIMIT).await;
@@ -149,7 +154,7 @@
         candidates
     }
 
-    /// Adds a connection from an address; it counts until [`ConnectionTable::remove`].
+    /// Adds a connection from an address; it counts as open until [`ConnectionTable::remove`].
     fn insert(&self, address: SocketAddr) -> Arc<ConnectionState> {
         let connection = Arc::new(ConnectionState {
             last_used_ms: AtomicU64::new(self.elapsed_ms()),
@@ -162,7 +167,8 @@
         connection
     }
 
-    /// Removes a connection, unless its peer has connected again from the same port.
+    /// Removes a connection, unless its entry was replaced because the remote end has connected
+    /// again from the same port.
     fn remove(&self, address: SocketAddr, connection: &Arc<ConnectionState>) {
         let mut connections = self.connections.lock();
         let registered = connections.get(&address);
@@ -171,7 +177,7 @@
         }
     }
 
-    /// Milliseconds since the table was made.
+    /// Milliseconds since the table was created.
     fn elapsed_ms(&self) -> u64 {
         u64::try_from(self.started.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
@@ -191,7 +197,8 @@
         Duration::from_millis(now_ms.saturating_sub(last_used_ms))
     }
 
-    /// Ends the connection: to its reader it looks as if the peer had closed it.
+    /// Closes the connection: its reader sees the end of the stream, as if the remote end had
+    /// closed it.
     fn close(&self) {
         self.closed.store(true, Ordering::Relaxed);
         if let Some(reader) = self.reader.lock().take() {
@@ -200,7 +207,7 @@
     }
 }
 
-/// The key of a connection in the table: the address of its peer.
+/// The key of a connection in the table: the address of its remote end.
 fn connection_key(remote: &RemoteAddr) -> SocketAddr {
     let unknown = SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0));
     remote.as_socket_addr().copied().unwrap_or(unknown)
--- a/crates/rushwalk/src/connections/tracked.rs
+++ b/crates/rushwalk/src/connections/tracked.rs
@@ -1,4 +1,4 @@
-//! A stream that notes its use in the connection table and that the table can close.
+//! A stream that records its use in the connection table, and that the table can close.
 
 use super::{ConnectionState, ConnectionTable, connection_key};
 use poem::web::RemoteAddr;
@@ -10,7 +10,7 @@
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// A connection that counts in a [`ConnectionTable`] until it is dropped.
+/// A connection that counts as open in a [`ConnectionTable`] until it is dropped.
 pub struct TrackedConnection<T> {
     io: T,
     remote: SocketAddr,
@@ -35,7 +35,7 @@
         self.state.last_used_ms.store(now_ms, Ordering::Relaxed);
     }
 
-    /// Remembers the task that waits for data, so that closing wakes it.
+    /// Keeps the waker of the task that waits for data, so that closing the connection wakes it.
     fn register_reader(&self, context: &Context<'_>) {
         let mut reader = self.state.reader.lock();
         let waker = context.waker();
--- a/crates/rushwalk/src/observability.rs
+++ b/crates/rushwalk/src/observability.rs
@@ -1,5 +1,5 @@
-//! What a controller reports about itself: where its time goes, whether its event loop
-//! keeps up, and for how long it did not serve as usual.
+//! What a controller measures about itself: the time spent on each kind of work, the lag of the
+//! event loop, rejected requests, and the incidents during which it did not serve normally.
 
 pub(crate) mod incidents;
 pub(crate) mod rejections;
--- a/crates/rushwalk/src/observability/incidents.rs
+++ b/crates/rushwalk/src/observability/incidents.rs
@@ -1,5 +1,5 @@
-//! How long incidents last: since when this controller has not served as usual, for which
-//! causes, and how long the last incident took.
+//! Incidents: periods in which this controller does not serve normally, their causes and their
+//! durations. The current incident and the last resolved one are kept.
 
 #[cfg(test)]
 mod tests;
@@ -11,56 +11,57 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum IncidentCause {
-    /// The key-value store has answered no read for some rounds.
+    /// The key-value store has answered no read for several scheduling rounds.
     #[serde(rename = "state_out_of_reach")]
     StoreUnreachable,
     /// No controller leads.
     NoLeader,
-    /// Some machines' shard has no owner: nothing is placed on them.
+    /// A shard with machines has no owner, so that no tasks are placed on these machines.
     #[serde(rename = "blocks_without_holder")]
     UnownedShards,
-    /// More than one in twenty of the workers of this controller's shards have sent no
-    /// heartbeat lately.
+    /// More than one in twenty of the workers in this controller's shards have sent no heartbeat
+    /// recently.
     #[serde(rename = "workers_not_heard")]
     WorkersUnreachable,
-    /// Timers fire late: there is more work than this thread can do.
+    /// Timers fire late because this thread has more work than it can do.
     #[serde(rename = "thread_behind")]
     RuntimeLagging,
-    /// Users' requests were answered with status 429 or 503.
+    /// Requests of users were answered with status 429 or 503.
     #[serde(rename = "users_refused")]
     RequestsRejected,
 }
 
-/// One incident.
+/// A period in which at least one cause was present, apart from short pauses.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Incident {
-    /// How long it lasted, or has lasted so far, in seconds.
+    /// The duration in seconds; for an ongoing incident, the duration so far.
     #[serde(rename = "took_s")]
     pub duration_s: f64,
-    /// For how many seconds of these each cause was present.
+    /// For how many seconds each cause was present; several can be present at the same time.
     pub causes: BTreeMap<IncidentCause, f64>,
 }
 
-/// The incident that is going on, and the last one that is over.
+/// The current incident and the last resolved one.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct IncidentSummary {
-    /// The incident that is going on.
+    /// The current incident; `None` if there is none.
     pub current: Option<Incident>,
-    /// The last incident that is over.
+    /// The last incident that was resolved; `None` if none was.
     pub last: Option<Incident>,
 }
 
-/// Derives incidents with a beginning and an end from the causes present at each check.
+/// Derives incidents from the causes present at each check.
 #[derive(Debug, Default)]
 pub struct IncidentRecorder {
     current: Option<Incident>,
     last: Option<Incident>,
-    /// For how many seconds there has been no cause.
+    /// For how many seconds no cause has been present.
     healthy_s: f64,
 }
 
 impl Incident {
-    /// With times in tenths of seconds: the checks are no closer than that.
+    /// The incident with its times rounded to tenths of a second, since checks are no more
+    /// frequent than that.
     fn rounded(&self) -> Incident {
         let causes = self.causes.iter();
         Incident {
@@ -75,10 +76,10 @@
 }
 
 impl IncidentRecorder {
-    /// Records a check, `elapsed_s` after the one before, with the causes present at it.
+    /// Records a check, `elapsed_s` after the previous one, with the causes present at it.
     ///
-    /// An incident is over when there has been no cause for `resolve_after_s`, which doesn't
-    /// count as part of it; then it is returned.
+    /// An incident is resolved, and returned, once no cause has been present for
+    /// `resolve_after_s`. That time is not part of the incident.
     pub fn observe(
         &mut self,
         elapsed_s: f64,
@@ -97,7 +98,7 @@
             self.healthy_s = 0.0;
         }
         let incident = self.current.get_or_insert_default();
-        // A pause shorter than `resolve_after_s` belongs to the incident.
+        // A pause shorter than `resolve_after_s` is part of the incident.
         incident.duration_s += elapsed_s + self.healthy_s;
         self.healthy_s = 0.0;
         for cause in causes {
--- a/crates/rushwalk/src/observability/incidents/tests.rs
+++ b/crates/rushwalk/src/observability/incidents/tests.rs
@@ -25,7 +25,11 @@
         last: Some(resolved),
     };
     assert_eq!(recorder.summary(), summary);
-    assert_eq!(recorder.observe(9.0, &[], 3.0), None, "returned once");
+    assert_eq!(
+        recorder.observe(9.0, &[], 3.0),
+        None,
+        "an incident is returned only once"
+    );
     recorder.observe(1.0, &[NoLeader], 3.0);
     assert_eq!(recorder.summary().current.unwrap().duration_s, 1.0);
 }
--- a/crates/rushwalk/src/observability/rejections.rs
+++ b/crates/rushwalk/src/observability/rejections.rs
@@ -1,20 +1,20 @@
-//! Counts the requests of users that were rejected for the moment.
+//! Counts the requests of users that were temporarily rejected.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Responses with status 429 or 503 to users.
+/// The number of responses to users with status 429 or 503 since it was last taken.
 #[derive(Debug, Default)]
 pub struct RejectionCounter {
     rejected: AtomicU64,
 }
 
 impl RejectionCounter {
-    /// Counts one.
+    /// Counts one such response.
     pub fn record(&self) {
         self.rejected.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// How many there were since this was last called.
+    /// Returns the number of responses since the previous call.
     pub fn take(&self) -> u64 {
         self.rejected.swap(0, Ordering::Relaxed)
     }
--- a/crates/rushwalk/src/observability/runtime_lag.rs
+++ b/crates/rushwalk/src/observability/runtime_lag.rs
@@ -1,10 +1,11 @@
-//! Whether the event loop, which is this controller's only thread, keeps up.
+//! Whether the event loop, which is this controller's only thread, keeps up with its work.
 //!
-//! It is measured by how late timers fire, which shows overload from any cause: too many
-//! clients, an exhausted share of a processor, a long time slice. While the loop lags, work that
-//! can be omitted is: after a restart of all controllers each used to ask thousands of
-//! workers for heartbeats that were coming by themselves, and answered those so late that
-//! the workers went to the next controller, and so on.
+//! The lag is measured by how late timers fire, which shows overload from any cause: too many
+//! clients, an exhausted CPU quota, or a task that runs for long without yielding. While the loop
+//! lags, optional work is left out. Without this, after a restart of all controllers, each of
+//! them asked thousands of workers for heartbeats that the workers would have sent anyway. The
+//! responses to the heartbeats came so late that the workers went to the next controller, where
+//! the same happened.
 
 #[cfg(test)]
 mod tests;
@@ -14,32 +15,34 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Samples over which the lag is averaged: about one scheduling round.
+/// Number of samples over which the mean lag is averaged: about one scheduling round.
 const MEAN_SAMPLES: u32 = 8;
 
-/// One sample counts in the mean for at most this many intervals.
+/// A sample counts in the mean lag as at most this many sampling intervals.
 const MAX_SAMPLE_INTERVALS: u32 = 4;
 
-/// While the event loop lags, a task sleeps this many times as long as its slice took.
+/// While the event loop lags, a task sleeps for this many times the duration of its time slice.
 const YIELD_FACTOR: u32 = 3;
 
-/// The lag of the event loop, by how late its timers fire.
+/// The lag of the event loop, measured by how late its timers fire.
 pub struct RuntimeLag {
     /// The time between two samples.
     interval: Duration,
     lag: Mutex<Lag>,
-    /// Added to each sample in simulations.
+    /// Added to each sample; zero except in simulations.
     simulated: Mutex<Duration>,
 }
 
 #[derive(Default)]
 struct Lag {
+    /// See [`RuntimeLag::recent_lag`].
     recent: Duration,
+    /// See [`RuntimeLag::mean_lag`].
     mean: Duration,
 }
 
 impl RuntimeLag {
-    /// Measures with one sample in each `interval`.
+    /// A measurement with one sample in each `interval`, taken by [`RuntimeLag::sampling_loop`].
     pub fn new(interval: Duration) -> RuntimeLag {
         RuntimeLag {
             interval,
@@ -48,25 +51,25 @@
         }
     }
 
-    /// The mean lag of about the last scheduling round. A thread with less processor than
-    /// work lags again and again with good samples in between: the mean shows that where
+    /// The mean lag over about the last scheduling round. A thread that needs more CPU time than
+    /// it gets lags intermittently, with low samples in between: the mean shows that, whereas
     /// [`RuntimeLag::recent_lag`] does not.
     pub fn mean_lag(&self) -> Duration {
         self.lag.lock().mean
     }
 
-    /// The lag of the latest samples: it rises with one sample and decays over several.
+    /// The lag by the latest samples: it rises with one sample and decays over several.
     pub fn recent_lag(&self) -> Duration {
         self.lag.lock().recent
     }
 
-    /// Whether the recent lag exceeds the time between two samples.
+    /// Whether the recent lag exceeds the sampling interval.
     pub fn is_lagging(&self) -> bool {
         self.recent_lag() > self.interval
     }
 
-    /// Lets other tasks run after a time slice of length `slice`; while the event loop lags,
-    /// for three times as long as that.
+    /// Lets other tasks run after a time slice of length `slice`: once, or, while the event loop
+    /// lags, for three times that length.
     pub async fn yield_after(&self, slice: Duration) {
         if self.is_lagging() {
             sleep(YIELD_FACTOR * slice).await;
@@ -75,13 +78,13 @@
         }
     }
 
-    /// Adds a lag to all samples from now on: with virtual time no timer is ever late, so
-    /// simulations must set it.
+    /// Adds `lag` to all further samples. With virtual time no timer fires late, so simulations
+    /// have to set the lag.
     pub fn set_simulated_lag(&self, lag: Duration) {
         *self.simulated.lock() = lag;
     }
 
-    /// Takes samples, for ever.
+    /// Takes one sample per interval; never returns.
     pub async fn sampling_loop(self: Arc<RuntimeLag>) {
         loop {
             let due = Instant::now() + self.interval;
@@ -91,12 +94,14 @@
         }
     }
 
-    /// Records that a timer was `sample` late. The recent lag rises at once and decays by a
-    /// quarter with each sample below it: one good sample does not end an overload.
+    /// Records that a timer fired late by `sample`. The recent lag rises to a higher sample
+    /// directly, and decays by a quarter with each lower one, so that one low sample does not end
+    /// an overload.
     fn record(&self, sample: Duration) {
         let mut lag = self.lag.lock();
         lag.recent = sample.max(lag.recent * 3 / 4);
-        // However long it was, it is one sample: a pause of seconds is no slowness.
+        // A single long sample, such as a pause of seconds, does not show that the thread is
+        // slow, so its weight in the mean is limited.
         let limited = sample.min(self.interval * MAX_SAMPLE_INTERVALS);
         lag.mean = (lag.mean * (MEAN_SAMPLES - 1) + limited) / MEAN_SAMPLES;
     }
--- a/crates/rushwalk/src/observability/runtime_lag/tests.rs
+++ b/crates/rushwalk/src/observability/runtime_lag/tests.rs
@@ -7,20 +7,23 @@
     lag.record(Duration::from_millis(300));
     assert!(lag.is_lagging());
     lag.record(Duration::from_millis(2));
-    assert!(lag.is_lagging(), "one good turn");
+    assert!(lag.is_lagging(), "one low sample does not end an overload");
     for _ in 0..4 {
         lag.record(Duration::from_millis(2));
     }
     assert!(!lag.is_lagging());
 }
 
-/// A controller that was eight times slower was late in two samples of three, and by the
-/// latest ones in time again and again.
+/// A controller slowed down to an eighth of its speed was late in two samples of three, so that
+/// it often seemed to be on time by the latest ones.
 #[test]
 fn intermittent_lag_shows_in_the_mean() {
     let lag = RuntimeLag::new(Duration::from_millis(100));
     lag.record(Duration::from_millis(30_000));
-    assert!(lag.mean_lag() <= Duration::from_millis(50), "one pause");
+    assert!(
+        lag.mean_lag() <= Duration::from_millis(50),
+        "a single pause has limited weight"
+    );
     (0..20).for_each(|i| lag.record(Duration::from_millis([2, 300, 500][i % 3])));
     assert!(lag.mean_lag() > Duration::from_millis(200));
     (0..40).for_each(|_| lag.record(Duration::from_millis(2)));
--- a/crates/rushwalk/src/observability/work_profile.rs
+++ b/crates/rushwalk/src/observability/work_profile.rs
@@ -1,5 +1,5 @@
-//! Where a controller's time goes: how often each kind of work is done, how long it takes,
-//! and the longest that it ever kept the other tasks of the thread waiting.
+//! How a controller's thread spends its time: how often each kind of work is done, how long it
+//! takes, and its longest time slice, during which all other tasks of the thread wait.
 
 #[cfg(test)]
 mod tests;
@@ -15,19 +15,19 @@
 pub enum WorkKind {
     /// Workers' heartbeats: parsing and responding.
     Heartbeat,
-    /// Users' submissions, parsed and validated, and responses to their queries.
+    /// Users' requests: parsing and validation of submissions, and responses to status queries.
     UserRequest,
     /// Parsing and applying the store's watch events.
     Watch,
-    /// Listing the whole store: at a start, or after a watch gap.
+    /// Listing the whole store, at the start of the process or after a gap in the watch events.
     List,
     /// A shard owner's reconciliation: outcomes, placements, and commands to workers.
     Reconcile,
-    /// The leader's assignment of shards.
+    /// The leader's assignment of shards to controllers.
     AssignShards,
     /// The leader's scheduling round: maintenance, and placement of pending tasks.
     Schedule,
-    /// Sizing the fleet by the expected demand.
+    /// Scale out and scale in of the fleet for the expected demand.
     ScaleOut,
     /// Encoding and writing a snapshot.
     Snapshot,
@@ -61,8 +61,8 @@
     totals: Mutex<[WorkTotals; KINDS.len()]>,
 }
 
-/// Measures one slice of work, from its creation to its drop. It must not be held over an
-/// await: the slices of other tasks would count, too.
+/// Measures one time slice of work, from its creation to its drop. It must not be held across an
+/// `await`, or the time slices of other tasks would be included.
 pub struct WorkTimer<'a> {
     profile: &'a WorkProfile,
     kind: WorkKind,
@@ -73,13 +73,14 @@
 /// The totals of one kind of work, as shown by the administration API.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct WorkKindSummary {
-    /// What was processed: machines by a shard owner, tasks by the leader, log entries.
+    /// Number of items processed: requests of workers or users, watch events, machines that a
+    /// shard owner reconciled, machines that the scheduler evaluated, or mutations in snapshots.
     pub items: u64,
-    /// The longest slice, in milliseconds.
+    /// The longest time slice, in milliseconds.
     pub longest_ms: f64,
-    /// All slices together, in milliseconds.
+    /// The total duration of all time slices, in milliseconds.
     pub ms: f64,
-    /// How often the work was done.
+    /// Number of time slices.
     #[serde(rename = "turns")]
     pub slices: u64,
 }
@@ -92,7 +93,7 @@
 }
 
 impl WorkTimer<'_> {
-    /// Counts processed items.
+    /// Adds to the number of items processed in this time slice.
     pub fn add_items(&mut self, items: usize) {
         self.items += items as u64;
     }
@@ -111,7 +112,7 @@
 }
 
 impl WorkProfile {
-    /// Begins a slice of work.
+    /// Begins a time slice of work, which ends when the timer is dropped.
     pub fn start(&self, kind: WorkKind) -> WorkTimer<'_> {
         WorkTimer {
             profile: self,
@@ -121,12 +122,12 @@
         }
     }
 
-    /// How many items one kind of work has processed so far.
+    /// How many items of one kind of work were processed since the start of the process.
     pub fn items(&self, kind: WorkKind) -> u64 {
         self.totals.lock()[kind as usize].items
     }
 
-    /// The totals of each kind of work so far.
+    /// The totals of each kind of work since the start of the process.
     pub fn summary(&self) -> WorkSummary {
         let totals = self.totals.lock();
         let kinds = KINDS.iter().zip(totals.iter());
--- a/crates/rushwalk/src/observability/work_profile/tests.rs
+++ b/crates/rushwalk/src/observability/work_profile/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn the_summary_keeps_its_bytes() {
+fn summary_json_is_unchanged() {
     let mut totals = [WorkTotals::default(); KINDS.len()];
     totals[WorkKind::Heartbeat as usize] = WorkTotals {
         slices: 3,
