--- a/crates/testkit/src/fault.rs
+++ b/crates/testkit/src/fault.rs
@@ -1,50 +1,54 @@
 //! Faults that a test injects into the simulated platform.
 
-/// A fault that stays active until it is cleared. Controllers and machines are named by
-/// their index.
+/// A fault that stays active until it is cleared. A `usize` is the index of a controller or
+/// of a machine, unless the variant says otherwise.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Fault {
-    /// The controller's process has ended: it reaches nothing and nobody reaches it.
+    /// The controller's process has ended: users and workers get no response from it, and it
+    /// refuses connections of other controllers.
     ControllerStopped(usize),
-    /// The controller's process is suspended: nothing it sends or is sent gets through.
+    /// The controller's process is suspended: all messages to and from it are lost.
     ControllerFrozen(usize),
-    /// The store refuses this controller's requests.
+    /// The store refuses this controller's requests with status 503. Open watches stay open.
     StoreUnreachable(usize),
-    /// The store refuses all requests.
+    /// The store refuses all requests with status 503. Open watches stay open.
     StoreOutage,
-    /// The store takes 0.4 to 0.9 s for each response.
+    /// The store delays each request by 0.4 to 0.9 s.
     StoreSlow,
-    /// One commit in eight is applied but its response is lost.
+    /// Each commit's response is lost with probability 1/8; the commit itself is processed.
     CommitResponsesLost,
-    /// One commit in twelve gets no response and is applied 2 to 12 s later.
+    /// With probability 1/12 a commit is processed 2 to 12 s late and its response is lost.
     FewCommitsDelayed,
-    /// One commit in four gets no response and is applied 2 to 12 s later.
+    /// With probability 1/4 a commit is processed 2 to 12 s late and its response is lost.
     ManyCommitsDelayed,
     /// Messages between this controller and workers are queued until the fault clears.
     WorkerMessagesDelayed(usize),
     /// No message passes between this controller and workers.
     WorkersUnreachable(usize),
-    /// Heartbeats from the first controller to the second are lost; the other direction works.
+    /// Requests and responses from the first controller to the second are lost; those in the
+    /// other direction arrive.
     PeerMessagesLost(usize, usize),
-    /// Connections between controllers are refused.
+    /// Every controller refuses connections of other controllers.
     PeersRefuseConnections,
     /// No message passes between this controller and the other controllers.
     PeersUnreachable(usize),
-    /// Half of the workers' heartbeats arrive a second time, 2 to 60 s later.
+    /// Each heartbeat of a worker arrives a second time with probability 1/2, 2 to 60 s later.
     HeartbeatsDuplicated,
-    /// Copies of all heartbeats are kept for `SimulatedPlatform::replay_heartbeats`.
+    /// Copies of all workers' heartbeats are kept for `SimulatedPlatform::replay_heartbeats`.
     HeartbeatsRecorded,
-    /// Heartbeats of this machine arrive; responses and direct commands to it are lost.
+    /// Heartbeats of this machine arrive; responses to them and controllers' direct requests
+    /// to the machine are lost.
     MachineInboundLoss(usize),
-    /// This machine's heartbeats are lost; direct commands reach it.
+    /// This machine's heartbeats are lost; controllers' direct requests reach it.
     MachineOutboundLoss(usize),
     /// No message passes to or from this machine.
     MachinePartitioned(usize),
-    /// This machine is suspended; commands sent to it run when it resumes.
+    /// This machine is suspended: it sends no heartbeats, and processes direct requests once
+    /// it resumes.
     MachineFrozen(usize),
-    /// Rented machines never become ready.
+    /// Workers of machines that are rented while the fault is active never start.
     BootsFail,
-    /// No message passes between this zone, an index into `ZONES`, and the others: its
-    /// controllers reach its workers only.
+    /// No message passes between this zone, an index into `ZONES`, and everything else (other
+    /// zones, users, store and cloud): its controllers reach the workers of the zone only.
     ZonePartitioned(usize),
 }
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,6 +1,6 @@
-//! Simulated platform for tests on virtual time: a consensus-backed key-value store, a
-//! cloud, workers and the network between them, written from the platform's protocol; and
-//! a checker of the protocol's invariants.
+//! Simulated platform for tests that run on virtual time: a consensus-backed key-value
+//! store, a cloud, workers and the network between them, all of which follow the platform's
+//! protocol. A checker reports violations of the protocol's invariants.
 #![deny(missing_docs)]
 
 pub mod fault;
@@ -17,7 +17,7 @@
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Locks a mutex, also after another test thread panicked while holding it.
+/// Locks a mutex, even if another test thread panicked while it held the lock.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/testkit/src/machine_type.rs
+++ b/crates/testkit/src/machine_type.rs
@@ -3,7 +3,7 @@
 /// A machine type and its price.
 #[derive(Debug, Clone, Copy)]
 pub struct MachineType {
-    /// Name by which it is rented.
+    /// The name that rental requests give.
     pub label: &'static str,
     /// CPUs of a machine.
     pub cpus: f64,
@@ -11,13 +11,14 @@
     pub gpus: f64,
     /// Memory of a machine in GB.
     pub memory_gb: f64,
-    /// Price of an hour on demand.
+    /// On-demand price per hour.
     pub hourly: f64,
-    /// Price of an hour as a spot instance; `None` if not offered as one.
+    /// Spot price per hour; `None` if the type is not offered as a spot instance.
     pub spot_hourly: Option<f64>,
 }
 
-/// The type that every simulated cloud offers.
+/// The type that every simulated cloud offers. Also stands in for a rented type that the
+/// cloud doesn't offer.
 pub(crate) const DEFAULT_MACHINE_TYPE: MachineType = MachineType {
     label: "box",
     cpus: 16.0,
--- a/crates/testkit/src/store.rs
+++ b/crates/testkit/src/store.rs
@@ -1,5 +1,5 @@
-//! The consensus-backed key-value store: versioned keys, transactions, leases and a
-//! history of changes.
+//! In-memory model of the consensus-backed key-value store: versioned keys, transactions,
+//! leases and a history of changes for watches.
 
 use rushwalk_protocol::store::{
     KeyValue, KeyValuePage, Transaction, Value, WatchEvent, WatchResponse,
@@ -11,14 +11,14 @@
 /// Why a transaction was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CommitError {
-    /// A write names a lease that does not exist.
+    /// A write refers to a lease that does not exist, or no longer does.
     UnknownLease,
-    /// A key's version is not the one the transaction expects.
+    /// A key's version differs from the one that the transaction expects.
     ConditionFailed,
 }
 
 impl CommitError {
-    /// The HTTP status of the refusal.
+    /// The HTTP status with which the store responds.
     pub fn status(self) -> u16 {
         match self {
             CommitError::UnknownLease => 400,
@@ -29,7 +29,9 @@
 
 struct StoredValue {
     value: Value,
+    /// The store's revision at the last put.
     version: u64,
+    /// Id of the lease whose expiry deletes the key.
     lease: Option<u64>,
 }
 
@@ -52,11 +54,13 @@
 /// The store's state.
 #[derive(Default)]
 pub struct Store {
-    /// Version of the latest change.
+    /// Number of the latest change; 0 before the first. Incremented by each committed
+    /// transaction and by each key that an expired lease deletes.
     pub revision: u64,
-    /// Puts and deletions so far: what the platform limits per second.
+    /// Puts and deletions received so far, also of transactions whose conditions failed. The
+    /// platform limits their number per second.
     pub write_count: usize,
-    /// Latest changes from which a watch can start; all if 0.
+    /// Number of latest changes that a new watch can still get; 0 means all.
     pub retained_changes: usize,
     entries: BTreeMap<String, StoredValue>,
     events: Vec<WatchEvent>,
@@ -65,7 +69,7 @@
 }
 
 impl Store {
-    /// Ends leases that have expired, and deletes their keys.
+    /// Removes expired leases, and deletes the keys attached to them.
     pub fn expire_leases(&mut self) {
         let now = Instant::now();
         let expired = self.leases.iter().filter(|(_, l)| l.expires_at < now);
@@ -81,7 +85,7 @@
         }
     }
 
-    /// Renews all leases, as the store does after an outage.
+    /// Renews all leases for their full TTL, as the store does after an outage.
     pub fn extend_all_leases(&mut self) {
         self.leases.values_mut().for_each(Lease::renew);
     }
@@ -93,7 +97,7 @@
         self.last_lease_id
     }
 
-    /// Renews a lease; false if it has ended.
+    /// Renews a lease; returns false if it does not exist, or no longer does.
     pub fn renew_lease(&mut self, id: u64) -> bool {
         let lease = self.leases.get_mut(&id);
         lease.map(Lease::renew).is_some()
@@ -102,7 +106,7 @@
     /// Applies a transaction, and returns the new revision.
     ///
     /// # Errors
-    /// If a lease of its writes does not exist, or a key's version is not as expected.
+    /// If a write refers to a lease that does not exist, or if a condition fails.
     pub fn commit(&mut self, transaction: &Transaction) -> Result<u64, CommitError> {
         let mut leases = transaction.writes.iter().filter_map(|write| write.lease);
         if leases.any(|id| !self.leases.contains_key(&id)) {
@@ -110,7 +114,7 @@
         }
         self.write_count += transaction.writes.len();
         let mut conditions = transaction.conditions.iter();
-        if !conditions.all(|c| self.version(&c.key) == c.version) {
+        if !conditions.all(|condition| self.version(&condition.key) == condition.version) {
             return Err(CommitError::ConditionFailed);
         }
         self.revision += 1;
@@ -155,7 +159,7 @@
         });
     }
 
-    /// The keys that start with `prefix` and sort behind `after`.
+    /// All keys that start with `prefix` and sort after `after`, in one page.
     pub fn list(&self, prefix: &str, after: &str) -> KeyValuePage {
         let entries = self
             .entries
@@ -174,14 +178,14 @@
         }
     }
 
-    /// The changes of keys that start with `prefix` since a revision; `None` if they are no
-    /// longer retained.
+    /// The changes of keys that start with `prefix` after revision `since`; `None` if some
+    /// changes after it are no longer retained.
     pub fn changes(&self, prefix: &str, since: u64) -> Option<WatchResponse> {
         if self.compacted_revision() > Some(since) {
             return None;
         }
-        let first = self.events.partition_point(|event| event.version <= since);
-        let events = self.events[first..].iter();
+        let first_index = self.events.partition_point(|event| event.version <= since);
+        let events = self.events[first_index..].iter();
         let events = events.filter(|event| event.key().starts_with(prefix));
         Some(WatchResponse {
             revision: self.revision,
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -1,5 +1,5 @@
-//! A worker: runs tasks, follows the commands with the highest fencing token, and drops
-//! its tasks when its lease expires.
+//! A worker: runs tasks, rejects commands whose fencing token is lower than one it has seen,
+//! and drops its tasks when its lease expires.
 
 mod heartbeat_loop;
 
@@ -27,25 +27,28 @@
     pub machine_type: MachineType,
     /// Whether it is a spot instance.
     pub spot: bool,
-    /// When the cloud reclaims it, if it has sent a notice.
+    /// When the cloud reclaims it; `None` if the cloud has given no notice.
     pub reclaim_at: Option<Instant>,
-    /// Where the worker takes direct requests.
+    /// Address (host:port) at which the worker serves controllers' direct requests.
     pub address: String,
-    /// The worker session (epoch), counted from 1.
+    /// The worker session (epoch): 1 at first, incremented by each restart.
     pub session: u64,
-    /// Sequence number of the last heartbeat.
+    /// Sequence number of the last heartbeat or direct response; 0 before the first.
+    /// Continues across restarts.
     pub sequence: u64,
-    /// The highest fencing token seen.
+    /// The highest fencing token that a controller has sent; 0 before the first.
     pub token: u64,
-    /// Tasks that run or whose exit is not yet acknowledged.
+    /// Tasks that run, and exited ones until a controller acknowledges their exit with a
+    /// `Forget` command.
     pub tasks: Vec<WorkerTask>,
-    /// When the last heartbeat that got a response was sent; the start of the lease.
+    /// Start of the lease: when the last heartbeat that got a current response was sent.
+    /// Before that the end of the boot, or the time of the last restart.
     pub lease_renewed_at: Instant,
     /// Whether the machine was deleted or reclaimed.
     pub deleted: bool,
-    /// When it was rented.
+    /// When the machine was rented.
     pub rented_at: Instant,
-    /// When it was deleted or reclaimed.
+    /// When the machine was deleted or reclaimed; `None` while it exists.
     pub deleted_at: Option<Instant>,
 }
 
@@ -53,6 +56,7 @@
 pub struct WorkerTask {
     status: TaskStatus,
     started_at: Instant,
+    /// Time from its start until the task completes.
     run_time: Duration,
 }
 
@@ -60,11 +64,12 @@
 pub(crate) struct DirectResponse {
     /// The HTTP status.
     pub(crate) status: u16,
-    /// The worker's state after the request.
+    /// The worker's state after the request, in the form of a heartbeat.
     pub(crate) heartbeat: Heartbeat,
 }
 
 impl WorkerTask {
+    /// Whether the task has not exited.
     fn is_active(&self) -> bool {
         self.status.phase != TaskPhase::Exited
     }
@@ -73,13 +78,14 @@
         self.status.task == task && self.status.attempt == attempt
     }
 
+    /// Whether the task has reached its run time but is not yet marked as exited.
     fn is_finished(&self) -> bool {
         self.status.phase == TaskPhase::Running && self.started_at.elapsed() >= self.run_time
     }
 }
 
 impl Worker {
-    /// The next heartbeat.
+    /// Builds the next heartbeat, and increments the sequence number.
     pub(crate) fn next_heartbeat(&mut self) -> Heartbeat {
         self.sequence += 1;
         let notice = self
@@ -99,7 +105,7 @@
         }
     }
 
-    /// The capacity that no task uses.
+    /// The machine's capacity less what its active tasks use.
     pub(crate) fn free_capacity(&self, jobs: &HashMap<String, JobSpec>) -> FreeCapacity {
         let mut free = FreeCapacity {
             machine: self.name.clone(),
@@ -127,8 +133,8 @@
         }
     }
 
-    /// Executes direct commands, unless they are for another session or have a lower
-    /// fencing token than the worker has seen.
+    /// Executes direct commands. Rejects them with status 409 if they are for another session
+    /// or if their fencing token is lower than the highest one seen.
     pub(crate) fn handle_commands(
         &mut self,
         platform: &SimulatedPlatform,
@@ -162,6 +168,8 @@
         }
     }
 
+    /// Starts an attempt of a task, unless the worker already knows it. A refused attempt is
+    /// kept as an exited one, with the cause of the refusal.
     fn start(&mut self, platform: &SimulatedPlatform, task: &str, attempt: u64) {
         let known = self.tasks.iter().find(|known| known.status.task == task);
         if known.is_some_and(|known| known.status.attempt == attempt) {
@@ -200,7 +208,8 @@
         });
     }
 
-    /// Why a task can't start, if it can't.
+    /// The reason for which a task can't start; `None` if it can. `busy` tells whether another
+    /// attempt of the task is active on this worker.
     fn start_refusal(
         &self,
         checker: &mut InvariantChecker,
@@ -219,9 +228,11 @@
             .then_some(ExitCause::Error)
     }
 
+    /// Ends an active attempt of a task; does nothing if the worker has no such attempt.
     fn exit(&mut self, platform: &SimulatedPlatform, task: &str, attempt: u64, cause: ExitCause) {
-        let same = |known: &&mut WorkerTask| known.is_attempt(task, attempt) && known.is_active();
-        for known in self.tasks.iter_mut().filter(same) {
+        let is_target =
+            |known: &&mut WorkerTask| known.is_attempt(task, attempt) && known.is_active();
+        for known in self.tasks.iter_mut().filter(is_target) {
             platform.record_event(|| format!("{} {task} {attempt} ends {cause:?}", self.name));
             known.status.phase = TaskPhase::Exited;
             known.status.exit_cause = Some(cause);
@@ -232,7 +243,8 @@
         }
     }
 
-    /// Brings the worker up to the present: its lease may expire, and tasks finish.
+    /// Applies what has become due by now: restarts the worker if its lease has expired, and
+    /// completes tasks that have reached their run time.
     pub(crate) fn advance(&mut self, platform: &SimulatedPlatform, lease: Duration) {
         self.check_lease(platform, lease);
         let finished = self.tasks.iter().filter(|task| task.is_finished());
@@ -251,14 +263,15 @@
         }
     }
 
-    /// Restarts the worker at once: its tasks are gone and its next session begins.
+    /// Restarts the worker without delay: drops its tasks, and begins the next session with a
+    /// new lease.
     pub fn restart(&mut self, platform: &SimulatedPlatform) {
         self.drop_tasks(platform);
         self.session += 1;
         self.lease_renewed_at = Instant::now();
     }
 
-    /// Ends all tasks without an exit status.
+    /// Drops all tasks, so that no heartbeat reports their exit.
     pub(crate) fn drop_tasks(&mut self, platform: &SimulatedPlatform) {
         for task in std::mem::take(&mut self.tasks) {
             if let Some(TaskId { job, index }) = TaskId::parse(&task.status.task) {
--- a/crates/testkit/src/worker/heartbeat_loop.rs
+++ b/crates/testkit/src/worker/heartbeat_loop.rs
@@ -1,4 +1,4 @@
-//! A worker's heartbeats from its start until its machine is deleted.
+//! The loop in which a worker sends heartbeats, from its start until its machine is deleted.
 
 use super::Worker;
 use crate::fault::Fault;
@@ -8,21 +8,23 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// How long a worker waits for a response.
+/// How long a worker waits for the response to a heartbeat.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Pause before the heartbeat to the controller that it was redirected to.
+/// Delay before a worker sends its heartbeat to the controller that it was redirected to.
 const REDIRECT_DELAY: Duration = Duration::from_millis(250);
-/// Pause before it tries the next controller.
+/// Delay after a failure, before a worker sends its heartbeat to the next controller.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Where and when a worker sends its next heartbeat.
+/// Receiver and delay of a worker's next heartbeat.
 struct NextHeartbeat {
+    /// Index of the controller that receives it.
     controller: usize,
+    /// Time from now until it is sent.
     delay: Duration,
 }
 
 impl NextHeartbeat {
-    /// After a failure: the next controller.
+    /// The heartbeat after a failure: goes to the controller with the next index.
     fn retry(platform: &SimulatedPlatform, controller: usize) -> NextHeartbeat {
         NextHeartbeat {
             controller: (controller + 1) % platform.controller_count(),
@@ -30,7 +32,8 @@
         }
     }
 
-    /// After a redirect: the named controller, or the next one if that is the same or unknown.
+    /// The heartbeat after a redirect: goes to the controller that the redirect names. If that
+    /// controller is unknown or is the one that redirected, goes to the next one.
     fn redirected(platform: &SimulatedPlatform, controller: usize, body: &[u8]) -> NextHeartbeat {
         let redirect: Option<Redirect> = serde_json::from_slice(body).ok();
         let target = redirect
@@ -46,7 +49,8 @@
     }
 }
 
-/// Runs a worker until its machine is deleted.
+/// Runs a worker until its machine is deleted. `machine` is its index; the worker sends a
+/// heartbeat each `interval`, and restarts if none gets a response within `lease`.
 pub async fn run_worker(
     platform: Arc<SimulatedPlatform>,
     machine: usize,
@@ -66,12 +70,12 @@
         let Some(heartbeat) = prepare_heartbeat(&platform, machine, lease) else {
             return;
         };
-        let sent = Instant::now();
+        let sent_at = Instant::now();
         let response = exchange(&platform, machine, next.controller, &heartbeat).await;
         next = match response {
-            Some(HttpResponse { status: 200, body }) if sent.elapsed() < RESPONSE_TIMEOUT => {
+            Some(HttpResponse { status: 200, body }) if sent_at.elapsed() < RESPONSE_TIMEOUT => {
                 let worker = &mut platform.workers()[machine];
-                worker.accept_response(&platform, &heartbeat, &body, sent);
+                worker.accept_response(&platform, &heartbeat, &body, sent_at);
                 NextHeartbeat {
                     controller: next.controller,
                     delay: interval,
@@ -85,7 +89,8 @@
     }
 }
 
-/// Ends the worker's lease on time, whatever its heartbeat waits for.
+/// Restarts the worker as soon as its lease expires. A task of its own, because the
+/// heartbeat loop may wait for a response at that time.
 async fn watch_lease(platform: Arc<SimulatedPlatform>, machine: usize, lease: Duration) {
     loop {
         let expires_at = {
@@ -100,7 +105,8 @@
     }
 }
 
-/// The next heartbeat; `None` if the machine was deleted.
+/// Brings the worker up to date and builds its next heartbeat; `None` if the machine was
+/// deleted.
 fn prepare_heartbeat(
     platform: &SimulatedPlatform,
     machine: usize,
@@ -114,15 +120,17 @@
     Some(worker.next_heartbeat())
 }
 
-/// Sends a heartbeat; `None` if no response arrives in time.
+/// Sends a heartbeat and returns the response; `None` if none arrives within
+/// [`RESPONSE_TIMEOUT`].
 async fn exchange(
     platform: &Arc<SimulatedPlatform>,
     machine: usize,
     controller: usize,
     heartbeat: &Heartbeat,
 ) -> Option<HttpResponse> {
-    let sent = Instant::now();
-    // A task of its own: the heartbeat may still arrive after the worker gave up.
+    let sent_at = Instant::now();
+    // Runs in a task of its own, so that the controller may still receive the heartbeat after
+    // the worker has stopped waiting for the response.
     let request = {
         let (platform, heartbeat) = (platform.clone(), heartbeat.clone());
         tokio::spawn(async move {
@@ -133,21 +141,22 @@
     };
     let response = timeout(RESPONSE_TIMEOUT, request).await;
     if platform.is_active(Fault::MachineInboundLoss(machine)) {
-        sleep(RESPONSE_TIMEOUT.saturating_sub(sent.elapsed())).await;
+        sleep(RESPONSE_TIMEOUT.saturating_sub(sent_at.elapsed())).await;
         return None;
     }
     response.ok()?.ok()?
 }
 
 impl Worker {
-    /// Takes in the response to a heartbeat, unless it is outdated: renews the lease and
-    /// runs the commands.
+    /// Processes the response to a heartbeat: renews the lease from the time at which the
+    /// heartbeat was sent, and executes the commands. Ignores the response if its fencing
+    /// token is lower than the highest one seen, or if the worker has restarted since.
     fn accept_response(
         &mut self,
         platform: &SimulatedPlatform,
         heartbeat: &Heartbeat,
         body: &[u8],
-        sent: Instant,
+        sent_at: Instant,
     ) {
         let Ok(response) = serde_json::from_slice::<HeartbeatResponse>(body) else {
             return;
@@ -155,7 +164,7 @@
         let current = response.token >= self.token && heartbeat.session == self.session;
         if current && !self.deleted {
             self.token = response.token;
-            self.lease_renewed_at = sent;
+            self.lease_renewed_at = sent_at;
             self.execute(platform, &response.commands);
         }
     }
