--- a/crates/testkit/src/platform.rs
+++ b/crates/testkit/src/platform.rs
@@ -1,7 +1,8 @@
-//! The platform around the controllers, and the controls by which a test shapes it.
+//! The simulated platform that the controllers run on, and the methods by which a test
+//! injects faults into it, configures it and reads its state.
 //!
-//! The endpoints live in modules of their own: `network` (links between users, workers and
-//! controllers), `store_service` and `cloud_service`.
+//! Submodules implement what controllers, users and workers send requests to: `network`
+//! (messages between them), `store_service` and `cloud_service`.
 
 mod cloud_service;
 mod event_log;
@@ -30,41 +31,52 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep};
 
-/// The zones of the platform; controllers are spread over them round robin.
+/// The zones of the platform. Controller `i` runs in zone `ZONES[i % ZONES.len()]`.
 pub const ZONES: [&str; 3] = ["east", "west", "north"];
 
-/// Time from a machine's rental until its worker starts, unless a test sets another.
+/// Default of the time from a machine's rental until its worker starts.
 const DEFAULT_BOOT_TIME: Duration = Duration::from_secs(5);
 
-/// The simulated platform. Controllers and machines are named by their index.
+/// The simulated platform. Methods identify controllers and machines by their index; a
+/// machine's index is its position in the order of rentals.
 pub struct SimulatedPlatform {
     store: Mutex<Store>,
+    /// Wakes open watches after each commit.
     store_changed: Notify,
     workers: Mutex<Vec<Worker>>,
     checker: Mutex<InvariantChecker>,
+    /// Interface for users and workers, by controller; `None` until it is registered.
     user_endpoints: Mutex<Vec<Option<NamedEndpoint>>>,
+    /// Interface for other controllers, by controller; `None` until it is registered.
     peer_endpoints: Mutex<Vec<Option<Endpoint>>>,
+    /// Active faults.
     faults: Mutex<HashSet<Fault>>,
-    /// Machine names by the request that rented them: rentals are idempotent.
+    /// Names of the rented machines by request id: a repeated rental request gets the same
+    /// machines.
     machines_by_request: Mutex<HashMap<String, Vec<String>>>,
     random: Mutex<SmallRng>,
-    /// Most machines of a zone, where that is limited.
+    /// Maximum number of existing machines, by zone; zones without an entry have no limit.
     zone_limits: Mutex<HashMap<String, usize>>,
     rental_counts: Mutex<RentalCounts>,
-    /// When controllers queried the status of workers.
+    /// Times of the controllers' status requests to workers, in ascending order.
     status_requests: Mutex<Vec<Instant>>,
+    /// Delays that a test has requested and no commit has matched yet.
     commit_delays: Mutex<Vec<CommitDelay>>,
+    /// Bodies of the heartbeats sent while [`Fault::HeartbeatsRecorded`] was active.
     recorded_heartbeats: Mutex<Vec<Vec<u8>>>,
+    /// Machine types that can be rented.
     machine_types: Mutex<Vec<MachineType>>,
     event_log: EventLog,
     worker_lease: Duration,
     heartbeat_interval: Duration,
+    /// Boot time of machines that are rented from now on.
     boot_time: Mutex<Duration>,
 }
 
 impl SimulatedPlatform {
-    /// A platform for some controllers, with workers that send a heartbeat each
-    /// `heartbeat_interval` and drop their tasks without a response for `worker_lease`.
+    /// A platform for a number of controllers, without machines. Workers send a heartbeat each
+    /// `heartbeat_interval`, and drop their tasks after `worker_lease` without a response.
+    /// `seed` determines all random draws.
     pub fn new(
         controllers: usize,
         seed: u64,
@@ -94,12 +106,12 @@
         })
     }
 
-    /// Activates a fault.
+    /// Activates a fault; no effect if it is already active.
     pub fn inject(&self, fault: Fault) {
         lock(&self.faults).insert(fault);
     }
 
-    /// Clears a fault. After a store outage all leases have their full time again.
+    /// Clears a fault. The end of a store outage renews all leases for their full TTL.
     pub fn clear(&self, fault: Fault) {
         lock(&self.faults).remove(&fault);
         if fault == Fault::StoreOutage {
@@ -107,13 +119,13 @@
         }
     }
 
-    /// Activates a fault on each of some machines.
+    /// Activates a fault on each of the given machines.
     pub fn inject_each(&self, fault: fn(usize) -> Fault, machines: &[usize]) {
         let mut active = lock(&self.faults);
         active.extend(machines.iter().map(|machine| fault(*machine)));
     }
 
-    /// Clears a fault on each of some machines.
+    /// Clears a fault on each of the given machines.
     pub fn clear_each(&self, fault: fn(usize) -> Fault, machines: &[usize]) {
         let mut active = lock(&self.faults);
         for machine in machines {
@@ -126,12 +138,12 @@
         lock(&self.faults).contains(&fault)
     }
 
-    /// The invariant checker.
+    /// Locks the invariant checker.
     pub fn checker(&self) -> MutexGuard<'_, InvariantChecker> {
         lock(&self.checker)
     }
 
-    /// All machines that were ever rented, in the order of their rental.
+    /// Locks the list of all machines in the order of their rental, deleted ones included.
     pub fn workers(&self) -> MutexGuard<'_, Vec<Worker>> {
         lock(&self.workers)
     }
@@ -142,17 +154,19 @@
         workers.iter().filter(|worker| !worker.deleted).count()
     }
 
-    /// Number of controllers, running or not.
+    /// Number of controllers, stopped ones included.
     pub fn controller_count(&self) -> usize {
         lock(&self.user_endpoints).len()
     }
 
-    /// Limits the history of the store's changes from which a watch can start.
+    /// Limits the history of the store to the latest `changes` changes; 0 means no limit. A
+    /// watch from an earlier revision gets status 410.
     pub fn retain_changes(&self, changes: usize) {
         lock(&self.store).retained_changes = changes;
     }
 
-    /// Puts and deletions that were sent to the store so far.
+    /// Number of puts and deletions sent to the store so far, also by transactions whose
+    /// conditions failed.
     pub fn write_count(&self) -> usize {
         lock(&self.store).write_count
     }
@@ -163,8 +177,8 @@
         page.entries.iter().any(|entry| entry.key == key)
     }
 
-    /// The next commit whose body contains `text` gets no response and is applied after
-    /// `delay`, behind newer ones.
+    /// Delays the next commit whose body contains `text`: it is processed after `delay`, thus
+    /// after commits that were sent later, and its response is lost.
     pub fn delay_next_commit(&self, text: &str, delay: Duration) {
         lock(&self.commit_delays).push(CommitDelay {
             text: text.into(),
@@ -172,7 +186,8 @@
         });
     }
 
-    /// Whether every commit that was to be delayed has been seen.
+    /// Whether a commit has matched each delay requested with
+    /// [`SimulatedPlatform::delay_next_commit`].
     pub fn all_commit_delays_used(&self) -> bool {
         lock(&self.commit_delays).is_empty()
     }
@@ -187,17 +202,18 @@
         lock(&self.machine_types).push(machine_type);
     }
 
-    /// Limits the number of machines in a zone.
+    /// Limits the number of existing machines in a zone. Those above the limit stay.
     pub fn limit_zone(&self, zone: &str, machines: usize) {
         lock(&self.zone_limits).insert(zone.into(), machines);
     }
 
-    /// Rental requests so far, by their result.
+    /// Numbers of rental requests so far, by their result.
     pub fn rental_counts(&self) -> RentalCounts {
         *lock(&self.rental_counts)
     }
 
-    /// The cloud reclaims a spot instance: after `notice`, or at once.
+    /// Makes the cloud reclaim a spot instance after `notice`, which its worker reports in
+    /// heartbeats; `None` deletes the machine without notice.
     pub fn reclaim(self: &Arc<Self>, machine: usize, notice: Option<Duration>) {
         let name = {
             let mut workers = self.workers();
@@ -211,7 +227,7 @@
         });
     }
 
-    /// Deletes a machine with all its tasks.
+    /// Deletes a machine; its tasks end without an exit status.
     pub fn delete_machine(&self, name: &str) {
         let mut workers = self.workers();
         for worker in workers.iter_mut().filter(|worker| worker.name == name) {
@@ -221,7 +237,8 @@
         }
     }
 
-    /// Checks the invariants that time alone can break.
+    /// Checks the invariants that the mere passage of time can violate: the deadline of
+    /// cancellations and the limit of jobs' waiting time.
     pub fn check_invariants(&self) {
         let workers = self.workers();
         let mut checker = self.checker();
@@ -235,7 +252,8 @@
         checker.check_starvation(&usable);
     }
 
-    /// Whether a machine is ready, stays, and exchanges messages with controllers.
+    /// Whether a machine's worker has started, the machine is neither deleted nor about to be
+    /// reclaimed, and no fault of its own cuts it off from the controllers.
     fn is_usable(&self, index: usize, worker: &Worker) -> bool {
         let faults = [
             Fault::MachineFrozen(index),
@@ -247,38 +265,39 @@
         ready && !faults.into_iter().any(|fault| self.is_active(fault))
     }
 
-    /// The most status requests that workers received within a span of time.
+    /// The maximum number of status requests that controllers sent to workers within any
+    /// interval of length `span`.
     pub fn max_status_requests_within(&self, span: Duration) -> usize {
         let requests = lock(&self.status_requests);
-        let within = |first: usize| {
+        let count_from = |first: usize| {
             let end = requests[first] + span;
             requests.partition_point(|at| *at < end) - first
         };
-        (0..requests.len()).map(within).max().unwrap_or(0)
+        (0..requests.len()).map(count_from).max().unwrap_or(0)
     }
 
-    /// Starts to record events.
+    /// Starts the recording of events.
     pub fn record_events(&self) {
         self.event_log.start();
     }
 
-    /// Takes the events recorded so far, a line each.
+    /// Returns the events recorded so far, one per line, and stops the recording.
     pub fn take_events(&self) -> Vec<String> {
         self.event_log.take()
     }
 
-    /// Records an event if events are recorded.
+    /// Records an event; `event` is not called unless the recording is on.
     pub(crate) fn record_event(&self, event: impl FnOnce() -> String) {
         self.event_log.record(event);
     }
 
-    /// True once in `n` times.
+    /// Draws true with probability 1/n.
     fn one_in(&self, n: u32) -> bool {
         lock(&self.random).random_range(0..n) == 0
     }
 
-    /// A random duration, in milliseconds.
-    fn random_ms(&self, least: u64, most: u64) -> Duration {
-        Duration::from_millis(lock(&self.random).random_range(least..most))
+    /// Draws a duration of at least `min` and less than `max` milliseconds.
+    fn random_ms(&self, min: u64, max: u64) -> Duration {
+        Duration::from_millis(lock(&self.random).random_range(min..max))
     }
 }
--- a/crates/testkit/src/platform/cloud_service.rs
+++ b/crates/testkit/src/platform/cloud_service.rs
@@ -14,15 +14,15 @@
 /// Rental requests by their result.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct RentalCounts {
-    /// Requests that brought machines.
+    /// Requests that got machines, repetitions of fulfilled requests included.
     pub fulfilled: usize,
-    /// Requests refused for lack of capacity.
+    /// Requests refused because the zone was at its limit.
     pub refused: usize,
 }
 
-/// Latency of the cloud.
+/// Delay of each request to the cloud.
 const LATENCY: Duration = Duration::from_millis(100);
-/// By how much the machine list lags behind.
+/// Delay after which rentals and deletions of machines show in the machine list.
 const LIST_LAG: Duration = Duration::from_secs(5);
 
 impl SimulatedPlatform {
@@ -61,7 +61,8 @@
         HttpResponse::json(200, &json!({ "builds": types }))
     }
 
-    /// Serves a rental request; a repeated one gets the machines of the first.
+    /// Serves a rental request. Repeating a fulfilled request returns the same machines;
+    /// repeating a refused one tries again.
     fn rent(self: &Arc<Self>, body: &[u8]) -> HttpResponse {
         let Ok(request) = serde_json::from_slice::<RentRequest>(body) else {
             return HttpResponse::empty(400);
@@ -79,7 +80,8 @@
         HttpResponse::json(200, &json!({ "rigs": names }))
     }
 
-    /// Starts as many of the requested machines as the zone has capacity for.
+    /// Starts as many of the requested machines as the zone's limit allows, and returns their
+    /// names.
     fn start_machines(self: &Arc<Self>, request: &RentRequest) -> Vec<String> {
         let mut workers = self.workers();
         let boot_time = *lock(&self.boot_time);
@@ -97,12 +99,13 @@
         started.map(|worker| worker.name.clone()).collect()
     }
 
+    /// Number of machines that the zone's limit still allows.
     fn free_in_zone(&self, workers: &[Worker], zone: &str) -> usize {
         let existing = workers
             .iter()
             .filter(|worker| worker.zone == zone && !worker.deleted);
         let limit = lock(&self.zone_limits).get(zone).copied();
-        limit.map_or(usize::MAX, |most| most.saturating_sub(existing.count()))
+        limit.map_or(usize::MAX, |max| max.saturating_sub(existing.count()))
     }
 
     fn new_worker(&self, index: usize, request: &RentRequest, boot_time: Duration) -> Worker {
@@ -124,12 +127,14 @@
         }
     }
 
+    /// The machine type with a label; the default type if the cloud doesn't offer it.
     fn machine_type(&self, label: &str) -> MachineType {
         let types = lock(&self.machine_types);
         let known = types.iter().find(|known| known.label == label);
         known.copied().unwrap_or(DEFAULT_MACHINE_TYPE)
     }
 
+    /// Starts the worker of a machine after its boot time.
     fn spawn_worker(self: &Arc<Self>, index: usize, boot_time: Duration) {
         let platform = self.clone();
         let (lease, interval) = (self.worker_lease, self.heartbeat_interval);
@@ -139,7 +144,7 @@
         });
     }
 
-    /// Machines as the cloud lists them, late.
+    /// The machine list, in which rentals and deletions show after [`LIST_LAG`].
     fn list_machines(&self) -> Vec<serde_json::Value> {
         let workers = self.workers();
         let listed = workers.iter().filter(|worker| is_listed(worker));
@@ -147,7 +152,8 @@
     }
 
     fn list_entry(&self, worker: &Worker) -> serde_json::Value {
-        // A worker may take a lease's time from its start to its first heartbeat.
+        // A booted machine counts as starting until its worker's first heartbeat, but for no
+        // longer than a worker's lease.
         let booting = worker.lease_renewed_at > Instant::now();
         let starting =
             worker.sequence == 0 && worker.lease_renewed_at.elapsed() < self.worker_lease;
@@ -163,6 +169,7 @@
     }
 }
 
+/// Whether a machine existed [`LIST_LAG`] ago.
 fn is_listed(worker: &Worker) -> bool {
     let deleted = worker.deleted_at.is_some_and(|at| at.elapsed() >= LIST_LAG);
     worker.rented_at.elapsed() >= LIST_LAG && !deleted
--- a/crates/testkit/src/platform/http_response.rs
+++ b/crates/testkit/src/platform/http_response.rs
@@ -1,4 +1,4 @@
-//! Responses of the simulated services and of controllers.
+//! HTTP responses of the simulated services and of controllers.
 
 use rushwalk_clients::http::TransportResponse;
 use serde::Serialize;
@@ -6,7 +6,7 @@
 /// An HTTP response.
 #[derive(Debug)]
 pub struct HttpResponse {
-    /// The status.
+    /// The status code.
     pub status: u16,
     /// The whole body.
     pub body: Vec<u8>,
--- a/crates/testkit/src/platform/network.rs
+++ b/crates/testkit/src/platform/network.rs
@@ -1,4 +1,5 @@
-//! The network: messages between users, controllers and workers, and the faults on the way.
+//! The network: carries messages between users, controllers and workers, and applies the
+//! faults that delay or lose them.
 
 use super::{HttpResponse, SimulatedPlatform, ZONES};
 use crate::fault::Fault;
@@ -16,34 +17,37 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, sleep};
 
-/// An HTTP interface of a controller: takes method, path and body.
+/// An HTTP interface of a controller: a function of method, path and body.
 pub type Endpoint = Arc<
     dyn Fn(String, String, Vec<u8>) -> Pin<Box<dyn Future<Output = HttpResponse> + Send>>
         + Send
         + Sync,
 >;
 
-/// A controller's interface for users and workers, with the controller's name.
+/// A controller's interface for users and workers, with the name that redirects give for the
+/// controller.
 pub(super) struct NamedEndpoint {
     name: String,
     endpoint: Endpoint,
 }
 
-/// Ports by which a request's receiver is known.
+// The port of a request's destination address identifies the service that receives it.
 const STORE_PORT: u16 = 2379;
 const CLOUD_PORT: u16 = 8443;
 const WORKER_PORT: u16 = 9000;
 const PEER_PORT: u16 = 8081;
 
-/// Path of workers' heartbeats.
+/// Path to which workers send heartbeats.
 const HEARTBEAT_PATH: &str = "/agent/beat";
-/// How long a worker waits for a response.
-const WORKER_TIMEOUT: Duration = Duration::from_secs(4);
-/// Time until a client gets the error that there was no response; longer than any timeout.
-const NO_RESPONSE: Duration = Duration::from_secs(60);
+/// Time that a heartbeat without a response takes: a worker's timeout.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(4);
+/// Delay of the error that a controller's client gets when there is no response; longer than
+/// any client's timeout.
+const NO_RESPONSE_DELAY: Duration = Duration::from_secs(60);
 
 impl SimulatedPlatform {
-    /// Registers a controller's interface for users and workers.
+    /// Registers a controller's interface for users and workers, and the name that redirects
+    /// give for the controller. Replaces an earlier registration.
     pub fn register_user_endpoint(&self, controller: usize, name: &str, endpoint: Endpoint) {
         lock(&self.user_endpoints)[controller] = Some(NamedEndpoint {
             name: name.to_string(),
@@ -51,18 +55,20 @@
         });
     }
 
-    /// Registers a controller's interface for the other controllers.
+    /// Registers a controller's interface for the other controllers. Replaces an earlier
+    /// registration.
     pub fn register_peer_endpoint(&self, controller: usize, endpoint: Endpoint) {
         lock(&self.peer_endpoints)[controller] = Some(endpoint);
     }
 
-    /// The address at which a controller serves the other controllers.
+    /// The address (host:port) at which a controller serves the other controllers.
     pub fn peer_address(controller: usize) -> String {
         let (high, low) = (controller / 250, controller % 250 + 1);
         format!("10.0.{high}.{low}:{PEER_PORT}")
     }
 
-    /// The controller that serves peers at an address.
+    /// The index of the controller with a peer address: the inverse of
+    /// [`SimulatedPlatform::peer_address`].
     fn controller_at(address: SocketAddr) -> Option<usize> {
         let IpAddr::V4(ip) = address.ip() else {
             return None;
@@ -71,7 +77,7 @@
         Some(usize::from(high) * 250 + usize::from(low) - 1)
     }
 
-    /// The index of the controller with a name.
+    /// The index of the controller registered under a name.
     pub(crate) fn controller_by_name(&self, name: &str) -> Option<usize> {
         let endpoints = lock(&self.user_endpoints);
         endpoints
@@ -85,8 +91,8 @@
         Some(named.endpoint.clone())
     }
 
-    /// Whether a zone partition separates a controller from a zone; `None` is whatever
-    /// belongs to no zone: users, the store and the cloud.
+    /// Whether a zone partition separates a controller from a zone. `None` stands for users,
+    /// the store and the cloud, which belong to no zone.
     fn partitioned(&self, controller: usize, zone: Option<&str>) -> bool {
         let own = controller % ZONES.len();
         if zone == Some(ZONES[own]) {
@@ -97,7 +103,7 @@
             || other.is_some_and(|other| self.is_active(Fault::ZonePartitioned(other)))
     }
 
-    /// A user's request to a controller; `None` if there is no response.
+    /// Sends a user's request to a controller; returns `None` if there is no response.
     pub async fn user_request(
         &self,
         controller: usize,
@@ -114,13 +120,16 @@
         });
         let response = self.call_controller(controller, method, path, body).await;
         self.record_event(|| {
-            let shown = response.as_ref();
-            let shown = shown.map(|shown| (shown.status, String::from_utf8_lossy(&shown.body)));
-            format!("{controller} {method} {path}: {shown:?}")
+            let summary = response.as_ref();
+            let summary =
+                summary.map(|response| (response.status, String::from_utf8_lossy(&response.body)));
+            format!("{controller} {method} {path}: {summary:?}")
         });
         response
     }
 
+    /// Calls a controller's interface for users and workers; `None` if the controller is
+    /// stopped, suspended or not registered.
     async fn call_controller(
         &self,
         controller: usize,
@@ -137,7 +146,7 @@
         Some(endpoint(method.into(), path.into(), body).await)
     }
 
-    /// A worker's heartbeat to a controller; `None` if there is no response.
+    /// Sends a worker's heartbeat to a controller; returns `None` if there is no response.
     pub(crate) async fn send_heartbeat(
         &self,
         machine: usize,
@@ -146,14 +155,14 @@
     ) -> Option<HttpResponse> {
         self.wait_while_delayed(controller).await;
         if self.is_active(Fault::MachineOutboundLoss(machine)) {
-            // No connection is established, so there is nothing to wait for.
+            // Establishing the connection fails, so the worker doesn't wait for a response.
             return None;
         }
         if self.partitioned(controller, Some(&heartbeat.zone))
             || self.is_active(Fault::MachinePartitioned(machine))
             || self.is_active(Fault::WorkersUnreachable(controller))
         {
-            sleep(WORKER_TIMEOUT).await;
+            sleep(HEARTBEAT_TIMEOUT).await;
             return None;
         }
         let body = serde_json::to_vec(heartbeat).ok()?;
@@ -165,7 +174,7 @@
         response
     }
 
-    /// Duplicates or records a heartbeat, as the active faults demand.
+    /// Sends a delayed copy of a heartbeat or records it, if the faults for that are active.
     fn copy_heartbeat(&self, controller: usize, body: &[u8]) {
         if self.is_active(Fault::HeartbeatsDuplicated) && self.one_in(2) {
             let delay = self.random_ms(2_000, 60_000);
@@ -183,7 +192,7 @@
         }
     }
 
-    /// Sends the heartbeats recorded so far to every controller.
+    /// Sends the heartbeats recorded so far to every controller once, and discards them.
     pub async fn replay_heartbeats(&self) {
         let recorded = std::mem::take(&mut *lock(&self.recorded_heartbeats));
         for heartbeat in recorded {
@@ -194,14 +203,14 @@
         }
     }
 
-    /// Waits while messages between a controller and workers are queued.
+    /// Waits while [`Fault::WorkerMessagesDelayed`] is active for a controller.
     async fn wait_while_delayed(&self, controller: usize) {
         while self.is_active(Fault::WorkerMessagesDelayed(controller)) {
             sleep(Duration::from_millis(200)).await;
         }
     }
 
-    /// A message from one controller to another; `None` if there is no response.
+    /// Sends a request from one controller to another; returns `None` if there is no response.
     async fn send_to_peer(
         &self,
         from: usize,
@@ -226,6 +235,7 @@
         (!response_lost).then_some(Ok(response))
     }
 
+    /// Whether a fault loses a request from one controller to another.
     fn peer_message_lost(&self, from: usize, to: usize) -> bool {
         self.is_active(Fault::ControllerFrozen(to))
             || self.is_active(Fault::PeerMessagesLost(from, to))
@@ -234,7 +244,8 @@
             || self.is_active(Fault::PeersUnreachable(to))
     }
 
-    /// A controller's request to a worker at its own address; `None` if there is no response.
+    /// Sends a controller's direct request to the worker at an address; returns `None` if
+    /// there is no response.
     async fn send_to_worker(
         &self,
         controller: usize,
@@ -259,7 +270,8 @@
         Some(HttpResponse::json(response.status, &response.heartbeat))
     }
 
-    /// The machine at an address, unless the network keeps the controller from it.
+    /// The index of the machine at an address; `None` if there is no such machine or if a
+    /// fault loses the controller's messages to it.
     fn reachable_machine(&self, controller: usize, address: &str) -> Option<usize> {
         let (machine, zone) = {
             let workers = self.workers();
@@ -272,7 +284,8 @@
         (!lost).then_some(machine)
     }
 
-    /// A worker's response to a direct request.
+    /// A worker's response to a direct request; `None` if the machine was deleted or the body
+    /// is invalid.
     fn serve_worker(&self, machine: usize, path: &str, body: &[u8]) -> Option<DirectResponse> {
         let mut workers = self.workers();
         let worker = workers.get_mut(machine).filter(|worker| !worker.deleted)?;
@@ -285,18 +298,21 @@
     }
 }
 
-/// The transport by which a controller's clients reach the simulated platform.
+/// Transport of a controller's HTTP clients: carries their requests over the simulated
+/// network.
 pub struct ControllerTransport {
-    /// The platform that is reached.
+    /// The platform that serves the requests.
     pub platform: Arc<SimulatedPlatform>,
-    /// Index of the controller that sends.
+    /// Index of the controller that sends the requests.
     pub controller: usize,
-    /// False once the process has ended, also if another runs in its place.
+    /// Whether the controller process that owns this transport runs. Stays false after its
+    /// end, also when a new process is started under the same index.
     pub alive: Arc<AtomicBool>,
 }
 
 impl ControllerTransport {
-    /// The response to a request; `None` if there is none.
+    /// Sends a request to the service that its destination port identifies; returns `None` if
+    /// there is no response.
     async fn exchange(
         platform: &Arc<SimulatedPlatform>,
         controller: usize,
@@ -326,7 +342,8 @@
         let (platform, controller) = (self.platform.clone(), self.controller);
         let alive = self.alive.clone();
         let (response_sender, response) = oneshot::channel();
-        // A request goes on when its sender gives up: it may be carried out late.
+        // Runs in a task of its own, so that the request is still processed, possibly late,
+        // after its sender has stopped waiting.
         tokio::spawn(async move {
             let connected = || {
                 alive.load(Ordering::Relaxed)
@@ -346,7 +363,7 @@
             match response.await {
                 Ok(response) => response.map(HttpResponse::into),
                 Err(_) => {
-                    sleep(NO_RESPONSE).await;
+                    sleep(NO_RESPONSE_DELAY).await;
                     Err(Error::Unanswered("no answer".into()))
                 }
             }
--- a/crates/testkit/src/platform/store_service.rs
+++ b/crates/testkit/src/platform/store_service.rs
@@ -1,4 +1,4 @@
-//! HTTP interface of the key-value store, with its faults.
+//! HTTP interface of the key-value store, and the faults of the store.
 
 use super::{HttpResponse, SimulatedPlatform};
 use crate::fault::Fault;
@@ -11,18 +11,19 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout};
 
-/// A commit that a test wants delayed: the next one whose body contains `text`.
+/// A delay that a test has requested for the next commit whose body contains `text`.
 pub(super) struct CommitDelay {
     pub(super) text: String,
     pub(super) delay: Duration,
 }
 
-/// Latency of the store.
+/// Delay of each request to the store.
 const LATENCY: Duration = Duration::from_millis(5);
-/// How often a watch looks for changes and for the end of an outage.
+/// Interval at which an open watch looks for changes, and at which watches and delayed commits
+/// look for the end of an outage.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Longer than any client waits for the response to a commit.
-const COMMIT_RESPONSE_LOST: Duration = Duration::from_secs(60);
+/// Delay of a commit's response that counts as lost; longer than any client's timeout.
+const LOST_RESPONSE_DELAY: Duration = Duration::from_secs(60);
 
 /// Parameters of a request's query string.
 struct Query<'a>(HashMap<&'a str, &'a str>);
@@ -33,11 +34,12 @@
         Query(pairs.collect())
     }
 
-    /// A parameter; empty if it is missing.
+    /// The value of a parameter; empty if it is missing.
     fn get(&self, name: &str) -> &'a str {
         self.0.get(name).copied().unwrap_or("")
     }
 
+    /// The value of a numeric parameter; 0 if it is missing or not a number.
     fn number(&self, name: &str) -> u64 {
         self.get(name).parse().unwrap_or(0)
     }
@@ -72,6 +74,8 @@
         }
     }
 
+    /// Whether a store outage is active, or a fault that cuts this controller off from the
+    /// store.
     fn store_refuses(&self, controller: usize) -> bool {
         self.is_active(Fault::StoreOutage) || self.is_active(Fault::StoreUnreachable(controller))
     }
@@ -81,8 +85,10 @@
         HttpResponse::json(200, &page)
     }
 
-    /// Responds once there are changes or the caller's time is over. A watch that is open
-    /// when the store becomes unreachable stays open.
+    /// Serves a watch: responds with the changes after revision `since` as soon as there are
+    /// any, or without changes after `blockMs` milliseconds; with status 410 if changes after
+    /// `since` are no longer retained. While the store is unreachable an open watch gets no
+    /// response but stays open, also beyond `blockMs`.
     async fn watch(&self, controller: usize, query: &Query<'_>) -> HttpResponse {
         let since = query.number("since");
         let until = Instant::now() + Duration::from_millis(query.number("blockMs"));
@@ -109,7 +115,7 @@
         let delay = self.commit_delay(body);
         if let Some(delay) = delay {
             sleep(delay).await;
-            // A delayed commit is not refused: an outage only delays it further.
+            // An outage delays a delayed commit further instead of refusing it.
             while self.is_active(Fault::StoreOutage) {
                 sleep(POLL_INTERVAL).await;
             }
@@ -123,7 +129,7 @@
         });
         self.store_changed.notify_waiters();
         if delay.is_some() || self.is_active(Fault::CommitResponsesLost) && self.one_in(8) {
-            sleep(COMMIT_RESPONSE_LOST).await;
+            sleep(LOST_RESPONSE_DELAY).await;
         }
         match result {
             Ok(revision) => HttpResponse::json(200, &json!({ "ledger": revision })),
@@ -136,23 +142,25 @@
         }
     }
 
-    /// How long a commit is delayed, by request of a test or by a random draw of the active
-    /// faults.
+    /// The delay of a commit, by request of a test or else by a random draw while a fault
+    /// that delays commits is active; `None` if it is not delayed.
     fn commit_delay(&self, body: &[u8]) -> Option<Duration> {
         let drawn = self.is_active(Fault::FewCommitsDelayed) && self.one_in(12)
             || self.is_active(Fault::ManyCommitsDelayed) && self.one_in(4);
-        // Drawn for every commit, so that a fault doesn't shift the draws after it.
+        // The duration is drawn for every commit, also if it is not delayed, so that a delay
+        // doesn't shift the random draws that follow.
         let random_delay = self.random_ms(2_000, 12_000);
         self.take_commit_delay(body)
             .or(drawn.then_some(random_delay))
     }
 
+    /// Removes and returns the first delay requested by a test that matches a commit.
     fn take_commit_delay(&self, body: &[u8]) -> Option<Duration> {
         let mut delays = lock(&self.commit_delays);
         let body = String::from_utf8_lossy(body);
         let index = delays
             .iter()
-            .position(|wanted| body.contains(&wanted.text))?;
+            .position(|requested| body.contains(&requested.text))?;
         Some(delays.remove(index).delay)
     }
 
