--- a/crates/testkit/src/invariants.rs
+++ b/crates/testkit/src/invariants.rs
@@ -1,9 +1,9 @@
-//! Checker of the protocol's invariants, fed with starts and ends of tasks and with users'
-//! requests and responses.
+//! Checker of the protocol's invariants. Workers report starts and ends of tasks to it;
+//! simulated users report their requests and the responses.
 //!
-//! What users see is checked as a history of invocations and responses: a request sent
-//! after a response arrived, from whichever controller, must not get anything older;
-//! requests that overlap may be answered in either order.
+//! Users' requests and responses are checked like a linearizability history: a request sent
+//! after a response arrived, from any controller, must not get an older state than that
+//! response showed. Requests that overlap in time may take effect in either order.
 
 mod availability;
 mod job_history;
@@ -24,7 +24,7 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::time::Instant;
 
-/// Where a task runs.
+/// The machine that a task runs on.
 #[derive(Clone, Copy)]
 pub struct Placement<'a> {
     /// The machine's name.
@@ -33,7 +33,7 @@
     pub zone: &'a str,
     /// The machine's type.
     pub machine_type: &'a str,
-    /// Whether it is a spot instance.
+    /// Whether the machine is a spot instance.
     pub spot: bool,
 }
 
@@ -47,36 +47,36 @@
     }
 }
 
-/// A team's quota; 0 means no limit.
+/// A team's quota, in which 0 means no limit. Also holds what a team uses.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct TeamLimit {
-    /// Most CPUs in use.
+    /// Maximum number of CPUs in use.
     pub cpus: f64,
-    /// Most GPUs in use.
+    /// Maximum number of GPUs in use.
     pub gpus: f64,
 }
 
-/// Tolerance for sums of CPUs, GPUs and memory.
+/// Tolerance for rounding errors in sums of CPUs, GPUs and memory.
 const ROUNDING: f64 = 1e-6;
 
 impl TeamLimit {
-    /// Whether some usage is over the limit.
+    /// Whether a team's usage exceeds the limit in CPUs or in GPUs.
     fn is_exceeded_by(&self, usage: TeamLimit) -> bool {
-        let exceeded = |used: f64, most: f64| most > 0.0 && used > most + ROUNDING;
+        let exceeded = |used: f64, max: f64| max > 0.0 && used > max + ROUNDING;
         exceeded(usage.cpus, self.cpus) || exceeded(usage.gpus, self.gpus)
     }
 }
 
-/// Starts of tasks after the cancellation of their job was confirmed to a user.
+/// Task starts after a user got the response that the job is cancelled.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct StartsAfterCancellation {
-    /// How many there were.
+    /// Number of these starts.
     pub count: usize,
-    /// The longest time from a confirmation to a start.
+    /// The longest time from that response to a start.
     pub longest_delay: Duration,
 }
 
-/// A task of a job.
+/// Id of a task: its job's id and its index in the job.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct TaskId {
     job: String,
@@ -90,87 +90,94 @@
     }
 }
 
-/// The checker's state. Violations are collected, never raised.
+/// The checker's state. Violations are collected in a list; none panics.
 #[derive(Default)]
 pub struct InvariantChecker {
-    /// Jobs that users submit, by id.
+    /// Specifications of the jobs that users submit, by job id.
     pub jobs: HashMap<String, JobSpec>,
-    /// Limits by team.
+    /// Quotas by team; a team without an entry has no limit.
     pub limits: BTreeMap<String, TeamLimit>,
-    /// Time from a confirmed cancellation within which all tasks must have ended.
+    /// Maximum time from the first response to a user that a job is cancelled until all its
+    /// tasks have ended.
     pub cancellation_deadline: Duration,
-    /// Violations so far, a line each: the invariant's name, a colon and the details.
+    /// Violations so far, one line each: the invariant's name, a colon and the details.
     pub violations: Vec<String>,
-    /// Starts of tasks.
+    /// Number of task starts, repeated ones included.
     pub started: usize,
-    /// Starts of tasks by job.
+    /// Number of task starts by job id, repeated ones included.
     pub starts_by_job: HashMap<String, usize>,
-    /// Starts of tasks that were done already.
+    /// Number of starts of tasks that had already completed.
     pub starts_after_completion: usize,
-    /// Starts of tasks of cancelled jobs.
+    /// Task starts after a confirmed cancellation of their job.
     pub starts_after_cancellation: StartsAfterCancellation,
-    /// Jobs whose tasks fail as they start, on any machine.
+    /// Ids of jobs whose tasks fail at their start on any machine.
     pub failing_jobs: HashSet<String>,
-    /// Machines on which all tasks fail as they start.
+    /// Names of machines on which all tasks fail at their start.
     pub faulty_machines: HashSet<String>,
-    /// Starts that failed for either reason.
+    /// Number of starts that failed because of `failing_jobs` or `faulty_machines`.
     pub failed_starts: usize,
-    /// Jobs whose submission must be refused.
+    /// Ids of jobs whose submission controllers must refuse.
     pub invalid_jobs: HashSet<String>,
-    /// When the last fault ended: from then on stricter invariants hold.
+    /// When the last fault of the run ended; `None` before. From then on the checks for
+    /// starvation and the stricter limit for unanswered queries apply.
     pub faults_ended_at: Option<Instant>,
-    /// The longest time from a confirmed cancellation to the end of the job's last task.
+    /// The longest time so far from the first response to a user that a job is cancelled to
+    /// the end of a task of the job.
     pub longest_cancellation: Duration,
-    /// The longest that a job waited after all faults though it could have started.
+    /// The longest time so far for which a job waited after the end of all faults although
+    /// it could have started.
     pub longest_wait: Duration,
-    /// Gets the id of each job whose last task is done.
+    /// Receives a job's id when a task completes and all tasks of the job are then complete.
     pub completions: Option<UnboundedSender<String>>,
-    /// Machines that each task runs on.
+    /// Names of the machines that each task runs on: more than one is a violation.
     running_on: BTreeMap<TaskId, Vec<String>>,
     /// The zone in which each task last started.
     last_zones: HashMap<TaskId, String>,
+    /// Tasks that have completed.
     done_tasks: BTreeSet<TaskId>,
-    /// Run times that differ from the job's estimate, in seconds.
+    /// Run times in seconds of the tasks for which they differ from the job's estimate.
     run_times_s: HashMap<TaskId, f64>,
-    /// When a user first got the response that a job is cancelled.
+    /// When a user first got the response that the job is cancelled, by job id.
     cancelled_at: HashMap<String, Instant>,
+    /// Users' requests and responses by job id.
     histories: BTreeMap<String, JobHistory>,
-    /// Logical clock of requests and responses: two may fall on one instant.
+    /// Logical clock, incremented by each request and response. Orders also those that happen
+    /// at the same instant of virtual time.
     clock: u64,
     queries: QueryLog,
-    /// When a task of each job first started.
+    /// When the first task of each job started, by job id.
     first_started_at: HashMap<String, Instant>,
-    /// Since when each job waits though it could start.
+    /// Since when each job waits although it could start, by job id.
     starved_since: BTreeMap<String, Instant>,
 }
 
 impl InvariantChecker {
-    /// Sets the run time of a task that differs from its job's estimate.
+    /// Sets the run time of a task in place of its job's estimate.
     pub fn set_run_time(&mut self, job: &str, index: u32, seconds: f64) {
         self.run_times_s.insert(TaskId::new(job, index), seconds);
     }
 
-    /// How long a task runs.
+    /// Time from a task's start until it completes. Tasks of services never complete.
     pub(crate) fn run_time(&self, job: &str, index: u32) -> Duration {
         const FOREVER: Duration = Duration::from_secs(1 << 30);
         let spec = self.jobs.get(job);
         if spec.is_some_and(|spec| spec.shape == Shape::Service) {
             return FOREVER;
         }
-        let own = self.run_times_s.get(&TaskId::new(job, index)).copied();
-        let seconds = own.or(spec.map(|spec| spec.estimate_s));
+        let task_run_time_s = self.run_times_s.get(&TaskId::new(job, index)).copied();
+        let seconds = task_run_time_s.or(spec.map(|spec| spec.estimate_s));
         Duration::from_secs_f64(seconds.unwrap_or(0.0))
     }
 
-    /// Whether a task fails as it starts.
+    /// Whether a task of a job fails at its start on a machine; counts it if so.
     pub(crate) fn fails_at_start(&mut self, job: &str, machine: &str) -> bool {
         let fails = self.failing_jobs.contains(job) || self.faulty_machines.contains(machine);
         self.failed_starts += usize::from(fails);
         fails
     }
 
-    /// Records that a user sends a request. Returns its logical time, which
-    /// [`InvariantChecker::response_received`] takes with the response.
+    /// Records that a user sends a request about a job. Returns the request's logical time, to
+    /// be passed to [`InvariantChecker::response_received`] with the response.
     pub fn request_sent(&mut self, request: Request, job: &str) -> u64 {
         if request == Request::Cancel {
             self.cancellation_requested(job);
@@ -179,7 +186,7 @@
         self.clock
     }
 
-    /// A user is about to request a cancellation.
+    /// Records that a user is about to request the cancellation of a job.
     pub fn cancellation_requested(&mut self, job: &str) {
         self.histories
             .entry(job.into())
@@ -187,8 +194,9 @@
             .request_cancellation();
     }
 
-    /// The response to a user's request, with its status and the phase that it gives;
-    /// `None` if there was none.
+    /// Records and checks the response to a user's request. `sent` is the result of
+    /// [`InvariantChecker::request_sent`]. `status` is `None` if there was no response, `phase`
+    /// is `None` if the response gives no job phase.
     pub fn response_received(
         &mut self,
         request: Request,
@@ -218,7 +226,7 @@
         }
     }
 
-    /// Checks a phase that was reported to a user.
+    /// Checks a job's phase that a user got in a response.
     fn check_phase(&mut self, job: &str, phase: StatusPhase) {
         if !self.jobs.contains_key(job) {
             self.violations.push(format!("invented: {job}"));
@@ -235,7 +243,9 @@
         }
     }
 
-    /// Whether the job's constraints forbid a placement, because of where its other tasks run.
+    /// Whether a placement violates the job's constraints on zone, machine type and spot
+    /// instances, or those relative to the zones in which the job's other tasks run: all in
+    /// one zone, or spread so that no zone runs more than half of the job's tasks, rounded up.
     fn violates_constraints(&self, job: &str, index: u32, placement: &Placement) -> bool {
         let Some(spec) = self.jobs.get(job) else {
             return false;
@@ -247,9 +257,12 @@
         let zones: Vec<&String> = others
             .filter_map(|(task, _)| self.last_zones.get(task))
             .collect();
-        let same_zone = zones.iter().filter(|z| *z == &placement.zone).count();
-        let most_in_zone = (spec.tasks as usize).div_ceil(2);
-        let wrong_zone = spec.zone.as_ref().is_some_and(|z| z != placement.zone);
+        let same_zone = zones.iter().filter(|zone| *zone == &placement.zone).count();
+        let max_in_zone = (spec.tasks as usize).div_ceil(2);
+        let wrong_zone = spec
+            .zone
+            .as_ref()
+            .is_some_and(|zone| zone != placement.zone);
         let wrong_type = spec
             .types
             .as_ref()
@@ -257,11 +270,12 @@
         wrong_zone
             || wrong_type
             || spec.one_zone && same_zone < zones.len()
-            || spec.spread && same_zone + 1 > most_in_zone
+            || spec.spread && same_zone + 1 > max_in_zone
             || placement.spot && !spec.spot
     }
 
-    /// CPUs and GPUs that each team's tasks use.
+    /// CPUs and GPUs that the running tasks of each team use. A task that runs on several
+    /// machines counts once.
     fn usage_by_team(&self) -> HashMap<&str, TeamLimit> {
         let mut usage: HashMap<&str, TeamLimit> = HashMap::new();
         let running = self.running_on.iter().filter(|(_, on)| !on.is_empty());
@@ -273,7 +287,7 @@
         usage
     }
 
-    /// A task starts.
+    /// Records and checks the start of a task on a machine.
     pub(crate) fn task_started(&mut self, job: &str, index: u32, placement: &Placement) {
         let task = TaskId::new(job, index);
         self.started += 1;
@@ -298,6 +312,8 @@
         self.check_limits();
     }
 
+    /// Counts a task's start if its job's cancellation is confirmed; it is a violation after
+    /// the cancellation deadline.
     fn check_start_after_cancellation(&mut self, job: &str, index: u32) {
         let Some(delay) = self.cancelled_at.get(job).map(Instant::elapsed) else {
             return;
@@ -311,6 +327,7 @@
         }
     }
 
+    /// Checks that no team uses more than its quota.
     fn check_limits(&mut self) {
         let usage = self.usage_by_team();
         let exceeded = self.limits.iter().filter(|(team, limit)| {
@@ -321,7 +338,7 @@
         self.violations.extend(violations);
     }
 
-    /// A task has ended on a machine, and is done or not.
+    /// Records the end of a task on a machine. `done` tells whether the task completed.
     pub(crate) fn task_ended(&mut self, job: &str, index: u32, machine: &str, done: bool) {
         let task = TaskId::new(job, index);
         let Some(machines) = self.running_on.get_mut(&task) else {
@@ -338,9 +355,10 @@
         }
     }
 
+    /// Records that a task completed, and reports the job if that completed it.
     fn task_done(&mut self, task: TaskId) {
         let job = task.job.clone();
-        // A gang's tasks complete together: when one is done, all are.
+        // A gang completes as a whole: when one task is done, all are.
         let spec = self.jobs.get(&job);
         let gang_tasks = spec
             .filter(|spec| spec.shape == Shape::Gang)
@@ -353,7 +371,7 @@
         }
     }
 
-    /// Whether all tasks of a job are done.
+    /// Whether all tasks of a job are done; false for an unknown job.
     fn is_complete(&self, job: &str) -> bool {
         let Some(spec) = self.jobs.get(job) else {
             return false;
@@ -362,7 +380,7 @@
         self.done_tasks.range(all).count() as u32 >= spec.tasks
     }
 
-    /// Checks that no task of a cancelled job runs after its deadline.
+    /// Checks that no task of a cancelled job runs after the cancellation deadline.
     pub fn check_cancellations(&mut self) {
         for (task, machines) in &self.running_on {
             let cancelled_at = self.cancelled_at.get(&task.job);
@@ -375,7 +393,8 @@
         }
     }
 
-    /// Indexes of the machines that a job's tasks run on.
+    /// Indexes of the machines that the tasks of a job run on, by ascending task index; a
+    /// machine appears once for each of its tasks.
     pub fn machines_of(&self, job: &str) -> Vec<usize> {
         let of_job = self.running_on.iter().filter(|(task, _)| task.job == job);
         of_job
@@ -384,7 +403,7 @@
             .collect()
     }
 
-    /// Number of tasks that run.
+    /// Number of tasks that run on at least one machine.
     pub fn running_tasks(&self) -> usize {
         let machines = self.running_on.values();
         machines.filter(|machines| !machines.is_empty()).count()
--- a/crates/testkit/src/invariants/availability.rs
+++ b/crates/testkit/src/invariants/availability.rs
@@ -1,30 +1,38 @@
-//! Invariant: queries about a job don't fail forever while others are answered.
+//! Invariant: queries about a job must not go unanswered for long while most other queries
+//! are answered, or after the end of all faults. A query counts as answered if its status is
+//! 200 or 404.
 
 use super::InvariantChecker;
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long all queries about one job may fail while most others are answered; and over
-/// what time the others are counted.
+/// Maximum time for which all queries about one job may go unanswered while more than half of
+/// all users' queries are answered. Also the span of recent queries that this share is taken of.
 const MOST_ANSWERED_LIMIT: Duration = Duration::from_secs(90);
-/// How long they may fail after the end of all faults, however others fare.
+/// Maximum time for which all queries about one job may go unanswered after the end of all
+/// faults, whether or not other queries are answered.
 const AFTER_FAULTS_LIMIT: Duration = Duration::from_secs(75);
 
+/// The outcome of a query about any job.
 pub(super) struct Query {
+    /// When the response arrived, or the user stopped waiting for it.
     at: Instant,
     answered: bool,
 }
 
-/// Recent queries of all users.
+/// Outcomes of users' queries.
 #[derive(Default)]
 pub(super) struct QueryLog {
+    /// Queries of all users within the last [`MOST_ANSWERED_LIMIT`], oldest first.
     pub(super) recent: VecDeque<Query>,
-    /// Since when each job's queries fail.
-    failing_since: HashMap<String, Instant>,
+    /// When the first query since the last answered one failed, by job id; without an entry
+    /// for jobs whose last query was answered.
+    unanswered_since: HashMap<String, Instant>,
 }
 
 impl QueryLog {
+    /// Adds a query that ended now, and removes outdated ones.
     fn record(&mut self, answered: bool) {
         let at = Instant::now();
         self.recent.push_back(Query { at, answered });
@@ -34,6 +42,7 @@
         }
     }
 
+    /// Whether more than half of the recent queries were answered.
     fn most_answered(&self) -> bool {
         let answered = self.recent.iter().filter(|query| query.answered).count();
         2 * answered > self.recent.len()
@@ -41,21 +50,22 @@
 }
 
 impl InvariantChecker {
-    /// Checks for how long queries about a job have failed.
+    /// Records the status of a query about a job, and checks for how long queries about the
+    /// job have gone unanswered. `status` is `None` if there was no response.
     pub(super) fn check_availability(&mut self, job: &str, status: Option<u16>) {
         let answered = matches!(status, Some(200 | 404));
         self.queries.record(answered);
         if answered {
-            self.queries.failing_since.remove(job);
+            self.queries.unanswered_since.remove(job);
             return;
         }
-        let failing_since = self.queries.failing_since.entry(job.into());
-        let failing_since = *failing_since.or_insert_with(Instant::now);
-        let after_faults = self.faults_ended_at.map(|at| at.max(failing_since));
-        let forgotten = self.queries.most_answered()
-            && failing_since.elapsed() > MOST_ANSWERED_LIMIT
+        let unanswered_since = self.queries.unanswered_since.entry(job.into());
+        let unanswered_since = *unanswered_since.or_insert_with(Instant::now);
+        let after_faults = self.faults_ended_at.map(|at| at.max(unanswered_since));
+        let unanswered_too_long = self.queries.most_answered()
+            && unanswered_since.elapsed() > MOST_ANSWERED_LIMIT
             || after_faults.is_some_and(|since| since.elapsed() > AFTER_FAULTS_LIMIT);
-        if forgotten {
+        if unanswered_too_long {
             self.violations.push(format!("forgotten: {job}"));
         }
     }
--- a/crates/testkit/src/invariants/job_history.rs
+++ b/crates/testkit/src/invariants/job_history.rs
@@ -1,4 +1,4 @@
-//! What users saw of one job, as invocations and responses.
+//! Users' requests about one job and the responses to them.
 
 use rushwalk_protocol::jobs::StatusPhase;
 use tokio::time::Instant;
@@ -6,11 +6,11 @@
 /// A user's request to a controller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Request {
-    /// Submit a job.
+    /// Submission of a job.
     Submit,
-    /// Query a job's status.
+    /// Query of a job's status.
     Query,
-    /// Cancel a job.
+    /// Cancellation of a job.
     Cancel,
 }
 
@@ -21,21 +21,24 @@
     pub(super) received: u64,
 }
 
-/// A final phase, and the logical time of the first response with it.
+/// A phase that a job doesn't leave, and the logical time of the first response with it.
 #[derive(Debug, Clone, Copy)]
 struct FinalPhase {
     received: u64,
     phase: StatusPhase,
 }
 
-/// The history of one job.
+/// What the responses to users have shown of one job so far.
 #[derive(Debug, Default)]
 pub(super) struct JobHistory {
-    /// When the first response arrived by which the job is accepted.
+    /// When the first response arrived that shows the job as accepted (status 200 or 201);
+    /// `None` before.
     pub(super) accepted_at: Option<Instant>,
     /// Logical time of that response.
     acceptance: Option<u64>,
+    /// The first final phase that a response gave; `None` before.
     final_phase: Option<FinalPhase>,
+    /// Whether a user has requested the job's cancellation.
     cancellation_requested: bool,
 }
 
@@ -48,7 +51,9 @@
         self.cancellation_requested
     }
 
-    /// Takes in a response, and returns the invariants that it violates.
+    /// Records a response, and returns the violations that it shows. A job whose acceptance
+    /// arrived before the request was sent must not be unknown (404) to any request, nor
+    /// invalid (400, 422) when it is submitted again.
     pub(super) fn check_response(
         &mut self,
         request: Request,
@@ -56,9 +61,11 @@
         status: Option<u16>,
         phase: Option<StatusPhase>,
     ) -> Vec<String> {
-        let known = self.acceptance.is_some_and(|at| at < interval.sent);
+        let accepted_before = self.acceptance.is_some_and(|at| at < interval.sent);
         match (status, request) {
-            (Some(status @ (400 | 422)), Request::Submit) | (Some(status @ 404), _) if known => {
+            (Some(status @ (400 | 422)), Request::Submit) | (Some(status @ 404), _)
+                if accepted_before =>
+            {
                 vec![format!("forgotten: answered {status}")]
             }
             (Some(200 | 201), _) => {
@@ -70,6 +77,7 @@
         }
     }
 
+    /// Checks a job's phase in a response against the phases of earlier responses.
     fn check_phase(&mut self, interval: Interval, phase: StatusPhase) -> Vec<String> {
         let mut violations = Vec::new();
         if phase == StatusPhase::Cancelled && !self.cancellation_requested {
@@ -77,12 +85,13 @@
         }
         let is_final = matches!(phase, StatusPhase::Done | StatusPhase::Cancelled);
         match self.final_phase {
-            // Two final phases contradict each other, in whichever order they were requested.
-            Some(before)
-                if before.phase != phase && (is_final || before.received < interval.sent) =>
+            // Two different final phases contradict each other even if the requests overlap. A
+            // phase that isn't final may follow a final one only if they overlap.
+            Some(earlier)
+                if earlier.phase != phase && (is_final || earlier.received < interval.sent) =>
             {
-                let before = before.phase;
-                violations.push(format!("went_back: {phase:?} after {before:?}"));
+                let earlier = earlier.phase;
+                violations.push(format!("went_back: {phase:?} after {earlier:?}"));
             }
             None if is_final => {
                 let received = interval.received;
--- a/crates/testkit/src/invariants/service.rs
+++ b/crates/testkit/src/invariants/service.rs
@@ -1,40 +1,44 @@
-//! Service levels at the end of a run: how many of the accepted jobs have begun, and when.
+//! Service levels at the end of a run: how many of the accepted jobs have started, and how
+//! soon.
 
 use super::InvariantChecker;
 use super::job_history::JobHistory;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Within this time of their acceptance a class's largest jobs begin.
-const LARGEST_BEGIN_WITHIN: Duration = Duration::from_secs(240);
+/// Maximum time from the acceptance of one of a class's largest jobs to its first task start.
+const LARGEST_START_LIMIT: Duration = Duration::from_secs(240);
 
+/// A job and its size, by which the largest jobs of a class are found.
 #[derive(Clone, Copy)]
 struct SizedJob<'a> {
-    /// GPUs, or CPUs if that is more, of all tasks.
+    /// Number of GPUs or of CPUs of all its tasks, whichever is greater.
     size: f64,
+    /// The job's id.
     job: &'a str,
 }
 
 impl InvariantChecker {
-    /// Violations of the service levels: half of each class, of each team and of a class's
-    /// largest jobs must have begun, the largest within four minutes. Jobs cancelled before
-    /// they began don't count.
+    /// Violations of the service levels, one line each. At least half of the jobs of each
+    /// class, of each team and of the largest third of each class must have started; those of
+    /// the largest third that started must have done so within four minutes of their
+    /// acceptance. Jobs cancelled before they started don't count.
     pub fn service_violations(&self) -> Vec<String> {
         let mut violations = Vec::new();
         for (group, mut jobs) in self.jobs_by_group() {
-            violations.extend(self.check_half_begun(&group, &jobs));
+            violations.extend(self.check_half_started(&group, &jobs));
             if !group.starts_with("class") {
                 continue;
             }
             jobs.sort_by(|a, b| b.size.total_cmp(&a.size));
             let largest = &jobs[..jobs.len().div_ceil(3)];
-            violations.extend(self.check_half_begun(&format!("largest of {group}"), largest));
-            violations.extend(self.check_begun_in_time(largest));
+            violations.extend(self.check_half_started(&format!("largest of {group}"), largest));
+            violations.extend(self.check_started_in_time(largest));
         }
         violations
     }
 
-    /// Jobs that should begin, by class and by team.
+    /// Accepted jobs except those cancelled before they started, by class and by team.
     fn jobs_by_group(&self) -> BTreeMap<String, Vec<SizedJob<'_>>> {
         let mut groups: BTreeMap<String, Vec<SizedJob>> = BTreeMap::new();
         let expected = self.histories.iter().filter(|(job, history)| {
@@ -58,26 +62,30 @@
         groups
     }
 
+    /// Whether a user requested the job's cancellation and no task of it has started.
     fn cancelled_before_start(&self, job: &str, history: &JobHistory) -> bool {
         history.is_cancellation_requested() && !self.first_started_at.contains_key(job)
     }
 
-    fn check_half_begun(&self, name: &str, jobs: &[SizedJob]) -> Option<String> {
-        let begun = jobs
+    /// The violation if fewer than half of a group's jobs have started.
+    fn check_half_started(&self, name: &str, jobs: &[SizedJob]) -> Option<String> {
+        let started = jobs
             .iter()
             .filter(|sized| self.first_started_at.contains_key(sized.job))
             .count();
         let all = jobs.len();
-        (2 * begun < all).then(|| format!("half served: {begun} of {all} of {name}"))
+        (2 * started < all).then(|| format!("half served: {started} of {all} of {name}"))
     }
 
-    fn check_begun_in_time(&self, largest: &[SizedJob]) -> Vec<String> {
+    /// A violation for each job that started too long after its acceptance. Jobs that haven't
+    /// started are no violation here.
+    fn check_started_in_time(&self, largest: &[SizedJob]) -> Vec<String> {
         let late = largest.iter().filter(|sized| {
             let accepted = self.histories.get(sized.job).and_then(|h| h.accepted_at);
-            let begun = self.first_started_at.get(sized.job);
+            let started = self.first_started_at.get(sized.job);
             accepted
-                .zip(begun)
-                .is_some_and(|(accepted, begun)| *begun > accepted + LARGEST_BEGIN_WITHIN)
+                .zip(started)
+                .is_some_and(|(accepted, started)| *started > accepted + LARGEST_START_LIMIT)
         });
         late.map(|sized| format!("largest begun late: {}", sized.job))
             .collect()
--- a/crates/testkit/src/invariants/starvation.rs
+++ b/crates/testkit/src/invariants/starvation.rs
@@ -1,5 +1,5 @@
-//! Invariant: once all faults have ended, no job waits for long while machines that fit
-//! have free capacity and its team is under its limit.
+//! Invariant: after the end of all faults, no job waits for long while suitable machines have
+//! enough free capacity for it and its team's quota allows it to start.
 
 use super::{InvariantChecker, Placement, ROUNDING, TaskId, TeamLimit};
 use rushwalk_protocol::jobs::{JobSpec, Shape};
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A usable machine's capacity that no task uses.
+/// The capacity of a machine that no active task uses.
 #[derive(Debug, Clone)]
 pub struct FreeCapacity {
     /// The machine's name.
@@ -16,7 +16,7 @@
     pub zone: String,
     /// The machine's type.
     pub machine_type: String,
-    /// Whether it is a spot instance.
+    /// Whether the machine is a spot instance.
     pub spot: bool,
     /// Free CPUs.
     pub cpus: f64,
@@ -36,12 +36,12 @@
         }
     }
 
-    /// Whether a task of a job fits.
+    /// Whether a task of a job fits into the free capacity.
     pub(crate) fn fits(&self, spec: &JobSpec) -> bool {
         self.task_slots(spec) > 0
     }
 
-    /// How many tasks of a job fit.
+    /// Number of tasks of a job that fit into the free capacity.
     fn task_slots(&self, spec: &JobSpec) -> usize {
         let slots = |free: f64, per_task: f64| {
             if per_task > 0.0 {
@@ -56,12 +56,14 @@
     }
 }
 
-/// How long a job may wait though it could start.
+/// Maximum time for which a job may wait although it could start.
 const WAIT_LIMIT: Duration = Duration::from_secs(90);
 
 impl InvariantChecker {
-    /// Checks for how long jobs have waited though they could start; to be called each
-    /// second or so, with all usable machines.
+    /// Checks for how long jobs have waited although they could start; does nothing until all
+    /// faults have ended. To be called about once per second, with the free capacity of all
+    /// machines that can run tasks. Failing jobs and those whose cancellation was requested
+    /// are exempt.
     pub fn check_starvation(&mut self, machines: &[FreeCapacity]) {
         if self.faults_ended_at.is_none() {
             return;
@@ -85,20 +87,20 @@
         }
     }
 
-    /// Whether a task of the job, or all of a gang's, could start now.
+    /// Whether a pending task of the job could start now, or all tasks if the job is a gang.
     fn could_start(&self, job: &str, machines: &[FreeCapacity]) -> bool {
         let Some(spec) = self.jobs.get(job) else {
             return false;
         };
-        let open: Vec<u32> = (0..spec.tasks)
-            .filter(|index| self.is_open(&TaskId::new(job, *index)))
+        let pending: Vec<u32> = (0..spec.tasks)
+            .filter(|index| self.is_pending(&TaskId::new(job, *index)))
             .collect();
-        let Some(first) = open.first() else {
+        let Some(first) = pending.first() else {
             return false;
         };
         let gang = spec.shape == Shape::Gang;
-        // A gang with tasks left of an earlier attempt waits for their end.
-        if gang && open.len() < spec.tasks as usize {
+        // A gang can't start while tasks of an earlier attempt still run.
+        if gang && pending.len() < spec.tasks as usize {
             return false;
         }
         let tasks = if gang { spec.tasks } else { 1 };
@@ -121,12 +123,12 @@
     }
 
     /// Whether a task is neither done nor running.
-    fn is_open(&self, task: &TaskId) -> bool {
+    fn is_pending(&self, task: &TaskId) -> bool {
         let running = self.running_on.get(task);
         !self.done_tasks.contains(task) && running.is_none_or(Vec::is_empty)
     }
 
-    /// Whether the job's team may start so many of its tasks.
+    /// Whether the team's quota allows this number of further tasks of the job.
     fn is_within_limit(&self, spec: &JobSpec, tasks: u32) -> bool {
         let used = self.usage_by_team().get(spec.team.as_str()).copied();
         let used = used.unwrap_or_default();
--- a/crates/testkit/src/invariants/tests.rs
+++ b/crates/testkit/src/invariants/tests.rs
@@ -31,12 +31,13 @@
 }
 
 impl InvariantChecker {
-    /// A query sent and answered now.
+    /// Records a query and, at the same instant, the response to it.
     fn query(&mut self, job: &str, status: Option<u16>, phase: Option<StatusPhase>) {
         let sent = self.request_sent(Request::Query, job);
         self.response_received(Request::Query, job, sent, status, phase);
     }
 
+    /// Records a submission and, at the same instant, the response to it.
     fn submit(&mut self, job: &str, status: u16) {
         let queued = Some(StatusPhase::Queued).filter(|_| status < 300);
         let sent = self.request_sent(Request::Submit, job);
@@ -44,7 +45,7 @@
     }
 }
 
-/// Names of the invariants violated so far.
+/// Names of the invariants violated so far, in the order of the violations.
 fn violated(checker: &InvariantChecker) -> Vec<String> {
     let name = |line: &String| line.split(':').next().unwrap_or("").to_string();
     checker.violations.iter().map(name).collect()
@@ -84,7 +85,7 @@
     assert_eq!(
         violated(&checker),
         ["went_back", "went_back"],
-        "not requested, and done before"
+        "the cancellation was not requested, and the job was reported as done before"
     );
     checker.violations.clear();
     advance(59_000).await;
@@ -96,8 +97,8 @@
     checker.task_ended("j-1", 0, "m-1", false);
     assert_eq!(checker.longest_cancellation.as_secs(), 61);
     checker.violations.clear();
-    for wait in [0, 80, 11] {
-        advance(wait * 1000).await;
+    for wait_s in [0, 80, 11] {
+        advance(wait_s * 1000).await;
         checker.query("j-1", Some(503), None);
     }
     assert!(checker.violations.is_empty(), "no query was answered");
@@ -108,32 +109,32 @@
     assert_eq!(
         violated(&checker),
         ["forgotten"],
-        "other queries were answered"
+        "most queries about other jobs were answered"
     );
     checker.violations.clear();
     checker.faults_ended_at = Some(Instant::now());
-    for wait in [74, 2] {
+    for wait_s in [74, 2] {
         assert!(checker.violations.is_empty());
-        advance(wait * 1000).await;
+        advance(wait_s * 1000).await;
         checker.queries.recent.clear();
         checker.query("j-1", Some(503), None);
     }
     assert_eq!(
         violated(&checker),
         ["forgotten"],
-        "after the end of all faults"
+        "unanswered for too long after the end of all faults"
     );
 }
 
-/// A request sent after a response arrived must not get anything older; one that was in
-/// flight then may.
+/// A request sent after a response arrived must not get an older state than that response
+/// showed; a request that was already in flight may.
 #[tokio::test(start_paused = true)]
-async fn stale_responses_are_told_from_overlapping_ones() {
+async fn stale_responses_are_distinguished_from_responses_to_overlapping_requests() {
     use Request::{Cancel, Query, Submit};
     let mut checker = new_checker();
     let before_acceptance = checker.request_sent(Query, "j-1");
     checker.submit("j-1", 201);
-    // Sent before the job was accepted, answered after.
+    // Requests sent before the job was accepted, whose responses arrive after.
     checker.response_received(Query, "j-1", before_acceptance, Some(404), None);
     checker.response_received(Submit, "j-1", before_acceptance, Some(400), None);
     checker.response_received(Cancel, "j-1", before_acceptance, Some(404), None);
@@ -163,7 +164,7 @@
         checker.response_received(request, "j-1", now, Some(200), cancelled);
     }
     assert_eq!(violated(&checker), ["went_back", "went_back", "went_back"]);
-    // Two final phases contradict each other, also where the requests overlap.
+    // Two different final phases contradict each other even if the requests overlap.
     checker.response_received(
         Query,
         "j-1",
@@ -172,11 +173,15 @@
         Some(StatusPhase::Done),
     );
     assert!(violated(&checker).contains(&"went_back".to_string()));
-    assert_eq!(violated(&checker).len(), 5, "and not done");
+    assert_eq!(
+        violated(&checker).len(),
+        5,
+        "the job's tasks are not done either"
+    );
 }
 
 #[tokio::test(start_paused = true)]
-async fn placements_against_constraints_are_reported() {
+async fn placements_that_violate_constraints_are_reported() {
     let mut checker = new_checker();
     let mut wrong_placements = |change: fn(&mut JobSpec)| {
         checker.jobs.entry("j-1".into()).and_modify(|spec| {
@@ -185,18 +190,18 @@
             change(spec);
         });
         checker.violations.clear();
-        let mut count_wrong = |places: [(&str, &str, bool); 2]| {
+        let mut count_wrong = |placements: [(&str, &str, bool); 2]| {
             checker.running_on.clear();
             let before = checker.violations.len();
-            for (i, (zone, machine_type, spot)) in places.into_iter().enumerate() {
-                let machine = ["m-1", "m-2"][i];
+            for (index, (zone, machine_type, spot)) in placements.into_iter().enumerate() {
+                let machine = ["m-1", "m-2"][index];
                 let placement = Placement {
                     machine,
                     zone,
                     machine_type,
                     spot,
                 };
-                checker.task_started("j-1", i as u32, &placement);
+                checker.task_started("j-1", index as u32, &placement);
             }
             let new = checker.violations[before..].iter();
             new.filter(|l| l.starts_with("wrong")).count()
@@ -220,7 +225,8 @@
     assert_eq!(wrong_placements(|s| s.spot = false), (0, 0, 1));
 }
 
-/// Each service level is seen to fail.
+/// Each service level is reported when it is missed and no longer once it is met. Also covers
+/// CPU quotas, starts after a cancellation and accepted invalid jobs.
 #[tokio::test(start_paused = true)]
 async fn missed_service_levels_are_reported() {
     let mut checker = new_checker();
@@ -230,26 +236,27 @@
         ..TeamLimit::default()
     };
     checker.limits.insert("red".into(), cpus);
-    for n in 1..=3 {
-        let job = format!("j-{n}");
+    for number in 1..=3 {
+        let job = format!("j-{number}");
         checker.jobs.insert(job.clone(), spec(&job));
         checker.submit(&job, 201);
     }
-    let half = checker.service_violations();
-    assert_eq!(half.len(), 3, "class, team, largest: {half:?}");
+    let missed = checker.service_violations();
+    assert_eq!(missed.len(), 3, "class, team, largest: {missed:?}");
     checker.task_started("j-1", 0, &placement("m-1", "east"));
     checker.task_started("j-2", 0, &placement("m-2", "east"));
     assert!(violated(&checker).is_empty());
-    let left = checker.service_violations();
+    let remaining = checker.service_violations();
     assert!(
-        !left
+        !remaining
             .iter()
             .any(|l| l.contains("class a") && !l.contains("largest"))
     );
-    // Cancelled before it began.
+    // The job without a start no longer counts once its cancellation is requested.
     checker.cancellation_requested("j-3");
     assert_eq!(checker.service_violations(), Vec::<String>::new());
-    // Limits in CPUs, starts after a cancellation, invalid jobs.
+    // A quota in CPUs is checked; a start soon after a cancellation is counted; accepting an
+    // invalid job is a violation.
     checker.task_started("j-2", 1, &placement("m-3", "east"));
     checker.query("j-3", Some(200), Some(StatusPhase::Cancelled));
     advance(1_000).await;
@@ -292,13 +299,13 @@
     assert_eq!(
         violations_after(&mut checker, 6.0, 100).await,
         0,
-        "faults have not ended"
+        "faults have not ended: starvation is not checked"
     );
     checker.faults_ended_at = Some(Instant::now());
     assert_eq!(
         violations_after(&mut checker, 5.0, 100).await,
         0,
-        "no capacity"
+        "no machine has enough free GPUs"
     );
     assert_eq!(violations_after(&mut checker, 6.0, 90).await, 0);
     assert!(violations_after(&mut checker, 6.0, 3).await > 0);
@@ -307,7 +314,7 @@
     checker.task_started("j-1", 0, &placement("m-1", "east"));
     assert_eq!(checker.service_violations(), ["largest begun late: j-1"]);
     checker.violations.clear();
-    // Six of ten GPUs are used: another task would exceed the limit.
+    // 6 of the team's 10 GPUs are in use: another task with 6 GPUs would exceed the quota.
     assert_eq!(violations_after(&mut checker, 6.0, 100).await, 0);
 }
 
