--- a/crates/testkit/src/invariants.rs
+++ b/crates/testkit/src/invariants.rs
@@ -90,7 +90,7 @@
     }
 }
 
-/// The checker's state. Violations are collected in a list; none panics.
+/// The checker's state. Violations are collected in a list; the checker never panics on one.
 #[derive(Default)]
 pub struct InvariantChecker {
     /// Specifications of the jobs that users submit, by job id.
@@ -127,7 +127,8 @@
     /// The longest time so far for which a job waited after the end of all faults although
     /// it could have started.
     pub longest_wait: Duration,
-    /// Receives a job's id when a task completes and all tasks of the job are then complete.
+    /// Receives a job's id when a task completes and all tasks of the job are then complete;
+    /// `None` if completions are not to be reported.
     pub completions: Option<UnboundedSender<String>>,
     /// Names of the machines that each task runs on: more than one is a violation.
     running_on: BTreeMap<TaskId, Vec<String>>,
@@ -144,6 +145,7 @@
     /// Logical clock, incremented by each request and response. Orders also those that happen
     /// at the same instant of virtual time.
     clock: u64,
+    /// Outcomes of users' queries, of all jobs.
     queries: QueryLog,
     /// When the first task of each job started, by job id.
     first_started_at: HashMap<String, Instant>,
