--- a/crates/simulator/src/fault_search/run.rs
+++ b/crates/simulator/src/fault_search/run.rs
@@ -1,4 +1,4 @@
-//! Runs a schedule of faults against a cluster, and reports the violations.
+//! Runs a schedule of faults against a cluster, and reports violated invariants.
 
 use super::schedule::{FaultEvent, FaultKind, FaultSchedule};
 use super::users::{ReportedPhases, User, cancel_on_completion, draw_plans};
@@ -17,70 +17,72 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// The result of a run.
+/// The result of one run.
 #[derive(Debug, Clone, Serialize)]
 pub struct SearchOutcome {
     /// The schedule that was run.
     #[serde(rename = "day")]
     pub schedule: FaultSchedule,
-    /// Violations of invariants, a line each.
+    /// Violations of invariants, one line each; empty if all invariants hold.
     #[serde(rename = "broken")]
     pub violations: Vec<String>,
     /// The longest time from a confirmed cancellation to the end of the job's last task, in
     /// seconds.
     #[serde(rename = "cancelled_s")]
     pub longest_cancellation_s: f64,
-    /// Starts of tasks.
+    /// Number of task starts.
     pub started: usize,
-    /// Starts of tasks after a confirmed cancellation.
+    /// Number of task starts after the cancellation of the task's job was confirmed.
     #[serde(rename = "after_cancel")]
     pub starts_after_cancellation: usize,
-    /// The longest that a job waited after all faults though it could have started, in
-    /// seconds.
+    /// The longest time that a job waited after the end of all faults although it could have
+    /// started, in seconds.
     #[serde(rename = "waited_s")]
     pub longest_wait_s: f64,
 }
 
-/// The team's GPUs: with even seeds it has room for all jobs, with odd ones it is at its
-/// limit.
+/// GPU quota of the team, for even and for odd seeds: 60 suffice for all jobs, with 24 the
+/// team reaches its quota.
 const TEAM_GPUS: [f64; 2] = [60.0, 24.0];
-/// Time between two steps of a run, in seconds.
+/// Virtual time between two steps of a run, in seconds.
 const STEP_S: f64 = 0.05;
-/// Steps between two checks of the invariants.
+/// Number of steps between two checks of the invariants.
 const STEPS_PER_CHECK: usize = 20;
-/// When the first user submits a job, in seconds.
+/// When the first user submits a job, in seconds from the start of the run.
 const FIRST_SUBMISSION_S: f64 = 8.0;
 /// Time from the end of the last fault until the cluster must have recovered, in seconds.
 const RECOVERY_S: f64 = 35.0;
-/// Time after that, and after the last submission, in which all work must be done.
+/// Time in which all jobs must complete, in seconds. It begins at the end of the recovery
+/// time, or `SUBMISSIONS_END_S` into the run if that is later.
 const COMPLETION_S: f64 = 260.0;
-/// When all controllers crash, the others restart this much later than the first.
+/// After a crash of all controllers: delay between the restart of the first controller and
+/// that of the others, in seconds.
 const LATER_RESTART_S: f64 = 30.0;
-/// Boot time of machines with `FaultKind::FastBoots`.
+/// Boot time of machines that are rented after `FaultKind::FastBoots`.
 const FAST_BOOT: Duration = Duration::from_millis(1_200);
 
-/// A run with the events that were recorded.
+/// The result of a run with its recorded events.
 pub struct RecordedRun {
-    /// What came of it.
+    /// The result of the run.
     pub outcome: SearchOutcome,
-    /// The events, a line each; none unless they were to be recorded.
+    /// The events, one line each; empty if recording was not enabled.
     pub events: Vec<String>,
 }
 
-/// Runs a schedule; on a runtime with simulated time.
+/// Runs a schedule. The current runtime must use simulated time.
 pub async fn run(schedule: &FaultSchedule) -> SearchOutcome {
     run_with_events(schedule, false).await.outcome
 }
 
-/// Runs a schedule, and records its events if `record_events` is set; on a runtime with
-/// simulated time.
+/// Runs a schedule, and records its events if `record_events` is set. The current runtime
+/// must use simulated time.
 pub async fn run_with_events(schedule: &FaultSchedule, record_events: bool) -> RecordedRun {
     let mut run = Run::new(schedule, record_events);
     let recovered_s = schedule.end_s() + RECOVERY_S;
     let end_s = recovered_s.max(SUBMISSIONS_END_S) + COMPLETION_S;
     for step in 0..(end_s / STEP_S) as usize {
         let now_s = step as f64 * STEP_S;
-        run.follow_leader();
+        run.update_leader();
         run.apply_schedule(now_s);
         run.restart_crashed(now_s);
         sleep(Duration::from_secs_f64(STEP_S)).await;
@@ -94,21 +96,27 @@
     run.finish()
 }
 
+/// A crashed controller that is to be restarted.
 struct PendingRestart {
+    /// When it is restarted, in seconds from the start of the run.
     at_s: f64,
     controller: usize,
 }
 
+/// The state of a run.
 struct Run<'a> {
     schedule: &'a FaultSchedule,
     cluster: SimulatedCluster,
-    /// The latest leader.
+    /// Index of the current leader; while there is none, of the previous one.
     leader: usize,
+    /// The tasks of the simulated users.
     users: JoinSet<()>,
     reported_phases: ReportedPhases,
+    /// Incremented to make every second user cancel its job.
     cancel_signal: Arc<Observable<usize>>,
+    /// Whether every second job that completes is cancelled at that moment.
     cancels_on_completion: Arc<Observable<bool>>,
-    /// The platform's faults that are active, by the index of their event.
+    /// The active platform faults of each event, by the event's index in the schedule.
     active_faults: BTreeMap<usize, Vec<Fault>>,
     pending_restarts: Vec<PendingRestart>,
 }
@@ -117,9 +125,11 @@
     fn new(schedule: &FaultSchedule, record_events: bool) -> Run<'_> {
         let config = ClusterConfig {
             controllers: CONTROLLERS,
-            // Few writes per second: snapshots are made all the time.
+            // The log entries between two snapshots are proportional to this rate: with a low
+            // rate, snapshots are written continually.
             write_rps: 12.0,
-            // Whoever is away for half a minute has to list everything.
+            // Few retained changes: a controller that does not read the store for half a
+            // minute has to list it completely.
             retained_changes: 200,
             ..ClusterConfig::with_gpus(TEAM_GPUS[(schedule.seed % 2) as usize])
         };
@@ -168,9 +178,9 @@
         }
     }
 
-    /// Notices a change of the leader, and replays recorded heartbeats then: at the
-    /// beginning of a term old ones do the most harm.
-    fn follow_leader(&mut self) {
+    /// Updates the current leader. When it has changed, replays the recorded heartbeats of
+    /// workers: outdated heartbeats do the most harm at the beginning of a leader's term.
+    fn update_leader(&mut self) {
         let previous = self.leader;
         self.leader = self.cluster.elected_leader().unwrap_or(previous);
         if self.leader != previous {
@@ -180,25 +190,26 @@
         }
     }
 
+    /// Begins and ends the events that are due.
     fn apply_schedule(&mut self, now_s: f64) {
         let schedule = self.schedule;
         for (index, event) in schedule.events.iter().enumerate() {
             if now_s >= event.at_s && now_s < event.at_s + STEP_S {
-                self.begin(index, event, now_s);
+                self.begin_event(index, event, now_s);
             }
             if now_s >= event.end_s() {
-                self.end(index, event);
+                self.end_event(index, event);
             }
         }
     }
 
-    fn begin(&mut self, index: usize, event: &FaultEvent, now_s: f64) {
+    fn begin_event(&mut self, index: usize, event: &FaultEvent, now_s: f64) {
         let crashed = event.crashed_controllers(self.leader, CONTROLLERS);
         for (order, controller) in crashed.into_iter().enumerate() {
             self.cluster.crash(controller);
-            let later_s = if order == 0 { 0.0 } else { LATER_RESTART_S };
+            let extra_delay_s = if order == 0 { 0.0 } else { LATER_RESTART_S };
             self.pending_restarts.push(PendingRestart {
-                at_s: now_s + event.duration_s + later_s,
+                at_s: now_s + event.duration_s + extra_delay_s,
                 controller,
             });
         }
@@ -220,11 +231,11 @@
         self.active_faults.insert(index, faults);
     }
 
-    fn end(&mut self, index: usize, event: &FaultEvent) {
+    fn end_event(&mut self, index: usize, event: &FaultEvent) {
         let Some(ended) = self.active_faults.remove(&index) else {
             return;
         };
-        // Not those that another event keeps active.
+        // A fault that is also part of another active event stays active.
         let still_active: Vec<Fault> = self.active_faults.values().flatten().copied().collect();
         let ended = ended.iter().filter(|fault| !still_active.contains(fault));
         ended.for_each(|fault| self.cluster.platform.clear(*fault));
@@ -262,7 +273,8 @@
         }
     }
 
-    /// Accepted jobs that are neither done nor cancelled, but for services that run.
+    /// A violation for each accepted job that is neither done nor cancelled. Services only have
+    /// to be running.
     fn unserved_jobs(&self) -> Vec<String> {
         let checker = self.cluster.platform.checker();
         let is_service = |job: &String| {
--- a/crates/simulator/src/fault_search/schedule.rs
+++ b/crates/simulator/src/fault_search/schedule.rs
@@ -1,4 +1,4 @@
-//! Schedules of faults, drawn from a seed.
+//! Random schedules of faults, drawn from a seed.
 
 use crate::value_name::serialize_value_name;
 use clap::ValueEnum;
@@ -7,10 +7,10 @@
 use rushwalk_testkit::{Fault, ZONES};
 use serde::{Serialize, Serializer};
 
-/// A kind of fault, or a burst of user requests, that can be scheduled.
+/// A kind of event that can be scheduled: a fault, cancellations by users, or faster boots.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum FaultKind {
-    /// The store refuses the leader alone.
+    /// The store refuses the leader's requests only.
     #[value(name = "refused-leader")]
     LeaderStoreUnreachable,
     /// The leader reaches neither the store nor the other controllers.
@@ -19,25 +19,25 @@
     /// The store refuses all requests.
     #[value(name = "outage")]
     StoreOutage,
-    /// The store responds slowly.
+    /// The store takes 0.4 to 0.9 s for each response.
     #[value(name = "slow-state")]
     StoreSlow,
-    /// Some commits get no response and are applied late.
+    /// One commit in four gets no response and is applied 2 to 12 s later.
     #[value(name = "late-writes")]
     CommitsDelayed,
-    /// Some commits are applied but their responses are lost.
+    /// One commit in eight is applied but its response is lost.
     #[value(name = "lost-answers")]
     CommitResponsesLost,
-    /// Copies of workers' heartbeats arrive late.
+    /// Half of the workers' heartbeats arrive a second time, 2 to 60 s later.
     #[value(name = "late-reports")]
     HeartbeatsDuplicated,
-    /// Responses and commands to some machines are lost.
+    /// Responses and direct commands to a third of the machines are lost.
     #[value(name = "deaf-machines")]
     MachinesInboundLoss,
-    /// Some machines are suspended, and run what was sent to them when they resume.
+    /// A third of the machines is suspended; commands sent to them run when they resume.
     #[value(name = "hung-machines")]
     MachinesFrozen,
-    /// Messages between the leader and workers are queued.
+    /// Messages between the leader and workers are queued until the fault ends.
     #[value(name = "held-from-workers")]
     LeaderWorkerMessagesDelayed,
     /// No message passes between the leader and workers.
@@ -46,43 +46,44 @@
     /// The leader's process is suspended.
     #[value(name = "frozen")]
     LeaderFrozen,
-    /// The leader crashes and restarts after the duration.
+    /// The leader crashes and restarts after the event's duration.
     #[value(name = "end-leader")]
     LeaderCrash,
-    /// Another controller crashes and restarts after the duration.
+    /// A follower crashes and restarts after the event's duration.
     #[value(name = "end-other")]
     FollowerCrash,
-    /// All controllers crash; one restarts after the duration, the others 30 s later.
+    /// All controllers crash; one restarts after the event's duration, the others 30 s later.
     #[value(name = "end-all")]
     AllCrash,
-    /// Heartbeats of some machines are lost; direct commands reach them.
+    /// Heartbeats of a third of the machines are lost; direct commands reach them.
     #[value(name = "mute-machines")]
     MachinesOutboundLoss,
-    /// No message passes to or from some machines.
+    /// No message passes to or from a third of the machines.
     #[value(name = "cut-machines")]
     MachinesPartitioned,
-    /// Some workers restart with their next session.
+    /// A third of the workers restarts: their tasks are lost and new sessions begin.
     #[value(name = "restart-machines")]
     MachinesRestart,
-    /// A zone is partitioned off with its workers and its controller.
+    /// A zone with its workers and its controllers is partitioned from the other zones.
     #[value(name = "cut-zone")]
     ZonePartitioned,
-    /// Heartbeats are recorded, and sent to everybody after each change of the leader.
+    /// Workers' heartbeats are recorded, and replayed to all controllers after each change of
+    /// the leader.
     #[value(name = "kept-reports")]
     HeartbeatsReplayed,
-    /// Users cancel every second job at once.
+    /// Every second user immediately cancels its job, unless the job has ended.
     #[value(name = "cancel-now")]
     CancelHalf,
     /// Every second job that completes is cancelled at that moment.
     #[value(name = "cancel-at-end")]
     CancelOnCompletion,
-    /// Machines rented from now on are ready within two seconds.
+    /// Machines rented after the event begins are ready within two seconds.
     #[value(name = "quick-boots")]
     FastBoots,
 }
 
 impl FaultKind {
-    /// How long such a fault may last, in seconds.
+    /// The durations from which an event of this kind draws, in seconds.
     fn durations_s(self) -> &'static [f64] {
         match self {
             FaultKind::LeaderCrash | FaultKind::FollowerCrash | FaultKind::AllCrash => {
@@ -94,21 +95,21 @@
 }
 
 impl Serialize for FaultKind {
-    /// By the name that it has on the command line.
+    /// Writes the value's name on the command line.
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         serialize_value_name(self, serializer)
     }
 }
 
-/// A scheduled fault.
+/// A scheduled event.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct FaultEvent {
-    /// What happens.
+    /// The kind of event.
     #[serde(rename = "trouble")]
     pub kind: FaultKind,
     /// When it begins, in seconds from the start of the run.
     pub at_s: f64,
-    /// How long it lasts, in seconds.
+    /// How long it lasts, in seconds; for crashes, the delay until the first restart.
     #[serde(rename = "for_s")]
     pub duration_s: f64,
     /// A random number that selects the machines or the zone.
@@ -116,9 +117,9 @@
     pub target: usize,
 }
 
-/// When the first faults begin, in seconds.
+/// The earliest time at which an event begins, in seconds from the start of the run.
 const FIRST_FAULT_S: f64 = 35.0;
-/// Over what time their beginnings are spread, in seconds.
+/// Length of the period in which events begin, in seconds.
 const FAULT_SPREAD_S: f64 = 70.0;
 
 impl FaultEvent {
@@ -140,8 +141,8 @@
         self.at_s + self.duration_s
     }
 
-    /// The platform's faults that are active while it lasts, with the leader and the number
-    /// of machines at its beginning.
+    /// The platform faults that are active during the event. `leader` is the index of the
+    /// leader and `machines` the number of machines when the event begins.
     pub(super) fn platform_faults(&self, leader: usize, machines: usize) -> Vec<Fault> {
         let on_machines = |fault: fn(usize) -> Fault| {
             let third = machines.div_ceil(3);
@@ -180,7 +181,7 @@
         }
     }
 
-    /// The controllers that crash when it begins.
+    /// Indexes of the controllers that crash when the event begins.
     pub(super) fn crashed_controllers(&self, leader: usize, controllers: usize) -> Vec<usize> {
         match self.kind {
             FaultKind::LeaderCrash => vec![leader],
@@ -191,34 +192,34 @@
     }
 }
 
-/// What is drawn from a seed.
+/// The events of one run, drawn from a seed.
 #[derive(Debug, Clone, Serialize)]
 pub struct FaultSchedule {
-    /// The seed, by which also everything else of the run is drawn.
+    /// The seed of all random choices of the run.
     pub seed: u64,
-    /// The faults.
+    /// The events, in the order in which they were drawn.
     pub events: Vec<FaultEvent>,
 }
 
 impl FaultSchedule {
-    /// Draws so many faults of some kinds.
-    pub fn draw(seed: u64, faults: usize, kinds: &[FaultKind]) -> FaultSchedule {
+    /// Draws `events` events of the given kinds.
+    pub fn draw(seed: u64, events: usize, kinds: &[FaultKind]) -> FaultSchedule {
         let mut random = SmallRng::seed_from_u64(seed);
-        let events = (0..faults).map(|_| FaultEvent::draw(&mut random, kinds));
+        let events = (0..events).map(|_| FaultEvent::draw(&mut random, kinds));
         FaultSchedule {
             seed,
             events: events.collect(),
         }
     }
 
-    /// The schedule without one of its faults.
+    /// The schedule without the event at `index`.
     pub fn without(&self, index: usize) -> FaultSchedule {
         let mut schedule = self.clone();
         schedule.events.remove(index);
         schedule
     }
 
-    /// When the last fault ends, in seconds; 0 without any.
+    /// When the last event ends, in seconds from the start of the run; 0 without events.
     pub(super) fn end_s(&self) -> f64 {
         self.events
             .iter()
--- a/crates/simulator/src/fault_search/users.rs
+++ b/crates/simulator/src/fault_search/users.rs
@@ -1,4 +1,4 @@
-//! Simulated users: each submits one job, queries it and may cancel it.
+//! Simulated users. Each submits one job, queries its status and may cancel it.
 
 use super::{CONTROLLERS, SUBMISSIONS_END_S};
 use crate::cluster::{JobResponse, job, query_all_controllers, request};
@@ -13,24 +13,30 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::time::{Instant, sleep, timeout};
 
-/// How long a user tries to submit a job.
-const SUBMIT_PATIENCE: Duration = Duration::from_secs(60);
-/// Pause between queries about an open job.
+/// Time after which a user whose job is not accepted gives up.
+const SUBMIT_TIMEOUT: Duration = Duration::from_secs(60);
+/// Pause between queries for a job that is neither done nor cancelled.
 const QUERY_INTERVAL: Duration = Duration::from_secs(5);
-/// Pause between queries about a job in its final phase.
+/// Pause between queries for a job that is done or cancelled.
 const FINAL_QUERY_INTERVAL: Duration = Duration::from_secs(20);
 
-/// What a user does with one job.
+/// A user's job, and what the user does with it.
 pub(super) struct UserPlan {
-    /// When the job is submitted, in seconds from the first.
+    /// When the job is submitted, in seconds from the first user's submission.
     pub(super) submit_at_s: f64,
+    /// The job's id.
     job: String,
+    /// The protocol's name of the shape.
     shape: &'static str,
     tasks: u32,
+    /// GPUs of each task.
     gpus: f64,
+    /// Estimated run time of each task.
     run_time_s: f64,
+    /// Seconds from the job's acceptance to its cancellation; `None` if none is planned.
     cancel_after_s: Option<f64>,
-    /// Whether the user queries all controllers within milliseconds after each change.
+    /// Whether the user queries all controllers within milliseconds, once after the job's
+    /// acceptance and once in its final phase.
     queries_all_controllers: bool,
 }
 
@@ -51,7 +57,8 @@
         }
     }
 
-    /// Makes the job known to the checker. Tasks of an array end far apart.
+    /// Registers the job with the invariant checker. An array's tasks run for different
+    /// multiples of the estimated run time, so that they end far apart.
     fn register(&self, platform: &SimulatedPlatform, spec: JobSpec) {
         let mut checker = platform.checker();
         checker.jobs.insert(self.job.clone(), spec);
@@ -66,7 +73,7 @@
     }
 }
 
-/// Draws the users' plans.
+/// Draws the plans of all users, ordered by the time of submission.
 pub(super) fn draw_plans(random: &mut SmallRng) -> Vec<UserPlan> {
     let mut plans = Vec::new();
     let mut submit_at_s = 0.0;
@@ -77,10 +84,11 @@
     plans
 }
 
-/// The last phase reported to each job's user; `None` if the job is only accepted yet.
+/// The phase last reported for each accepted job, by job id; `None` if no phase has been
+/// reported yet.
 type PhasesByJob = BTreeMap<String, Option<StatusPhase>>;
 
-/// The phases reported to all users so far.
+/// The latest reported phase of each accepted job, shared by all users of a run.
 #[derive(Clone, Default)]
 pub(super) struct ReportedPhases(Arc<Mutex<PhasesByJob>>);
 
@@ -94,23 +102,24 @@
     }
 }
 
-/// The load balancer: sends requests to the healthy controllers, round robin.
+/// A load balancer that sends requests to the healthy controllers in turn.
 struct LoadBalancer {
     platform: Arc<SimulatedPlatform>,
-    /// Counts the health checks; selects the controller.
-    next: usize,
+    /// Incremented by each health check. Modulo `CONTROLLERS`, it is the index of the controller
+    /// that was checked last.
+    last_checked: usize,
 }
 
 impl LoadBalancer {
-    /// The next controller whose health check succeeds.
+    /// The next controller whose health check succeeds; `None` if all of them fail.
     async fn next_healthy(&mut self) -> Option<usize> {
         for _ in 0..CONTROLLERS {
-            self.next += 1;
-            let controller = self.next % CONTROLLERS;
-            let health = self
-                .platform
-                .user_request(controller, "GET", "/healthz", Vec::new());
-            let health = timeout(Duration::from_secs(1), health).await;
+            self.last_checked += 1;
+            let controller = self.last_checked % CONTROLLERS;
+            let health_check =
+                self.platform
+                    .user_request(controller, "GET", "/healthz", Vec::new());
+            let health = timeout(Duration::from_secs(1), health_check).await;
             if matches!(health, Ok(Some(response)) if response.status == 200) {
                 return Some(controller);
             }
@@ -118,6 +127,8 @@
         None
     }
 
+    /// Sends a request to the next healthy controller. Without one, the request is recorded as
+    /// one without a response.
     async fn request(&mut self, kind: Request, job: &str, body: &str) -> Option<JobResponse> {
         match self.next_healthy().await {
             Some(controller) => request(&self.platform, controller, kind, job, body).await,
@@ -131,20 +142,21 @@
     }
 }
 
-/// A user with one job.
+/// A simulated user with one job.
 pub(super) struct User {
     pub(super) platform: Arc<SimulatedPlatform>,
     pub(super) plan: UserPlan,
-    /// The user's number, by which its first controller is chosen.
+    /// The user's number, in order of submission. It selects the controller that gets the first
+    /// request; users with an even number react to the cancel signal.
     pub(super) number: usize,
     pub(super) reported_phases: ReportedPhases,
-    /// Changes when every second user is to cancel.
+    /// Changes when the users with an even number are to cancel their jobs.
     pub(super) cancel_signal: Arc<Observable<usize>>,
 }
 
 impl User {
-    /// Submits the job, queries it until the end of the run, and cancels it if that is
-    /// planned or signalled.
+    /// Submits the job, then queries it until this future is dropped at the end of the run.
+    /// Cancels the job if that is planned or signalled.
     pub(super) async fn run(self) {
         let plan = &self.plan;
         let body = job(
@@ -160,7 +172,7 @@
         plan.register(&self.platform, spec);
         let mut balancer = LoadBalancer {
             platform: self.platform.clone(),
-            next: self.number,
+            last_checked: self.number,
         };
         if !self.submit(&mut balancer, &body).await {
             return;
@@ -169,57 +181,59 @@
         if plan.queries_all_controllers {
             query_all_controllers(&self.platform, &plan.job, &body).await;
         }
-        self.follow(&mut balancer, &body).await;
+        self.poll_job(&mut balancer, &body).await;
     }
 
-    /// Submits the job until it is accepted; false if that takes too long.
+    /// Submits the job repeatedly until it is accepted. Returns false if it is not accepted
+    /// within `SUBMIT_TIMEOUT`.
     async fn submit(&self, balancer: &mut LoadBalancer, body: &str) -> bool {
-        let began = Instant::now();
+        let submit_started = Instant::now();
         loop {
             let response = balancer.request(Request::Submit, &self.plan.job, body);
             if response.await.is_some_and(|response| response.is_success()) {
                 return true;
             }
-            if began.elapsed() > SUBMIT_PATIENCE {
+            if submit_started.elapsed() > SUBMIT_TIMEOUT {
                 return false;
             }
             sleep(Duration::from_secs(1)).await;
         }
     }
 
-    /// Queries the job until the end of the run, and cancels it once that is due.
-    async fn follow(&self, balancer: &mut LoadBalancer, body: &str) {
+    /// Queries the job in a loop without end, and cancels it once that is due.
+    async fn poll_job(&self, balancer: &mut LoadBalancer, body: &str) {
         let job = &self.plan.job;
-        let mut follower = JobFollower::new(self);
+        let mut polling = JobPolling::new(self);
         loop {
-            let kind = follower.next_request();
+            let kind = polling.next_request();
             let response = balancer.request(kind, job, "").await;
             let phase = response.as_ref().and_then(JobResponse::phase);
-            follower.record_response(kind, phase);
+            polling.record_response(kind, phase);
             let is_final = matches!(phase, Some(StatusPhase::Done | StatusPhase::Cancelled));
             if is_final {
-                follower.query_final_phase(body).await;
+                polling.query_final_phase(body).await;
             }
-            follower.wait(is_final).await;
+            polling.wait(is_final).await;
         }
     }
 }
 
-/// What a user whose job is accepted does next.
-struct JobFollower<'a> {
+/// The state of a user's requests about an accepted job.
+struct JobPolling<'a> {
     user: &'a User,
     accepted: Instant,
-    /// Seconds after the acceptance at which the job is to be cancelled.
+    /// Seconds from the acceptance until the job is to be cancelled; `None` if no cancellation
+    /// is planned, or it is confirmed.
     cancel_after_s: Option<f64>,
-    /// Whether all controllers have been queried for the final phase.
+    /// Whether all controllers have been queried about the final phase.
     final_phase_queried: bool,
-    /// The latest cancel signal that was seen.
+    /// The value of the cancel signal that this user has reacted to.
     seen_signal: usize,
 }
 
-impl JobFollower<'_> {
-    fn new(user: &User) -> JobFollower<'_> {
-        JobFollower {
+impl JobPolling<'_> {
+    fn new(user: &User) -> JobPolling<'_> {
+        JobPolling {
             user,
             accepted: Instant::now(),
             cancel_after_s: user.plan.cancel_after_s,
@@ -237,7 +251,8 @@
         }
     }
 
-    /// Records the phase in a response; `None` if there was none.
+    /// Records the phase that a response reports; `None` if the request failed or got no
+    /// response.
     fn record_response(&mut self, request: Request, phase: Option<StatusPhase>) {
         if phase.is_some() {
             self.user.reported_phases.set(&self.user.plan.job, phase);
@@ -247,7 +262,8 @@
         }
     }
 
-    /// Queries all controllers for the final phase, once and if that is planned.
+    /// Queries all controllers about the final phase if that is planned; only the first call
+    /// has an effect.
     async fn query_final_phase(&mut self, body: &str) {
         let plan = &self.user.plan;
         if plan.queries_all_controllers && !self.final_phase_queried {
@@ -268,8 +284,8 @@
             biased;
             signal = self.user.cancel_signal.wait_for(|signal| signal != seen) => {
                 self.seen_signal = signal;
-                let follows_signal = self.user.number.is_multiple_of(2);
-                if follows_signal && !is_final {
+                let reacts_to_signal = self.user.number.is_multiple_of(2);
+                if reacts_to_signal && !is_final {
                     self.cancel_after_s = Some(0.0);
                 }
             }
@@ -278,7 +294,8 @@
     }
 }
 
-/// Cancels every second job at the moment of its completion, while that is enabled.
+/// Receives the ids of jobs as they complete. While `enabled`, cancels every second job at the
+/// moment of its completion.
 pub(super) async fn cancel_on_completion(
     platform: Arc<SimulatedPlatform>,
     mut completions: UnboundedReceiver<String>,
