--- a/crates/simulator/src/error.rs
+++ b/crates/simulator/src/error.rs
@@ -2,10 +2,10 @@
 
 use std::path::PathBuf;
 
-/// Why a simulation could not run, or its result not be written.
+/// Why a simulation could not run, or its result could not be written.
 #[derive(Debug, thiserror::Error)]
 pub enum SimulatorError {
-    /// No runtime could be created.
+    /// The asynchronous runtime could not be created.
     #[error(transparent)]
     Runtime(#[from] std::io::Error),
     /// A result could not be written as JSON.
@@ -16,7 +16,7 @@
     Plot {
         /// The file that was to be written.
         path: PathBuf,
-        /// What the drawing library reports.
+        /// The error of the drawing library.
         source: Box<dyn std::error::Error + Send + Sync>,
     },
 }
--- a/crates/simulator/src/inspect.rs
+++ b/crates/simulator/src/inspect.rs
@@ -1,4 +1,4 @@
-//! Access to a running controller's internal state, in one place.
+//! Access to the internal state of running controllers, for tests and measurements.
 
 use rushwalk::controller::Controller;
 use rushwalk::observability::work_profile::WorkKind;
@@ -7,16 +7,17 @@
 use std::collections::BTreeMap;
 use tokio::time::Instant;
 
-/// Another controller that a controller does not take for healthy.
+/// A controller that another controller, the observer, suspects or has declared failed.
 #[derive(Debug, Clone, PartialEq)]
 pub struct UnhealthyPeer {
-    /// The other controller's name.
+    /// The name of the unhealthy controller.
     pub member: String,
-    /// Whether it is declared failed, not only suspected.
+    /// Whether it is declared failed; otherwise it is suspected.
     pub failed: bool,
-    /// Whether the reason is the end of its lease in the store, not other evidence.
+    /// Whether the reason is the expiry of its member lease in the store; otherwise it is
+    /// evidence from heartbeats.
     pub lease_expired: bool,
-    /// Since when, in seconds of the observing controller's uptime.
+    /// When it became unhealthy, in seconds of the observer's uptime.
     pub since_s: f64,
 }
 
@@ -25,39 +26,40 @@
 pub struct MachineInfo {
     /// The machine's name.
     pub name: String,
-    /// The shard it belongs to.
+    /// The name of the shard it belongs to.
     pub shard: String,
-    /// Whether it has been ready.
+    /// Whether it has become ready since it was rented.
     pub ready: bool,
 }
 
-/// Whether a controller leads, by its own state.
+/// Whether a controller considers itself the leader.
 pub fn is_leader(controller: &Controller) -> bool {
     controller.leadership.is_leader()
 }
 
-/// The revision of the leader's key in a controller's state, if there is a leader.
+/// The revision at which the leader key was written, as known to a controller; `None` if there
+/// is no leader.
 pub fn leader_revision(controller: &Controller) -> Option<u64> {
     let state = controller.replica.state();
     state.leader.as_ref().map(|leader| leader.version)
 }
 
-/// The store's revision that a controller's state has reached.
+/// The store revision up to which a controller's state is complete.
 pub fn revision(controller: &Controller) -> u64 {
     controller.replica.state().revision
 }
 
-/// Generation of the latest snapshot in a controller's state.
+/// The generation of the latest snapshot that a controller knows of.
 pub fn snapshot_generation(controller: &Controller) -> u64 {
     controller.replica.state().snapshot.generation
 }
 
-/// Number of jobs in a controller's state.
+/// The number of jobs in a controller's state.
 pub fn job_count(controller: &Controller) -> usize {
     controller.replica.state().jobs.len()
 }
 
-/// A job's status in a controller's state.
+/// The status of a job in a controller's state; `None` if the state does not hold the job.
 pub fn job_status(controller: &Controller, job: &str) -> Option<JobStatus> {
     controller.replica.state().job_status(job)
 }
@@ -78,7 +80,7 @@
     machines.collect()
 }
 
-/// The owner of each shard in a controller's state.
+/// The owner of each leased shard in a controller's state, by the shard's name.
 pub fn shard_owners(controller: &Controller) -> BTreeMap<String, String> {
     let state = controller.replica.state();
     let leases = state.shard_leases.iter();
@@ -87,8 +89,8 @@
         .collect()
 }
 
-/// Whether a controller's state holds its own membership, and no shard lease of a process
-/// that ran under its name before.
+/// Whether a controller's state holds the membership of its present process, and no shard lease
+/// of an earlier process with the same name.
 pub fn is_registered_without_earlier_leases(controller: &Controller) -> bool {
     let state = controller.replica.state();
     let context = &controller.context;
@@ -97,12 +99,13 @@
     is_registered && !state.has_stale_lease(context.member(), context.incarnation)
 }
 
-/// When a controller last finished a scheduling round as leader, or came to lead.
+/// When a controller last finished a scheduling round as leader or, if that is later, acquired
+/// leadership; `None` if it has done neither.
 pub fn last_round(controller: &Controller) -> Option<Instant> {
     controller.leadership.last_round()
 }
 
-/// The other controllers that a controller suspects or has declared failed.
+/// The controllers that `controller` suspects or has declared failed.
 pub fn unhealthy_peers(controller: &Controller) -> Vec<UnhealthyPeer> {
     let local_health = controller.local_health().now();
     let now_s = controller.context.uptime_s();
@@ -120,8 +123,8 @@
         .collect()
 }
 
-/// Of some machines, those whose shard a controller owns and that sent it a heartbeat after
-/// a time.
+/// The machines among `names` whose shard is owned by the controller and whose latest heartbeat
+/// or response reached it after `since`.
 pub fn machines_with_heartbeat_since(
     controller: &Controller,
     since: Instant,
@@ -143,20 +146,22 @@
         .collect()
 }
 
-/// Pretends that a controller's timers are late by some quarters of its round.
+/// Adds a simulated lag to a controller's timers, in quarters of the round interval; 0 removes
+/// it.
 pub fn set_timer_lag(controller: &Controller, quarters_of_round: u32) {
     let lag = controller.context.timing.round * quarters_of_round / 4;
     controller.runtime_lag.set_simulated_lag(lag);
 }
 
-/// Lets a controller campaign for leadership once, with a new lease, whatever its membership.
-/// Panics if the store grants no lease.
+/// Makes a controller campaign for leadership once with a new member lease, whether or not it is
+/// registered as a member. Panics if the store grants no lease.
 pub async fn campaign(controller: &Controller) {
     let lease = controller.membership.new_lease().await.unwrap();
     controller.election().campaign(lease).await;
 }
 
-/// Machines that a controller has reconciled so far, counted each time.
+/// How many machines a controller has reconciled since its start. A machine counts once for each
+/// time it is reconciled.
 pub fn reconciled_machines(controller: &Controller) -> u64 {
     controller.work_profile.items(WorkKind::Reconcile)
 }
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,7 +1,7 @@
-//! Simulations of controllers on virtual time: whole controllers under schedules of faults,
-//! against the simulated platform of `rushwalk-testkit`; and the failure detector alone,
-//! against a model of the network. For tests, for measurements, and to see the service
-//! survive failures without any platform.
+//! Simulations on virtual time: whole controllers under schedules of faults, on the simulated
+//! platform of `rushwalk-testkit`; and the failure detector alone, on a model of the network.
+//! They are used in tests, for measurements, and to demonstrate failover without a real
+//! platform.
 #![deny(missing_docs)]
 
 pub mod cluster;
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -1,4 +1,4 @@
-//! `rushwalk-simulator`: controllers and their failures on virtual time.
+//! `rushwalk-simulator`: simulates failures of controllers on virtual time.
 
 mod commands;
 mod parallel;
@@ -8,8 +8,8 @@
 use commands::{detector_sweep, failover, search};
 use std::process::ExitCode;
 
-/// Fails controllers against a simulated platform, on virtual time, and measures what it
-/// costs. Without a subcommand: the leader of three controllers crashes.
+/// Simulates failures of controllers on virtual time, on a simulated platform, and measures
+/// their effects. Without a subcommand, measures crashes of the leader of three controllers.
 #[derive(Parser)]
 #[command(version, about)]
 struct Cli {
@@ -19,11 +19,11 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Measure failovers of whole controllers with machines and jobs.
+    /// Measure failovers of complete controllers that schedule jobs on simulated machines.
     Failover(failover::FailoverArgs),
-    /// Run random combinations of faults, to find violated invariants.
+    /// Search for violated invariants with random combinations of faults.
     Search(search::SearchArgs),
-    /// Measure the failure detector alone: false positives beside the time to detection.
+    /// Measure the false positives and the time to detection of the failure detector alone.
     DetectorSweep(detector_sweep::DetectorSweepArgs),
 }
 
--- a/crates/simulator/src/parallel.rs
+++ b/crates/simulator/src/parallel.rs
@@ -1,17 +1,18 @@
-//! Work on several threads, with a progress bar.
+//! Runs work on several threads and shows a progress bar.
 
 use indicatif::{ProgressBar, ProgressStyle};
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::thread;
 
-/// The result for one of the items.
+/// The result for the item at `index`.
 struct IndexedResult<T> {
     index: usize,
     result: T,
 }
 
-/// Applies `work` to each item, on at most so many threads. Results are in the items' order.
+/// Applies `work` to each item, on at most `max_threads` threads and at most one per processor.
+/// The results are in the order of the items.
 pub(crate) fn map<T: Send, I: Sync>(
     max_threads: usize,
     items: &[I],
@@ -20,13 +21,13 @@
     let threads = thread::available_parallelism().map_or(1, |threads| threads.get());
     let threads = threads.min(max_threads).min(items.len());
     let bar = progress_bar(items.len());
-    let next = AtomicUsize::new(0);
+    let next_index = AtomicUsize::new(0);
     let results: Mutex<Vec<IndexedResult<T>>> = Mutex::new(Vec::new());
     thread::scope(|scope| {
         for _ in 0..threads {
             scope.spawn(|| {
                 loop {
-                    let index = next.fetch_add(1, Ordering::Relaxed);
+                    let index = next_index.fetch_add(1, Ordering::Relaxed);
                     let Some(item) = items.get(index) else {
                         return;
                     };
--- a/crates/simulator/src/plot.rs
+++ b/crates/simulator/src/plot.rs
@@ -1,24 +1,24 @@
-//! Distributions as SVG plots.
+//! SVG plots of distributions.
 
 use crate::error::SimulatorError;
 use plotters::prelude::*;
 use std::path::Path;
 
 /// Width and height of a plot in pixels.
-const SIZE: (u32, u32) = (760, 420);
+const SIZE_PX: (u32, u32) = (760, 420);
 
-/// Measurements that are drawn as one line.
+/// Measurements whose distribution is drawn as one line.
 pub struct Series {
-    /// The line's label.
+    /// The line's label in the legend.
     pub name: String,
-    /// The measurements, in seconds and any order.
+    /// The measurements in seconds, in any order.
     pub values: Vec<f64>,
 }
 
-/// Draws the cumulative distribution of each series as steps.
+/// Writes an SVG file with the cumulative distribution of each series as a step function.
 ///
 /// # Errors
-/// If the file can't be written.
+/// If the plot can't be drawn or the file can't be written.
 pub fn cumulative_distributions(
     path: &Path,
     title: &str,
@@ -33,7 +33,7 @@
 fn draw(path: &Path, title: &str, series: &[Series]) -> Result<(), Box<dyn std::error::Error>> {
     let values = series.iter().flat_map(|series| &series.values);
     let max = values.fold(1.0f64, |max, value| max.max(*value));
-    let root = SVGBackend::new(path, SIZE).into_drawing_area();
+    let root = SVGBackend::new(path, SIZE_PX).into_drawing_area();
     root.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&root)
         .caption(title, ("sans-serif", 18))
@@ -48,7 +48,7 @@
         .draw()?;
     for (index, series) in series.iter().enumerate() {
         let color = Palette99::pick(index).to_rgba();
-        let line = LineSeries::new(steps(&series.values, max), color.stroke_width(2));
+        let line = LineSeries::new(step_points(&series.values, max), color.stroke_width(2));
         chart
             .draw_series(line)?
             .label(series.name.as_str())
@@ -63,8 +63,8 @@
     Ok(())
 }
 
-/// Points of the cumulative distribution, up to `max`.
-fn steps(values: &[f64], max: f64) -> Vec<(f64, f64)> {
+/// The corners of the cumulative distribution's step function, from 0 to `max`.
+fn step_points(values: &[f64], max: f64) -> Vec<(f64, f64)> {
     let mut values = values.to_vec();
     values.sort_by(f64::total_cmp);
     let count = values.len().max(1) as f64;
--- a/crates/simulator/src/value_name.rs
+++ b/crates/simulator/src/value_name.rs
@@ -1,9 +1,9 @@
-//! Names of values on the command line, which reports share.
+//! The names that enum values have on the command line; the output uses the same names.
 
 use clap::ValueEnum;
 use serde::Serializer;
 
-/// The name that a value has on the command line.
+/// The name of a value on the command line; empty for a value that is hidden from it.
 pub fn value_name(value: &impl ValueEnum) -> String {
     let value = value.to_possible_value();
     value.map_or(String::new(), |value| value.get_name().to_string())
--- a/crates/simulator/src/virtual_time.rs
+++ b/crates/simulator/src/virtual_time.rs
@@ -1,8 +1,9 @@
-//! A runtime whose clock is simulated: it advances at once when all tasks wait.
+//! A runtime with a simulated clock: when all tasks are waiting, the clock jumps to the next
+//! timer that is due.
 
 use crate::error::SimulatorError;
 
-/// Runs a future on a single-threaded runtime of its own with simulated time.
+/// Runs a future on a new single-threaded runtime with simulated time.
 ///
 /// # Errors
 /// If the runtime can't be created.
