--- a/crates/simulator/src/detector_model.rs
+++ b/crates/simulator/src/detector_model.rs
@@ -1,10 +1,11 @@
-//! The failure detector alone, against a model of the network: thousands of
-//! controller-hours in seconds, where simulations of whole controllers play minutes.
+//! Simulates the failure detector alone, on a model of the network. It covers thousands of
+//! controller-hours in the seconds in which simulations of whole controllers cover minutes.
 //!
-//! Controllers send each other heartbeats; messages take some milliseconds, now and then
-//! hundreds, and some are lost; controllers pause at times, as processes with a share of a
-//! processor do. Nobody writes to the log and no lease expires: all evidence here is from
-//! heartbeats, which is the least there ever is.
+//! Controllers send each other heartbeats. Most messages take some milliseconds, a few take
+//! hundreds, and some heartbeats are lost. Controllers pause occasionally, like processes that
+//! get only a share of a processor. The model has no store: there are no log entries and no
+//! lease expires, so the detectors have no evidence but heartbeats. A real cluster always
+//! provides at least this evidence.
 
 mod model;
 #[cfg(test)]
@@ -15,24 +16,25 @@
 use rushwalk_failure_detector::DetectorConfig;
 use statrs::distribution::{ContinuousCDF, Gamma};
 
-/// The network and the controllers' pauses.
+/// Parameters of the network and of the controllers' pauses.
 #[derive(Debug, Clone)]
 pub struct Network {
     /// Number of controllers.
     pub controllers: usize,
-    /// Share of heartbeats that are lost.
+    /// Share of heartbeats that are lost, 0 to 1.
     pub loss_share: f64,
-    /// Share of messages that take up to `slow_max_s`.
+    /// Share of messages whose latency is drawn from 0 to `slow_max_s`, 0 to 1; the others take 1
+    /// to 20 ms.
     pub slow_share: f64,
-    /// The longest that a message takes, in seconds.
+    /// The highest latency of a message, in seconds.
     pub slow_max_s: f64,
-    /// Mean time between a controller's pauses, in seconds.
+    /// Mean time from the end of a controller's pause to its next one, in seconds.
     pub mean_time_between_pauses_s: f64,
     /// The longest pause, in seconds.
     pub pause_max_s: f64,
 }
 
-/// How a controller fails in the model.
+/// What other controllers observe when they send heartbeats to a failed one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FailureMode {
     /// Its host refuses connections.
@@ -41,14 +43,14 @@
     Silent,
 }
 
-/// Errors of the detectors over some time without any failure.
+/// Wrong decisions of the detectors while no controller fails.
 #[derive(Debug, Clone, Default)]
 pub struct ErrorCounts {
-    /// Hours times controllers.
+    /// Simulated hours times the number of controllers.
     pub controller_hours: f64,
-    /// How often one controller suspected another.
+    /// How many times a controller suspected another.
     pub suspicions: u64,
-    /// How often one controller declared another failed.
+    /// How many times a controller declared another failed.
     pub false_positives: u64,
 }
 
@@ -76,29 +78,33 @@
 pub struct RateEstimate {
     /// Events per hour.
     pub per_hour: f64,
-    /// Lower bound.
+    /// Lower bound of the interval, in events per hour.
     pub low: f64,
-    /// Upper bound.
+    /// Upper bound of the interval, in events per hour.
     pub high: f64,
 }
 
 impl RateEstimate {
-    /// The rate of events over some hours. The interval is the exact one for Poisson counts
+    /// The rate of `count` events in `hours`. The interval is the exact one for Poisson counts
     /// (F. Garwood, "Fiducial limits for the Poisson distribution", Biometrika 28, 1936).
     pub fn new(count: u64, hours: f64) -> RateEstimate {
         let quantile =
             |shape: f64, p: f64| Gamma::new(shape, 1.0).map_or(0.0, |gamma| gamma.inverse_cdf(p));
-        let n = count as f64;
-        let low = if count == 0 { 0.0 } else { quantile(n, 0.025) };
+        let events = count as f64;
+        let low = if count == 0 {
+            0.0
+        } else {
+            quantile(events, 0.025)
+        };
         RateEstimate {
-            per_hour: n / hours,
+            per_hour: events / hours,
             low: low / hours,
-            high: quantile(n + 1.0, 0.975) / hours,
+            high: quantile(events + 1.0, 0.975) / hours,
         }
     }
 }
 
-/// Simulates controllers for some hours in which none fails.
+/// Simulates controllers for `hours` without a failure, and counts the detectors' errors.
 pub fn simulate_healthy(
     network: &Network,
     config: &DetectorConfig,
@@ -113,8 +119,8 @@
     }
 }
 
-/// From a controller's failure until the first other declares it failed, in seconds; `None`
-/// if none does within a minute.
+/// Seconds from a controller's failure until the first other controller declares it failed;
+/// `None` if none does within 60 s. The failure happens 60 to 70 s after the start.
 pub fn time_to_detection(
     network: &Network,
     config: &DetectorConfig,
--- a/crates/simulator/src/detector_model/model.rs
+++ b/crates/simulator/src/detector_model/model.rs
@@ -1,4 +1,4 @@
-//! The discrete-event model of controllers that send each other heartbeats.
+//! Discrete-event simulation of controllers that send each other heartbeats.
 
 use super::{ErrorCounts, FailureMode, Network};
 use crate::cluster::member_name;
@@ -12,36 +12,38 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
-/// A controller that fails.
+/// The failure of a controller.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct FailedController {
     pub(super) controller: usize,
-    /// When it fails, in seconds.
+    /// When it fails, in seconds from the start.
     pub(super) at_s: f64,
     pub(super) mode: FailureMode,
 }
 
-/// Something that happens to a controller.
+/// A simulated event. Controllers are given by their indexes.
 enum Event {
-    SendHeartbeat {
-        from: usize,
-        to: usize,
-    },
+    /// `from` sends a heartbeat to `to`.
+    SendHeartbeat { from: usize, to: usize },
+    /// The response to a heartbeat of `from` arrives.
     ResponseReceived {
         from: usize,
         response: Box<PeerHeartbeat>,
     },
+    /// `from` learns that its heartbeat to `to` has failed.
     ProbeFailed {
         from: usize,
         to: usize,
         failure: ProbeFailure,
     },
+    /// A controller evaluates the health of its peers.
     EvaluatePeers(usize),
+    /// A controller's pause begins.
     Pause(usize),
 }
 
 impl Event {
-    /// The controller that it happens to.
+    /// The controller that handles the event.
     fn controller(&self) -> usize {
         match self {
             Event::SendHeartbeat { from, .. }
@@ -52,42 +54,49 @@
     }
 }
 
-/// A time in microseconds, so that its order is total.
+/// A time in microseconds from the start. Integers have a total order, which the queue needs.
 type Micros = u64;
 
-/// Rounds up: what is due at the end of a pause must not come before it.
+/// Converts seconds to microseconds. Rounds up: an event that is deferred to the end of a pause
+/// must not come before that end, because it would be deferred again without end.
 fn micros(seconds: f64) -> Micros {
     (seconds * 1e6).ceil() as Micros
 }
 
-/// An event's place in the queue: by time, and in the order of scheduling at the same time.
+/// An event's position in the queue: events are ordered by time, and events at the same time by
+/// the order in which they were scheduled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct QueuedEvent {
     at: Micros,
     id: u64,
 }
 
-/// A controller's latest pause.
+/// A controller's latest pause; zero before the first.
 #[derive(Debug, Clone, Copy, Default)]
-struct PauseEnd {
-    at_s: f64,
+struct LatestPause {
+    end_s: f64,
     duration_s: f64,
 }
 
-/// The state of the simulation. Times are in seconds from its start.
+/// The state of the simulation. Times are in seconds from its start; vectors are indexed by
+/// controller.
 pub(super) struct Model {
     pub(super) random: SmallRng,
+    /// The failure to simulate, also before it happens; `None` if no controller fails.
     pub(super) failed: Option<FailedController>,
+    /// Errors of the detectors so far.
     pub(super) errors: ErrorCounts,
+    /// Time from the failure until a controller declared the failed one failed; `None` before.
     pub(super) detected_after_s: Option<f64>,
     network: Network,
     config: DetectorConfig,
     detectors: Vec<FailureDetector>,
-    /// Until when each controller is paused.
+    /// The end of each controller's latest pause.
     paused_until_s: Vec<f64>,
-    latest_pauses: Vec<PauseEnd>,
-    /// The earliest event comes first.
+    latest_pauses: Vec<LatestPause>,
+    /// The queued events, the earliest first.
     queue: BinaryHeap<Reverse<QueuedEvent>>,
+    /// The queued events by their ids.
     events: HashMap<u64, Event>,
     next_event_id: u64,
 }
@@ -104,7 +113,7 @@
             network,
             config,
             paused_until_s: vec![0.0; controllers],
-            latest_pauses: vec![PauseEnd::default(); controllers],
+            latest_pauses: vec![LatestPause::default(); controllers],
             queue: BinaryHeap::new(),
             events: HashMap::new(),
             next_event_id: 0,
@@ -117,12 +126,12 @@
 
     fn schedule_first_events(&mut self, controller: usize) {
         for to in (0..self.network.controllers).filter(|to| *to != controller) {
-            let offset_s = self.random.random_range(0.0..self.config.heartbeat_s);
+            let first_heartbeat_s = self.random.random_range(0.0..self.config.heartbeat_s);
             let from = controller;
-            self.schedule(offset_s, Event::SendHeartbeat { from, to });
+            self.schedule(first_heartbeat_s, Event::SendHeartbeat { from, to });
         }
         self.schedule(1.0, Event::EvaluatePeers(controller));
-        let pause_at_s = self.time_to_pause_s();
+        let pause_at_s = self.draw_time_to_pause_s();
         self.schedule(pause_at_s, Event::Pause(controller));
     }
 
@@ -134,7 +143,7 @@
         self.next_event_id += 1;
     }
 
-    /// Runs until a time, or until a failure is detected.
+    /// Simulates until `until_s`, or until the failure is detected.
     pub(super) fn run(&mut self, until_s: f64) {
         while let Some(Reverse(QueuedEvent { at, id })) = self.queue.pop() {
             let now_s = at as f64 / 1e6;
@@ -154,7 +163,7 @@
         }
         let paused_until_s = self.paused_until_s[controller];
         if paused_until_s > now_s {
-            // It handles everything when its pause is over.
+            // A paused controller handles its events when the pause ends.
             return self.schedule(paused_until_s, event);
         }
         match event {
@@ -166,24 +175,24 @@
                 self.detectors[from].record_probe_failure(&member_name(to), failure);
             }
             Event::EvaluatePeers(controller) => self.evaluate_peers(now_s, controller),
-            Event::Pause(controller) => self.pause(now_s, controller),
+            Event::Pause(controller) => self.begin_pause(now_s, controller),
         }
     }
 
-    /// How a controller has failed, if it has.
+    /// How a controller has failed by `now_s`; `None` if it has not.
     fn failure_of(&self, controller: usize, now_s: f64) -> Option<FailureMode> {
         let failed = self.failed?;
         (failed.controller == controller && now_s >= failed.at_s).then_some(failed.mode)
     }
 
-    /// A random time to a controller's next pause.
-    fn time_to_pause_s(&mut self) -> f64 {
-        let uniform: f64 = self.random.random_range(1e-9..1.0);
-        -uniform.ln() * self.network.mean_time_between_pauses_s
+    /// Draws the time to a controller's next pause from an exponential distribution.
+    fn draw_time_to_pause_s(&mut self) -> f64 {
+        let uniform_sample: f64 = self.random.random_range(1e-9..1.0);
+        -uniform_sample.ln() * self.network.mean_time_between_pauses_s
     }
 
-    /// A random latency of a message.
-    fn latency_s(&mut self) -> f64 {
+    /// Draws the latency of a message.
+    fn draw_latency_s(&mut self) -> f64 {
         if self.random.random_bool(self.network.slow_share) {
             self.random.random_range(0.0..self.network.slow_max_s)
         } else {
@@ -191,13 +200,14 @@
         }
     }
 
-    /// How late a controller's timers are: after a pause, half of what they were a second ago.
+    /// How late a controller's timers fire, in seconds: as long as the latest pause when it ends,
+    /// then half as much with each further second.
     fn timer_lag_s(&self, controller: usize, now_s: f64) -> f64 {
         let pause = self.latest_pauses[controller];
-        pause.duration_s * 0.5f64.powf(now_s - pause.at_s)
+        pause.duration_s * 0.5f64.powf(now_s - pause.end_s)
     }
 
-    fn heartbeat(&self, controller: usize, now_s: f64) -> Box<PeerHeartbeat> {
+    fn new_heartbeat(&self, controller: usize, now_s: f64) -> Box<PeerHeartbeat> {
         Box::new(PeerHeartbeat {
             member: member_name(controller),
             incarnation: controller as u64 + 1,
@@ -208,9 +218,10 @@
         })
     }
 
+    /// Evaluates a controller's peers, and counts the detection or the detector's errors.
     fn evaluate_peers(&mut self, now_s: f64, controller: usize) {
         let lag_s = self.timer_lag_s(controller, now_s);
-        let own = LocalHealth {
+        let local_health = LocalHealth {
             recent_lag_s: lag_s,
             mean_lag_s: lag_s,
             busy_share: 0.1,
@@ -218,7 +229,7 @@
             since_leadership_moved_s: f64::INFINITY,
             revision: micros(now_s),
         };
-        for change in self.detectors[controller].evaluate(now_s, own) {
+        for change in self.detectors[controller].evaluate(now_s, local_health) {
             let failed = self
                 .failed
                 .filter(|failed| member_name(failed.controller) == change.member);
@@ -235,26 +246,27 @@
         self.schedule(next_s, Event::EvaluatePeers(controller));
     }
 
-    fn pause(&mut self, now_s: f64, controller: usize) {
+    fn begin_pause(&mut self, now_s: f64, controller: usize) {
         let duration_s = self.random.random_range(0.0..self.network.pause_max_s);
-        let at_s = now_s + duration_s;
-        self.paused_until_s[controller] = at_s;
-        self.latest_pauses[controller] = PauseEnd { at_s, duration_s };
-        let next_s = now_s + duration_s + self.time_to_pause_s();
+        let end_s = now_s + duration_s;
+        self.paused_until_s[controller] = end_s;
+        self.latest_pauses[controller] = LatestPause { end_s, duration_s };
+        let next_s = now_s + duration_s + self.draw_time_to_pause_s();
         self.schedule(next_s, Event::Pause(controller));
     }
 
+    /// Sends a heartbeat, and schedules the next one after its response, refusal or time-out.
     fn send_heartbeat(&mut self, now_s: f64, from: usize, to: usize) {
         let wait_s = match self.failure_of(to, now_s) {
             Some(FailureMode::Refuses) => {
-                let latency_s = self.latency_s();
+                let latency_s = self.draw_latency_s();
                 let failure = ProbeFailure::Refused;
                 self.schedule(now_s + latency_s, Event::ProbeFailed { from, to, failure });
                 latency_s
             }
-            Some(FailureMode::Silent) => self.time_out(now_s, from, to),
+            Some(FailureMode::Silent) => self.schedule_timeout(now_s, from, to),
             None if self.random.random_bool(self.network.loss_share) => {
-                self.time_out(now_s, from, to)
+                self.schedule_timeout(now_s, from, to)
             }
             None => self.deliver_heartbeat(now_s, from, to),
         };
@@ -262,34 +274,37 @@
         self.schedule(next_s, Event::SendHeartbeat { from, to });
     }
 
-    /// The response does not arrive in time. Returns how long the sender waits.
-    fn time_out(&mut self, now_s: f64, from: usize, to: usize) -> f64 {
+    /// Schedules the time-out of a heartbeat whose response does not arrive within a round.
+    /// Returns how long the sender waits, in seconds.
+    fn schedule_timeout(&mut self, now_s: f64, from: usize, to: usize) -> f64 {
         let timeout_s = self.config.round_s;
         let failure = ProbeFailure::TimedOut;
         self.schedule(now_s + timeout_s, Event::ProbeFailed { from, to, failure });
         timeout_s
     }
 
-    /// The receiver gets the heartbeat and responds with its own. Returns how long the
-    /// sender waits.
+    /// Delivers a heartbeat to `to`, which responds with a heartbeat of its own. If the response
+    /// takes longer than a round, neither is recorded and the heartbeat times out. Returns how
+    /// long the sender waits, in seconds.
     fn deliver_heartbeat(&mut self, now_s: f64, from: usize, to: usize) -> f64 {
-        let received_s = (now_s + self.latency_s()).max(self.paused_until_s[to]);
-        let responded_s = received_s + self.latency_s();
+        let received_s = (now_s + self.draw_latency_s()).max(self.paused_until_s[to]);
+        let responded_s = received_s + self.draw_latency_s();
         if responded_s > now_s + self.config.round_s {
-            return self.time_out(now_s, from, to);
+            return self.schedule_timeout(now_s, from, to);
         }
-        let heartbeat = self.heartbeat(from, now_s);
+        let heartbeat = self.new_heartbeat(from, now_s);
         self.detectors[to].record_heartbeat(received_s, *heartbeat);
-        let response = self.heartbeat(to, received_s);
+        let response = self.new_heartbeat(to, received_s);
         self.schedule(responded_s, Event::ResponseReceived { from, response });
         responded_s - now_s
     }
 }
 
+/// The detector of each controller. All controllers are registered members from the start.
 fn new_detectors(controllers: usize, config: &DetectorConfig) -> Vec<FailureDetector> {
     let names: Vec<String> = (0..controllers).map(member_name).collect();
-    let detectors = names.iter().map(|own| {
-        let peers = names.iter().filter(|peer| *peer != own);
+    let detectors = names.iter().map(|local| {
+        let peers = names.iter().filter(|peer| *peer != local);
         let mut detector = FailureDetector::new(config.clone(), peers.map(String::as_str), 0.0);
         for (index, member) in names.iter().enumerate() {
             let term = MembershipTerm {
--- a/crates/simulator/src/detector_model/tests.rs
+++ b/crates/simulator/src/detector_model/tests.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn healthy_controllers_are_never_declared_failed_and_failed_ones_are_soon() {
+fn failures_are_detected_within_bounds_and_without_false_positives() {
     for controllers in [3, 7] {
         let counts = simulate_healthy(
             &network(controllers),
@@ -33,7 +33,7 @@
         );
         assert_eq!(counts.false_positives, 0, "{counts:?}");
         for seed in 0..20 {
-            let took = time_to_detection(
+            let detection_s = time_to_detection(
                 &network(controllers),
                 &detector_config(),
                 FailureMode::Refuses,
@@ -41,10 +41,10 @@
             )
             .unwrap();
             assert!(
-                took < 3.0,
-                "{controllers} controllers, seed {seed}: {took} s"
+                detection_s < 3.0,
+                "{controllers} controllers, seed {seed}: {detection_s} s"
             );
-            let took = time_to_detection(
+            let detection_s = time_to_detection(
                 &network(controllers),
                 &detector_config(),
                 FailureMode::Silent,
@@ -52,16 +52,17 @@
             )
             .unwrap();
             assert!(
-                took < 6.5,
-                "{controllers} controllers, seed {seed}: {took} s"
+                detection_s < 6.5,
+                "{controllers} controllers, seed {seed}: {detection_s} s"
             );
         }
     }
 }
 
 #[test]
-fn zero_events_still_bound_a_rate() {
+fn rate_of_zero_events_has_an_upper_bound() {
     let rate = RateEstimate::new(0, 1000.0);
     assert_eq!((rate.per_hour, rate.low), (0.0, 0.0));
+    // The 97.5% quantile of the exponential distribution: -ln(0.025).
     assert!((rate.high * 1000.0 - 3.689).abs() < 0.01);
 }
