--- a/crates/simulator/src/commands.rs
+++ b/crates/simulator/src/commands.rs
@@ -1,4 +1,4 @@
-//! The program's subcommands, and what they share.
+//! The program's subcommands, and types that they share.
 
 pub(crate) mod detector_sweep;
 pub(crate) mod failover;
@@ -6,12 +6,12 @@
 
 use std::num::ParseFloatError;
 
-/// Result of checking the invariants over all runs.
+/// Whether the invariants held in all runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum CheckResult {
-    /// All hold.
+    /// No invariant was violated.
     Passed,
-    /// Some were violated.
+    /// At least one invariant was violated in at least one run.
     Violated,
 }
 
@@ -25,21 +25,21 @@
     }
 }
 
-/// Why a number on the command line is refused.
+/// Why a number on the command line is invalid.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum NumberError {
-    /// It is no number.
+    /// The text is not a number.
     #[error("not a number")]
     NotANumber(#[from] ParseFloatError),
-    /// It is outside the range of a restart delay.
-    #[error("not from 0 to 60")]
+    /// A restart delay in seconds is out of range.
+    #[error("must be from 0 to 60")]
     RestartDelay,
-    /// It is outside the range of simulated hours.
-    #[error("not above 0 and up to 100000")]
+    /// A number of simulated hours is out of range.
+    #[error("must be above 0 and at most 100000")]
     Hours,
 }
 
-/// Writes the controllers' log to standard error.
+/// Makes controllers write their log to standard error, without the time of day.
 fn init_controller_log() {
     tracing_subscriber::fmt()
         .with_writer(std::io::stderr)
--- a/crates/simulator/src/commands/detector_sweep.rs
+++ b/crates/simulator/src/commands/detector_sweep.rs
@@ -1,4 +1,5 @@
-//! `detector-sweep`: the failure detector's errors and speed, over its settings.
+//! `detector-sweep`: measures false positives and the time to detection of the failure detector
+//! with several thresholds.
 
 use super::{CheckResult, NumberError};
 use crate::parallel;
@@ -17,21 +18,21 @@
 pub(crate) struct DetectorSweepArgs {
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u16).range(2..=16))]
     controllers: u16,
-    /// Controller-hours for each setting.
+    /// Simulated hours for each pair of thresholds, summed over the controllers.
     #[arg(long, default_value_t = 120.0, value_parser = parse_hours)]
     hours: f64,
-    /// Share of heartbeats that are lost.
+    /// Share of heartbeats that are lost, 0 to 0.9.
     #[arg(long, default_value_t = 0.02)]
     loss: f64,
     /// The longest pause of a controller, in seconds.
     #[arg(long, default_value_t = 3.0)]
     pause: f64,
-    /// Mean time between a controller's pauses, in seconds.
+    /// Mean time from the end of a controller's pause to its next one, in seconds.
     #[arg(long, default_value_t = 300.0)]
     pause_each: f64,
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Write the distributions of the time to detection to an SVG file.
+    /// Write an SVG file with the distributions of the time to detection.
     #[arg(long)]
     plot: Option<PathBuf>,
 }
@@ -45,15 +46,18 @@
     }
 }
 
-/// Seeds for the time to detection, for each setting and failure mode.
+/// Number of detection runs for each pair of thresholds and failure mode, each with its own seed.
 const DETECTION_RUNS: u64 = 200;
-/// Parts into which the hours of each setting are divided, each with a seed of its own.
+/// Number of runs into which the simulated hours of each pair of thresholds are divided, each
+/// with its own seed.
 const HEALTHY_RUNS: u64 = 32;
 
-/// The detector's settings that are compared.
+/// The thresholds of the failure detector, which the sweep varies.
 #[derive(Clone, Copy)]
 struct Thresholds {
+    /// φ above which a peer is suspected.
     phi: f64,
+    /// Heartbeats refused in a row from which on a peer is suspected.
     refusals: u32,
 }
 
@@ -66,8 +70,8 @@
         format!("phi {}, {} refusals, {mode}", self.phi, self.refusals)
     }
 
-    /// Other settings are the service's for heartbeats of workers each 3 s and a lease of
-    /// 40 s.
+    /// A configuration with these thresholds. All intervals are those that a controller derives
+    /// from worker heartbeats every 3 s and a worker lease of 40 s.
     fn detector_config(&self, controllers: usize) -> DetectorConfig {
         DetectorConfig {
             heartbeat_s: 1.0 / 3.0 * (controllers as f64 - 1.0).max(4.0) / 4.0,
@@ -80,6 +84,7 @@
     }
 }
 
+/// The thresholds that are compared.
 const SWEEP: [Thresholds; 6] = [
     Thresholds::new(4.0, 1),
     Thresholds::new(4.0, 2),
@@ -89,14 +94,16 @@
     Thresholds::new(12.0, 2),
 ];
 
-/// Results for one setting.
+/// Measurements with one pair of thresholds.
 struct SweepResult {
     thresholds: Thresholds,
     errors: ErrorCounts,
-    /// Times to detection of a controller whose host refuses connections, in seconds.
-    refuses_s: Vec<f64>,
-    /// Times to detection of one whose host does not respond, in seconds.
-    contact_age_s: Vec<f64>,
+    /// Times to detection of a controller whose host refuses connections, in seconds. Failures
+    /// that were not detected are left out.
+    refusing_detection_s: Vec<f64>,
+    /// Times to detection of a controller whose host does not respond, in seconds. Failures that
+    /// were not detected are left out.
+    silent_detection_s: Vec<f64>,
 }
 
 /// Runs the subcommand.
@@ -172,8 +179,8 @@
         SweepResult {
             thresholds,
             errors,
-            refuses_s: detection_times_s(FailureMode::Refuses),
-            contact_age_s: detection_times_s(FailureMode::Silent),
+            refusing_detection_s: detection_times_s(FailureMode::Refuses),
+            silent_detection_s: detection_times_s(FailureMode::Silent),
         }
     }
 }
@@ -186,8 +193,8 @@
             "{phi:>4} {refusals:>9}  {:<24.2} {:30} {} {}",
             self.errors.suspicions_per_hour(),
             format!("{:.4} ({:.4} to {:.4})", rate.per_hour, rate.low, rate.high),
-            format_quantiles(self.refuses_s.iter().copied()),
-            format_quantiles(self.contact_age_s.iter().copied()),
+            format_quantiles(self.refusing_detection_s.iter().copied()),
+            format_quantiles(self.silent_detection_s.iter().copied()),
         )
     }
 
@@ -195,11 +202,11 @@
         [
             Series {
                 name: self.thresholds.label("refuses"),
-                values: self.refuses_s,
+                values: self.refusing_detection_s,
             },
             Series {
                 name: self.thresholds.label("silent"),
-                values: self.contact_age_s,
+                values: self.silent_detection_s,
             },
         ]
     }
--- a/crates/simulator/src/commands/failover.rs
+++ b/crates/simulator/src/commands/failover.rs
@@ -1,4 +1,4 @@
-//! `failover`: measures scenarios, several runs of each.
+//! `failover`: measures failover scenarios in several runs each.
 
 use super::{CheckResult, NumberError, init_controller_log};
 use crate::parallel;
@@ -14,29 +14,30 @@
 /// Options of `failover`.
 #[derive(Args, Clone)]
 pub(crate) struct FailoverArgs {
-    /// What fails; may be given several times.
+    /// The failure to simulate; may be given several times.
     #[arg(long = "failure", value_name = "FAILURE", value_enum, default_values = ["crash"])]
     scenarios: Vec<FailoverScenario>,
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u16).range(2..=16))]
     controllers: u16,
-    /// Seconds after which a process that ended is started again; may be given several
+    /// Seconds after which a crashed controller is restarted, 0 to 60; may be given several
     /// times.
     #[arg(long = "restart-after", value_name = "RESTART_AFTER", default_values_t = [4.0],
         value_parser = parse_restart_delay)]
     restart_delays_s: Vec<f64>,
-    /// Runs of each failure, each with a seed of its own.
+    /// Number of runs for each failure and restart delay, each with its own seed.
     #[arg(long, default_value_t = 16, value_parser = clap::value_parser!(u32).range(1..=10_000))]
     runs: u32,
-    /// The first seed.
+    /// Seed of the first run; each further run increments it.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Print each run's measurements as JSON, a line a run.
+    /// Print the measurements of each run as one line of JSON.
     #[arg(long)]
     json: bool,
-    /// Print the controllers' log to standard error, one run at a time.
+    /// Print the controllers' log to standard error; the runs then execute one at a time.
     #[arg(long)]
     log: bool,
-    /// Write the distributions of the time without rounds to an SVG file.
+    /// Write an SVG file with the distribution, for each failure, of the longest time without a
+    /// scheduling round.
     #[arg(long)]
     plot: Option<PathBuf>,
 }
@@ -50,26 +51,29 @@
     }
 }
 
-/// A scenario with a restart delay: a row of the table.
+/// A scenario with a restart delay; each makes one row of the table.
 #[derive(Clone, Copy)]
 struct Case {
     scenario: FailoverScenario,
+    /// Delay until a crashed controller is restarted, in seconds.
     restart_s: f64,
 }
 
 impl Case {
+    /// Whether `run` is one of this case's runs.
     fn includes(&self, run: &FailoverMeasurements) -> bool {
         run.scenario == self.scenario && run.restart_s == self.restart_s
     }
 }
 
+/// One run of a case.
 struct SeededCase {
     case: Case,
     seed: u64,
 }
 
 impl FailoverArgs {
-    /// The options' default values.
+    /// The default values of all options.
     pub(crate) fn defaults() -> FailoverArgs {
         #[derive(Parser)]
         struct Defaults {
@@ -80,7 +84,7 @@
     }
 
     fn cases(&self) -> Vec<Case> {
-        let of_scenario = |scenario: FailoverScenario| {
+        let cases_of_scenario = |scenario: FailoverScenario| {
             let delays_s = self.restart_delays_s.iter();
             delays_s.map(move |restart_s| Case {
                 scenario,
@@ -88,22 +92,23 @@
             })
         };
         let scenarios = self.scenarios.iter().copied();
-        scenarios.flat_map(of_scenario).collect()
+        scenarios.flat_map(cases_of_scenario).collect()
     }
 
+    /// All runs: those of a case follow each other, in the order of their seeds.
     fn seeded_cases(&self, cases: &[Case]) -> Vec<SeededCase> {
-        let seeds = |case: Case| {
+        let runs_of_case = |case: Case| {
             let seeds = (0..u64::from(self.runs)).map(|run| self.seed + run);
             seeds.map(move |seed| SeededCase { case, seed })
         };
-        cases.iter().copied().flat_map(seeds).collect()
+        cases.iter().copied().flat_map(runs_of_case).collect()
     }
 }
 
 /// Runs the subcommand.
 ///
 /// # Errors
-/// If no runtime can be created, or a result not be written.
+/// If a runtime can't be created, or a result can't be written.
 pub(crate) fn run(args: &FailoverArgs) -> Result<CheckResult, SimulatorError> {
     let controllers = usize::from(args.controllers);
     let cases = args.cases();
@@ -197,10 +202,12 @@
     runs: &[FailoverMeasurements],
 ) -> Result<(), SimulatorError> {
     let series = scenarios.iter().map(|scenario| {
-        let of_scenario = runs.iter().filter(|run| run.scenario == *scenario);
+        let runs_of_scenario = runs.iter().filter(|run| run.scenario == *scenario);
         Series {
             name: value_name(scenario),
-            values: of_scenario.map(|run| run.longest_round_gap_s).collect(),
+            values: runs_of_scenario
+                .map(|run| run.longest_round_gap_s)
+                .collect(),
         }
     });
     let series: Vec<Series> = series.collect();
--- a/crates/simulator/src/commands/search.rs
+++ b/crates/simulator/src/commands/search.rs
@@ -1,4 +1,5 @@
-//! `search`: runs random combinations of faults; one that violates an invariant is reduced.
+//! `search`: runs random combinations of faults. A combination that violates an invariant is
+//! reduced to fewer faults.
 
 use super::{CheckResult, init_controller_log};
 use crate::parallel;
@@ -12,26 +13,26 @@
 /// Options of `search`.
 #[derive(Args, Clone)]
 pub(crate) struct SearchArgs {
-    /// Faults a day.
+    /// Number of faults in each run.
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u16).range(1..=8))]
     faults: u16,
-    /// Draw only these; may be given several times.
+    /// Draw only this kind of fault; may be given several times.
     #[arg(long, value_enum)]
     only: Vec<FaultKind>,
-    /// Days, each with a seed of its own.
+    /// Number of simulated runs, each with its own seed.
     #[arg(long, default_value_t = 64, value_parser = clap::value_parser!(u32).range(1..=100_000))]
     days: u32,
-    /// The first seed.
+    /// Seed of the first run; each further run increments it.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Print each day's outcome as JSON, a line a day.
+    /// Print the outcome of each run as one line of JSON.
     #[arg(long)]
     json: bool,
-    /// Print the controllers' log to standard error, one day at a time.
+    /// Print the controllers' log to standard error; the runs then execute one at a time.
     #[arg(long)]
     log: bool,
-    /// Print what happened, a line an event, to standard error: users' requests with their
-    /// responses, commits, starts and ends of tasks.
+    /// Print the events of each run to standard error, one line each: user requests with their
+    /// responses, commits, and starts and ends of tasks; the runs then execute one at a time.
     #[arg(long)]
     events: bool,
 }
@@ -43,13 +44,13 @@
         } else {
             &self.only
         };
-        let seeds = (0..u64::from(self.days)).map(|day| self.seed + day);
+        let seeds = (0..u64::from(self.days)).map(|run| self.seed + run);
         seeds
             .map(|seed| FaultSchedule::draw(seed, usize::from(self.faults), kinds))
             .collect()
     }
 
-    /// Output of several days at a time would be mixed.
+    /// One if logs or events are printed: output of parallel runs would be interleaved.
     fn max_threads(&self) -> usize {
         if self.log || self.events {
             1
@@ -62,7 +63,7 @@
 /// Runs the subcommand.
 ///
 /// # Errors
-/// If no runtime can be created, or an outcome not be written as JSON.
+/// If a runtime can't be created, or an outcome can't be written as JSON.
 pub(crate) fn run(args: &SearchArgs) -> Result<CheckResult, SimulatorError> {
     if args.log {
         init_controller_log();
@@ -82,7 +83,7 @@
         .filter(|outcome| !outcome.violations.is_empty())
         .collect();
     for outcome in &violated {
-        let reduced = reduce((*outcome).clone())?;
+        let reduced = reduce_faults((*outcome).clone())?;
         let seed = outcome.schedule.seed;
         println!("seed {seed}: {}", serde_json::to_string(&reduced)?);
     }
@@ -100,16 +101,20 @@
     Ok(CheckResult::from_passed(violated.is_empty()))
 }
 
-/// Leaves out faults one by one for as long as an invariant is still violated.
-fn reduce(mut outcome: SearchOutcome) -> Result<SearchOutcome, SimulatorError> {
-    while let Some(smaller) = smaller_violation(&outcome.schedule)? {
-        outcome = smaller;
+/// Removes faults one at a time while the remaining ones still violate an invariant. Returns the
+/// outcome of the last such run.
+fn reduce_faults(mut outcome: SearchOutcome) -> Result<SearchOutcome, SimulatorError> {
+    while let Some(reduced) = violation_with_one_fault_less(&outcome.schedule)? {
+        outcome = reduced;
     }
     Ok(outcome)
 }
 
-/// The first run with one fault less that still violates an invariant.
-fn smaller_violation(schedule: &FaultSchedule) -> Result<Option<SearchOutcome>, SimulatorError> {
+/// The outcome of the first run with one fault less that still violates an invariant; `None` if
+/// there is none, or only one fault is left.
+fn violation_with_one_fault_less(
+    schedule: &FaultSchedule,
+) -> Result<Option<SearchOutcome>, SimulatorError> {
     if schedule.events.len() <= 1 {
         return Ok(None);
     }
