--- a/crates/simulator/src/cluster.rs
+++ b/crates/simulator/src/cluster.rs
@@ -1,4 +1,4 @@
-//! Whole controllers on the simulated platform, and the operations that tests use on them.
+//! A cluster of complete controllers on the simulated platform, with operations for tests.
 
 mod jobs;
 mod requests;
@@ -24,21 +24,24 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-/// The settings that all controllers share.
+/// The settings file from which the settings of all controllers are made.
 const SETTINGS: &str = include_str!("../../protocol/tests/settings.toml");
-/// Interval of workers' heartbeats, as in the settings.
+/// Interval of workers' heartbeats; equal to `report_s` in the settings.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(3);
-/// Time without a response after which a worker drops its tasks, as in the settings.
+/// Time without a response after which a worker drops its tasks; equal to `lease_s` in the
+/// settings.
 const WORKER_LEASE: Duration = Duration::from_secs(40);
-/// Time from a confirmed cancellation to the end of all tasks.
+/// Limit of the time from a confirmed cancellation to the end of the job's last task; equal to
+/// `cancel_s` in the settings.
 const CANCELLATION_DEADLINE: Duration = Duration::from_secs(65);
 
-/// A running controller process.
+/// The process of a running controller.
 pub struct ControllerProcess {
-    /// Its loops.
+    /// The background tasks of the controller.
     pub loops: Vec<JoinHandle<()>>,
-    /// Its shared state.
+    /// The controller, whose state the background tasks share.
     pub controller: Arc<Controller>,
+    /// Shared with the process's transport, which sends nothing more once this is false.
     alive: Arc<AtomicBool>,
 }
 
@@ -54,24 +57,25 @@
 pub struct TeamQuota {
     /// The team's name.
     pub team: &'static str,
-    /// Most GPUs it may use.
+    /// The most GPUs that the team's tasks may use together.
     pub gpus: f64,
 }
 
-/// How a cluster is set up.
+/// The configuration of a simulated cluster.
 #[derive(Debug, Clone)]
 pub struct ClusterConfig {
-    /// Number of controllers, spread over the zones.
+    /// Number of controllers. They are assigned to the zones in turn.
     pub controllers: usize,
-    /// The teams; jobs are the team `red`'s unless they name another.
+    /// The teams. A job belongs to the team `red` unless it names another.
     pub teams: Vec<TeamQuota>,
-    /// Writes per second that the store takes.
+    /// The store's rate limit for writes that controllers assume, per second.
     pub write_rps: f64,
-    /// Requests per second that the cloud takes.
+    /// The cloud's rate limit that controllers assume, in requests per second.
     pub cloud_rps: f64,
-    /// Size limit of a value in the store, in KB.
+    /// The store's size limit for values that controllers assume, in KB.
     pub value_kb: f64,
-    /// Latest changes of the store from which a watch can start.
+    /// Number of latest changes that the store retains. A watch can start only at a retained
+    /// change.
     pub retained_changes: usize,
 }
 
@@ -92,7 +96,7 @@
 }
 
 impl ClusterConfig {
-    /// The default with another quota for the one team.
+    /// The default configuration with a quota of `gpus` for its only team.
     pub fn with_gpus(gpus: f64) -> ClusterConfig {
         ClusterConfig {
             teams: vec![TeamQuota { team: "red", gpus }],
@@ -101,21 +105,21 @@
     }
 }
 
-/// A simulated platform with controllers on it. Its methods panic where a user would give
-/// up or an invariant is violated, as tests want it.
+/// A simulated platform with controllers. For use in tests, its methods panic if a job request
+/// gets no final response, or if an asserted condition does not hold.
 pub struct SimulatedCluster {
     /// The platform.
     pub platform: Arc<SimulatedPlatform>,
-    /// The controllers' processes; `None` if stopped.
+    /// The process of each controller, by the controller's index; `None` while it is stopped.
     pub processes: Vec<Option<ControllerProcess>>,
-    /// Jobs that were submitted, by id.
+    /// The registered jobs, by id.
     pub jobs: BTreeMap<String, JobSpec>,
-    /// The configuration; changes hold for controllers started from now on.
+    /// The configuration. Changes apply only to controllers that are started afterwards.
     pub config: ClusterConfig,
 }
 
 impl SimulatedCluster {
-    /// Three controllers in as many zones.
+    /// A cluster with the default configuration: three controllers in three zones.
     pub fn new(seed: u64) -> SimulatedCluster {
         SimulatedCluster::with_config(ClusterConfig::default(), seed)
     }
@@ -147,7 +151,7 @@
         cluster
     }
 
-    /// A cluster as it is ten seconds after its start.
+    /// A cluster that has run for ten seconds.
     pub async fn warmed_up(config: ClusterConfig, seed: u64) -> SimulatedCluster {
         let cluster = SimulatedCluster::with_config(config, seed);
         cluster.run_for(10).await;
@@ -173,7 +177,7 @@
         settings
     }
 
-    /// Starts a controller.
+    /// Starts a controller that is stopped.
     pub fn start(&mut self, index: usize) {
         let alive = Arc::new(AtomicBool::new(true));
         let transport = ControllerTransport {
@@ -200,19 +204,19 @@
         });
     }
 
-    /// Starts all controllers.
+    /// Starts all controllers, which must be stopped.
     pub fn start_all(&mut self) {
         (0..self.processes.len()).for_each(|index| self.start(index));
     }
 
-    /// Starts a controller unless it runs.
+    /// Starts a controller unless it is running.
     pub fn start_if_stopped(&mut self, index: usize) {
         if self.processes[index].is_none() {
             self.start(index);
         }
     }
 
-    /// Ends a controller's process, without any notice to it.
+    /// Ends a controller's process without a shutdown; no effect if it is stopped.
     pub fn crash(&mut self, index: usize) {
         self.platform.inject(Fault::ControllerStopped(index));
         if let Some(process) = self.processes[index].take() {
@@ -220,36 +224,38 @@
         }
     }
 
-    /// Ends all controllers' processes.
+    /// Ends the processes of all controllers without a shutdown.
     pub fn crash_all(&mut self) {
         (0..self.processes.len()).for_each(|index| self.crash(index));
     }
 
-    /// Controllers that run, with their indexes.
+    /// The running controllers with their indexes.
     pub fn controllers(&self) -> impl Iterator<Item = (usize, &Arc<Controller>)> {
         let processes = self.processes.iter().enumerate();
         processes.filter_map(|(index, process)| Some((index, &process.as_ref()?.controller)))
     }
 
-    /// The running controller with the lowest index.
+    /// The running controller with the lowest index. Panics if none is running.
     pub fn first_controller(&self) -> &Arc<Controller> {
         let (_, controller) = self.controllers().next().unwrap();
         controller
     }
 
-    /// The leader; the first controller if there is none.
+    /// The index of the leader; 0 if there is no leader.
     pub fn leader(&self) -> usize {
         self.elected_leader().unwrap_or(0)
     }
 
-    /// The leader, if there is one.
+    /// The lowest index of a running controller that considers itself the leader; `None` if there
+    /// is none.
     pub fn elected_leader(&self) -> Option<usize> {
         let mut controllers = self.controllers();
         let leader = controllers.find(|(_, controller)| inspect::is_leader(controller));
         leader.map(|(index, _)| index)
     }
 
-    /// Lets time pass, with the invariants checked each second.
+    /// Lets virtual time pass, and checks the invariants every second. Violations are collected by
+    /// the platform's checker.
     pub async fn run_for(&self, seconds: u64) {
         for _ in 0..seconds {
             sleep(Duration::from_secs(1)).await;
@@ -257,14 +263,15 @@
         }
     }
 
-    /// Panics if an invariant was violated, or no task ever started.
+    /// Panics if an invariant was violated or no task was ever started.
     pub fn assert_invariants(&self) {
         let checker = self.platform.checker();
         assert!(checker.violations.is_empty(), "{:#?}", checker.violations);
-        assert!(checker.started > 0, "nothing ran");
+        assert!(checker.started > 0, "no task was ever started");
     }
 
-    /// Declares that all faults have ended: from now on no job may starve.
+    /// Tells the checker that all faults have ended. From the first call on, it is a violation if
+    /// a job waits too long although it could start.
     pub fn declare_faults_ended(&self) {
         let mut checker = self.platform.checker();
         checker
@@ -273,7 +280,7 @@
     }
 }
 
-/// The name of a controller.
+/// The member name of the controller with an index.
 pub(crate) fn member_name(index: usize) -> String {
     format!("node-{index}")
 }
@@ -290,7 +297,7 @@
     }
 }
 
-/// An HTTP interface in the form that the platform calls.
+/// Converts a controller's HTTP routes to the form in which the platform calls them.
 fn endpoint(routes: BoxEndpoint<'static, Response>) -> Endpoint {
     let routes = Arc::new(routes);
     Arc::new(move |method: String, path: String, body: Vec<u8>| {
--- a/crates/simulator/src/cluster/jobs.rs
+++ b/crates/simulator/src/cluster/jobs.rs
@@ -1,8 +1,8 @@
-//! Jobs as users submit them.
+//! Request bodies with which users submit jobs.
 
 use serde_json::{Value, json};
 
-/// What distinguishes the simulated jobs from each other.
+/// The properties in which simulated jobs usually differ.
 #[derive(Debug, Clone, Copy)]
 pub struct JobShape<'a> {
     /// The protocol's name of the shape: `sweep` (array), `gang` or `standing` (service).
@@ -11,11 +11,11 @@
     pub tasks: u32,
     /// GPUs of each task.
     pub gpus: f64,
-    /// Estimated run time of each task, in seconds.
+    /// Estimated run time of each task, in seconds; 0 for services.
     pub seconds: f64,
 }
 
-/// The body that submits a job.
+/// The body of a request that submits a job with default values for all other fields.
 pub fn job(id: &str, shape: &str, tasks: u32, gpus: f64, seconds: f64) -> String {
     let shape = JobShape {
         shape,
@@ -26,7 +26,8 @@
     job_with(id, shape, json!({}))
 }
 
-/// The body that submits a job with other fields than the default ones.
+/// The body of a request that submits a job. `fields` is a JSON object whose values override the
+/// defaults.
 pub fn job_with(id: &str, shape: JobShape, fields: Value) -> String {
     let mut job = json!({"uid": id, "lane": shape.shape, "crew": "red", "shape": shape.shape,
         "rank": "normal", "pieces": shape.tasks, "cpus": 1.0, "gpus": shape.gpus,
--- a/crates/simulator/src/cluster/requests.rs
+++ b/crates/simulator/src/cluster/requests.rs
@@ -1,4 +1,4 @@
-//! Users' requests to the controllers, each checked by the invariant checker.
+//! Requests of users to the controllers. The invariant checker verifies the responses.
 
 use super::SimulatedCluster;
 use super::jobs::{JobShape, job_with};
@@ -11,9 +11,9 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 
-/// How often a user tries before giving up.
+/// Number of attempts after which a user gives up.
 const MAX_ATTEMPTS: usize = 90;
-/// Pause between two tries.
+/// Pause between two attempts.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
 /// How long a user waits for the response to a submission or a cancellation.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(5);
@@ -25,28 +25,28 @@
 pub struct JobResponse {
     /// The HTTP status.
     pub status: u16,
-    /// The job's status, if the request succeeded.
+    /// The job's status; `None` if the request failed.
     pub job: Option<JobStatus>,
 }
 
 impl JobResponse {
-    /// Whether the request succeeded.
+    /// Whether the request succeeded: status 200 or 201.
     pub fn is_success(&self) -> bool {
         matches!(self.status, 200 | 201)
     }
 
-    /// Whether the request is to be retried.
+    /// Whether the request is to be retried: the controller is overloaded or unavailable.
     fn is_retryable(&self) -> bool {
         matches!(self.status, 429 | 503)
     }
 
-    /// The job's phase, if the request succeeded.
+    /// The job's phase; `None` if the request failed.
     pub fn phase(&self) -> Option<StatusPhase> {
         self.job.as_ref().map(|job| job.phase)
     }
 }
 
-/// Sends a user's request to one controller; `None` if there is no response.
+/// Sends a user's request to one controller. Returns `None` if no response arrives in time.
 pub async fn request(
     platform: &SimulatedPlatform,
     controller: usize,
@@ -54,14 +54,14 @@
     job: &str,
     body: &str,
 ) -> Option<JobResponse> {
-    let (method, path, patience) = match request {
+    let (method, path, time_limit) = match request {
         Request::Submit => ("POST", "/api/jobs".to_string(), CHANGE_TIMEOUT),
         Request::Query => ("GET", format!("/api/jobs/{job}"), QUERY_TIMEOUT),
         Request::Cancel => ("POST", format!("/api/jobs/{job}/abort"), CHANGE_TIMEOUT),
     };
     let sent = platform.checker().request_sent(request, job);
     let call = platform.user_request(controller, method, &path, body.as_bytes().to_vec());
-    let response = timeout(patience, call).await.ok().flatten();
+    let response = timeout(time_limit, call).await.ok().flatten();
     let response = response.map(|response| JobResponse {
         status: response.status,
         job: (response.status < 300)
@@ -76,8 +76,9 @@
     response
 }
 
-/// Queries a job at all controllers, and submits it again, four times each within
-/// milliseconds: no response may be older than one that arrived before it was requested.
+/// Sends four requests about a job to each controller within milliseconds: three queries, and a
+/// repeated submission. The checker verifies that no response reports an older phase than a
+/// response that had arrived before its request was sent.
 pub async fn query_all_controllers(platform: &Arc<SimulatedPlatform>, job: &str, body: &str) {
     let mut requests = JoinSet::new();
     for repetition in 0..4 {
@@ -96,7 +97,8 @@
 }
 
 impl SimulatedCluster {
-    /// Sends an unchecked request to one controller after the other until one responds.
+    /// Sends a request to the controllers in turn until one responds with a status other than 429
+    /// and 503. Returns `None` after `MAX_ATTEMPTS`. The response is not checked.
     pub async fn user_request(
         &self,
         method: &str,
@@ -118,7 +120,7 @@
         None
     }
 
-    /// Submits a job, and returns its id, which is made of `number`.
+    /// Submits a job until it is accepted. Returns its id, which is derived from `number`.
     pub async fn submit(
         &mut self,
         number: u32,
@@ -131,7 +133,8 @@
             .await
     }
 
-    /// Submits a job with other fields than the default ones, and returns its id.
+    /// Submits a job until it is accepted, with `fields` overriding the defaults. Returns its id,
+    /// which is derived from `number`.
     pub async fn submit_with(
         &mut self,
         number: u32,
@@ -150,14 +153,12 @@
         };
         let body = job_with(&id, shape, fields);
         self.register_job(&id, &body);
-        let response = self
-            .request_until_answered(Request::Submit, &id, &body)
-            .await;
+        let response = self.request_until_final(Request::Submit, &id, &body).await;
         assert!(response.is_success(), "{id}: {}", response.status);
         id
     }
 
-    /// Makes a job known to the checker before it is submitted.
+    /// Registers a job with the checker; required before it is submitted.
     pub fn register_job(&mut self, id: &str, body: &str) {
         let spec = JobSpec::parse(body.as_bytes()).unwrap();
         let mut checker = self.platform.checker();
@@ -165,8 +166,9 @@
         self.jobs.insert(id.into(), spec);
     }
 
-    /// Sends a request to one controller after the other until one gives a final response.
-    async fn request_until_answered(&self, kind: Request, job: &str, body: &str) -> JobResponse {
+    /// Sends a request to the controllers in turn until one gives a response that is not to be
+    /// retried. Panics after `MAX_ATTEMPTS`.
+    async fn request_until_final(&self, kind: Request, job: &str, body: &str) -> JobResponse {
         for attempt in 0..MAX_ATTEMPTS {
             let controller = attempt % self.processes.len();
             let response = request(&self.platform, controller, kind, job, body).await;
@@ -175,24 +177,24 @@
             }
             sleep(RETRY_DELAY).await;
         }
-        panic!("{kind:?} {job}: no answer");
+        panic!("{kind:?} {job}: no final response after {MAX_ATTEMPTS} attempts");
     }
 
-    /// The status of an accepted job.
+    /// The status of an accepted job. Panics if the job is not found.
     pub async fn job_status(&self, job: &str) -> JobStatus {
-        let response = self.request_until_answered(Request::Query, job, "").await;
+        let response = self.request_until_final(Request::Query, job, "").await;
         let status = response.status;
-        assert_eq!(status, 200, "an accepted job was forgotten: {job}");
+        assert_eq!(status, 200, "query of accepted job {job} failed");
         response.job.unwrap()
     }
 
-    /// Cancels a job.
+    /// Cancels a job. Panics if the cancellation is not confirmed.
     pub async fn cancel(&self, job: &str) {
-        let response = self.request_until_answered(Request::Cancel, job, "").await;
+        let response = self.request_until_final(Request::Cancel, job, "").await;
         assert_eq!(response.status, 200);
     }
 
-    /// Queries jobs each second until all are done; panics after so many seconds.
+    /// Queries jobs every second until all are done. Panics after `seconds` queries of all jobs.
     pub async fn wait_until_done(&self, jobs: &[String], seconds: u64) {
         for _ in 0..seconds {
             let mut open = 0;
@@ -208,6 +210,6 @@
         for job in jobs {
             statuses.push(self.job_status(job).await);
         }
-        panic!("not done after {seconds} s: {statuses:?}");
+        panic!("jobs not done after {seconds} s: {statuses:?}");
     }
 }
