--- a/crates/simulator/src/failover.rs
+++ b/crates/simulator/src/failover.rs
@@ -1,4 +1,4 @@
-//! One failover scenario, run on virtual time and measured.
+//! Runs failover scenarios on virtual time and measures their effects.
 
 mod actions;
 mod observer;
@@ -16,71 +16,75 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// What a failover cost.
+/// Measurements of one run of a failover scenario.
 #[derive(Debug, Clone, Serialize)]
 pub struct FailoverMeasurements {
-    /// What was run.
+    /// The scenario that was run.
     #[serde(rename = "failure")]
     pub scenario: FailoverScenario,
     /// Number of controllers.
     pub controllers: usize,
-    /// The seed.
+    /// The seed of all random choices of the run.
     pub seed: u64,
-    /// Time after which processes that ended are started again, in seconds.
+    /// Delay until a crashed controller is restarted, in seconds.
     pub restart_s: f64,
-    /// The longest time without a scheduling round of any leader from the failure on, in
+    /// The longest time from the failure on in which no leader finished a scheduling round, in
     /// seconds.
     #[serde(rename = "no_round_s")]
     pub longest_round_gap_s: f64,
-    /// From the failure to the first suspicion of a controller that failed, in seconds.
+    /// Time from the failure until a failed controller is suspected for the first time, in
+    /// seconds; `None` if none was suspected.
     pub suspected_s: Option<f64>,
-    /// From the failure until such a controller is declared failed, by evidence or by the end
-    /// of its lease, in seconds.
+    /// Time from the failure until a failed controller is declared failed, because of evidence or
+    /// of the expiry of its lease, in seconds; `None` if none was declared failed.
     #[serde(rename = "judged_s")]
     pub declared_failed_s: Option<f64>,
-    /// How often a controller without any fault was declared failed by evidence.
+    /// How often a controller without a fault was declared failed for another reason than the
+    /// expiry of its lease.
     #[serde(rename = "false_verdicts")]
     pub false_positives: usize,
-    /// Of each machine of the failed controllers: from the failure until its shard's owner
-    /// has its heartbeat, in seconds.
+    /// For each recovered machine of the failed controllers: time from the failure until the
+    /// owner of its shard received a heartbeat from it, in seconds.
     #[serde(rename = "heard_s")]
     pub machine_recovery_s: Vec<f64>,
-    /// Machines whose heartbeat no owner had at the end.
+    /// Number of machines of the failed controllers from which no owner of their shard received a
+    /// heartbeat until the end of the run.
     #[serde(rename = "unheard")]
     pub unrecovered_machines: usize,
-    /// Number of terms in which some controller led.
+    /// Number of versions of the leader key that were observed. Each election writes one, and so
+    /// does a leader that renews its term after a commit of unknown outcome.
     pub leaders: usize,
-    /// Number of shards.
+    /// Number of shards that had an owner in the run.
     #[serde(rename = "blocks")]
     pub shards: usize,
-    /// How often a shard changed its owner.
+    /// How often a shard's owner changed.
     #[serde(rename = "moved")]
     pub shard_moves: usize,
-    /// Starts of tasks.
+    /// Number of task starts.
     pub started: usize,
-    /// Violations of invariants, a line each.
+    /// Violations of invariants, one line each; empty if all invariants hold.
     #[serde(rename = "broken")]
     pub violations: Vec<String>,
 }
 
-/// Machines of each run: enough for several shards' worth of heartbeats.
+/// Number of machines in each run: enough for their heartbeats to be spread over several shards.
 pub const MACHINES: u32 = 60;
 
-/// The team's GPUs: more than any run needs.
+/// GPU quota of the team: more than any run needs.
 const TEAM_GPUS: f64 = 4000.0;
 /// Observations per second.
 const OBSERVATIONS_PER_S: u32 = 20;
 /// Time between two observations, in seconds.
 const OBSERVATION_INTERVAL_S: f64 = 1.0 / OBSERVATIONS_PER_S as f64;
-/// Observations between two submissions and checks of the invariants.
+/// Number of observations between two submissions of arrays, each with a check of the invariants.
 const OBSERVATIONS_PER_SUBMISSION: u32 = 2 * OBSERVATIONS_PER_S;
-/// Number of the first array's id.
+/// Number in the id of the first array. The number 1 is used by the service.
 const FIRST_ARRAY: u32 = 101;
-/// Arrays submitted before the failure, one each two seconds.
+/// Number of arrays submitted before the failure, one every two seconds.
 const ARRAYS_BEFORE_FAILURE: u32 = 5;
 
-/// Runs a scenario with some controllers, on a runtime with simulated time. Processes that
-/// end are started again after `restart_s` seconds.
+/// Runs a scenario with a number of controllers. The current runtime must use simulated time.
+/// Crashed controllers are restarted after `restart_s` seconds.
 pub async fn run(
     scenario: FailoverScenario,
     controllers: usize,
@@ -116,8 +120,8 @@
     }
 }
 
-/// Carries out the scenario's actions on time and observes the cluster for `duration_s`
-/// seconds, while arrays are submitted.
+/// Observes the cluster for `duration_s` seconds, while the scenario's actions are taken when due
+/// and an array is submitted every two seconds.
 async fn observe_failover(
     cluster: &mut SimulatedCluster,
     actions: &mut ActionSchedule,
@@ -140,7 +144,7 @@
     }
 }
 
-/// A cluster whose machines all run a service, and that starts arrays in every round.
+/// A cluster in which a service occupies `MACHINES` machines and short arrays have been submitted.
 async fn busy_cluster(controllers: usize, seed: u64) -> SimulatedCluster {
     let config = ClusterConfig {
         controllers,
@@ -156,7 +160,8 @@
     cluster
 }
 
-/// Submits an array without waiting for the response: the failure goes on meanwhile.
+/// Submits an array in the background, because the scenario must continue while no controller
+/// responds.
 fn spawn_submission(cluster: &SimulatedCluster, number: u32) {
     let id = format!("j-{number:06}");
     let body = job(&id, "sweep", 4, 1.0, 20.0);
--- a/crates/simulator/src/failover/actions.rs
+++ b/crates/simulator/src/failover/actions.rs
@@ -1,4 +1,4 @@
-//! What a scenario does when.
+//! The timed actions of each scenario.
 
 use super::{FailoverScenario, OBSERVATION_INTERVAL_S};
 use crate::cluster::SimulatedCluster;
@@ -6,17 +6,18 @@
 use rushwalk_testkit::Fault;
 use std::collections::BTreeMap;
 
-/// One step of a scenario.
+/// One action of a scenario. Controllers are given by their indexes.
 #[derive(Debug, Clone, Copy)]
 enum Action {
     Inject(Fault),
     Clear(Fault),
-    /// Ends a controller's process, which is restarted after a while.
+    /// Ends a controller's process, which is restarted after the restart delay.
     Crash(usize),
-    /// Ends the process of whoever leads, once somebody does.
+    /// Ends the leader's process; while there is no leader, the action stays pending.
     CrashSuccessor,
-    /// Makes the timers of one controller, or of all, late.
+    /// Sets the simulated timer lag, in quarters of the round interval; 0 ends it.
     SetTimerLag {
+        /// The affected controller; `None` for all controllers.
         only: Option<usize>,
         quarters_of_round: u32,
     },
@@ -36,11 +37,12 @@
     until_s: f64,
 }
 
-/// The actions that a scenario has yet to take.
+/// The actions of a scenario that are not taken yet.
 pub(super) struct ActionSchedule {
+    /// Delay until a crashed controller is restarted, in seconds.
     restart_s: f64,
     pending: Vec<ScheduledAction>,
-    /// When crashed controllers are restarted, in seconds from the failure.
+    /// When each crashed controller is restarted, by its index, in seconds from the failure.
     restarts_at_s: BTreeMap<usize, f64>,
 }
 
@@ -97,7 +99,7 @@
         }
     }
 
-    /// Crashes a controller so many times, each `uptime_s` after its restart.
+    /// Schedules `times` crashes of a controller, each `uptime_s` after its latest restart.
     fn add_crash_loop(&mut self, controller: usize, times: u32, uptime_s: f64) {
         for repetition in 0..times {
             let at_s = f64::from(repetition) * (self.restart_s + uptime_s);
@@ -105,14 +107,14 @@
         }
     }
 
-    /// Crashes all controllers, each `interval_s` after the one before.
+    /// Schedules a crash of each controller, in the order of their indexes and `interval_s` apart.
     fn add_crashes_of_all(&mut self, controllers: usize, interval_s: f64) {
         for controller in 0..controllers {
             self.add(interval_s * controller as f64, Action::Crash(controller));
         }
     }
 
-    /// Makes timers late by half a round for 60 s.
+    /// Schedules a timer lag of half a round that lasts for the first 60 s.
     fn add_timer_lag(&mut self, only: Option<usize>) {
         for (at_s, quarters_of_round) in [(0.0, 2), (60.0, 0)] {
             let action = Action::SetTimerLag {
@@ -123,8 +125,8 @@
         }
     }
 
-    /// Restarts processes and takes actions that are due. Returns the leaders that were
-    /// crashed as successors.
+    /// Restarts controllers and takes actions that are due. Returns the indexes of the leaders that
+    /// [`Action::CrashSuccessor`] crashed.
     pub(super) fn run_due(&mut self, cluster: &mut SimulatedCluster, now_s: f64) -> Vec<usize> {
         self.restart_due(cluster, now_s);
         let mut successors = Vec::new();
@@ -159,6 +161,7 @@
             .insert(controller, now_s + self.restart_s);
     }
 
+    /// Restarts the crashed controllers whose restart is due.
     fn restart_due(&mut self, cluster: &mut SimulatedCluster, now_s: f64) {
         let due = self
             .restarts_at_s
@@ -181,7 +184,7 @@
     }
 }
 
-/// The faults that a scenario injects into the platform.
+/// The platform faults of a scenario. `leader` is the index of the leader when it starts.
 fn fault_windows(
     scenario: FailoverScenario,
     controllers: usize,
--- a/crates/simulator/src/failover/observer.rs
+++ b/crates/simulator/src/failover/observer.rs
@@ -1,4 +1,4 @@
-//! Measures a failover by looking at all controllers many times a second.
+//! Measures a failover by observing the state of all controllers many times per second.
 
 use crate::cluster::{SimulatedCluster, member_name};
 use crate::inspect;
@@ -8,36 +8,47 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A controller without any fault that another declared failed.
+/// A declaration by one controller that another, which has no fault, has failed.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct FalsePositive {
+    /// Index of the controller that declares the other failed.
     observer: usize,
+    /// Name of the controller that is declared failed.
     member: String,
-    /// Since when, in half seconds of the observer's uptime: identifies the case.
-    since_half_s: u64,
+    /// When the controller became unhealthy, in half seconds of the observer's uptime. Repeated
+    /// observations of one declaration have the same value, so that it counts once.
+    since_half_seconds: u64,
 }
 
-/// Measurements so far, and what they need of earlier observations.
+/// The measurements so far, and the state that further observations are compared with.
 pub(super) struct Observer {
+    /// The longest time in which no leader finished a scheduling round.
     pub(super) longest_round_gap: Duration,
+    /// Time from the failure to the first suspicion of a failed controller; `None` before.
     pub(super) suspected_after: Option<Duration>,
+    /// Time from the failure until a failed controller was declared failed; `None` before.
     pub(super) declared_failed_after: Option<Duration>,
     pub(super) false_positives: BTreeSet<FalsePositive>,
+    /// The observed revisions of the leader key.
     pub(super) leader_revisions: BTreeSet<u64>,
     /// The latest owner of each shard.
     pub(super) shard_owners: BTreeMap<String, String>,
+    /// How often a shard's owner changed.
     pub(super) shard_moves: usize,
-    /// Machines of the failed controllers whose heartbeat no owner has yet.
+    /// The machines whose shards the failed controllers owned, and from which no owner of their
+    /// shard has received a heartbeat since the failure.
     pub(super) unrecovered_machines: BTreeSet<String>,
-    /// When the others recovered, in seconds from the failure.
+    /// For each recovered machine, the time from the failure to its recovery, in seconds.
     pub(super) machine_recovery_s: Vec<f64>,
     failed_at: Instant,
     failed_controllers: BTreeSet<usize>,
+    /// When a leader last finished a scheduling round or acquired leadership, rounds without
+    /// effect excepted; `None` before.
     last_round: Option<Instant>,
 }
 
 impl Observer {
-    /// Begins to measure a failure of some controllers.
+    /// Starts to measure a failure that happens now, of the controllers with indexes `failed`.
     pub(super) fn new(cluster: &SimulatedCluster, failed: &[usize]) -> Observer {
         let mut observer = Observer {
             longest_round_gap: Duration::ZERO,
@@ -61,6 +72,7 @@
         observer
     }
 
+    /// The ready machines whose shards the failed controllers own.
     fn machines_of_failed(&self, controller: &Controller) -> BTreeSet<String> {
         let failed: Vec<String> = self
             .failed_controllers
@@ -78,16 +90,16 @@
             .collect()
     }
 
-    /// Adds a controller that fails later than the others.
+    /// Adds a controller that fails after the start of the measurement.
     pub(super) fn add_failed(&mut self, controller: usize) {
         self.failed_controllers.insert(controller);
     }
 
-    /// Looks at all controllers.
+    /// Updates the measurements with the present state of all running controllers.
     pub(super) fn observe(&mut self, cluster: &SimulatedCluster) {
         let now = Instant::now();
         for (index, controller) in cluster.controllers() {
-            if !is_ineffective(cluster, index) {
+            if !has_ineffective_rounds(cluster, index) {
                 self.last_round = self.last_round.max(inspect::last_round(controller));
             }
             self.observe_peers(index, controller);
@@ -97,7 +109,8 @@
             let gap = now - last_round.max(self.failed_at - Duration::from_secs(1));
             self.longest_round_gap = self.longest_round_gap.max(gap);
         }
-        // Whoever reads the store has the newest state.
+        // Only the newest state is used: that of a controller that cannot read the store is
+        // outdated.
         let newest = cluster
             .controllers()
             .max_by_key(|(_, controller)| inspect::revision(controller));
@@ -106,6 +119,7 @@
         }
     }
 
+    /// Records the leader and the shard owners in a controller's state.
     fn observe_ownership(&mut self, controller: &Controller) {
         self.leader_revisions
             .extend(inspect::leader_revision(controller));
@@ -116,6 +130,7 @@
         }
     }
 
+    /// Records which controllers `controller`, with the index `observer`, considers unhealthy.
     fn observe_peers(&mut self, observer: usize, controller: &Controller) {
         for peer in inspect::unhealthy_peers(controller) {
             let index = peer.member.trim_start_matches("node-").parse().unwrap_or(0);
@@ -129,12 +144,13 @@
                 self.false_positives.insert(FalsePositive {
                     observer,
                     member: peer.member,
-                    since_half_s: (peer.since_s * 2.0) as u64,
+                    since_half_seconds: (peer.since_s * 2.0) as u64,
                 });
             }
         }
     }
 
+    /// Records the machines from which `controller`, as owner, has received a heartbeat.
     fn observe_machines(&mut self, controller: &Controller, now: Instant) {
         if self.unrecovered_machines.is_empty() {
             return;
@@ -150,8 +166,9 @@
     }
 }
 
-/// Whether a controller's rounds have no effect.
-fn is_ineffective(cluster: &SimulatedCluster, index: usize) -> bool {
+/// Whether a controller's scheduling rounds have no effect, because it is suspended or does not
+/// reach the store.
+fn has_ineffective_rounds(cluster: &SimulatedCluster, index: usize) -> bool {
     cluster.platform.is_active(Fault::ControllerFrozen(index))
         || cluster.platform.is_active(Fault::StoreUnreachable(index))
 }
--- a/crates/simulator/src/failover/scenario.rs
+++ b/crates/simulator/src/failover/scenario.rs
@@ -1,30 +1,31 @@
-//! The scenarios, and whom they affect for how long.
+//! The failover scenarios, the controllers that fail in them, and how long they are observed.
 
 use crate::value_name::serialize_value_name;
 use clap::ValueEnum;
 use serde::{Serialize, Serializer};
 
-/// What fails.
+/// The failure that a run simulates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum FailoverScenario {
-    /// Nothing.
+    /// Nothing fails.
     None,
     /// The leader crashes.
     #[value(name = "crash")]
     LeaderCrash,
-    /// Another controller than the leader crashes.
+    /// A follower crashes.
     #[value(name = "other")]
     FollowerCrash,
-    /// The leader crashes five times in a row, as soon as it is back.
+    /// The controller that leads at the start crashes five times, each 0.5 s after its restart.
     #[value(name = "five")]
     LeaderCrashFiveTimes,
-    /// The leader crashes while it starts, again and again, for 20 s.
+    /// The controller that leads at the start crashes repeatedly for 20 s, each time 0.1 s after
+    /// its restart.
     #[value(name = "looping")]
     LeaderCrashLoop,
-    /// The leader and another controller crash within half a second.
+    /// The leader crashes, and a follower 0.4 s later.
     #[value(name = "two")]
     LeaderAndFollowerCrash,
-    /// The leader crashes, and its successor just after it has taken over.
+    /// The leader crashes, and its successor as soon as it is elected.
     #[value(name = "successor")]
     SuccessorCrash,
     /// The leader is suspended for 45 s.
@@ -39,13 +40,14 @@
     /// The leader does not reach the store for 40 s.
     #[value(name = "cut-from-state")]
     LeaderStoreUnreachable,
-    /// The leader loses the store for 6 s, five times within a minute.
+    /// The leader does not reach the store for 6 s, five times within a minute.
     #[value(name = "flapping")]
     LeaderStoreFlapping,
-    /// No controller reaches another for 40 s; all else works.
+    /// Connections between controllers are refused for 40 s; all other connections work.
     #[value(name = "peers-refuse")]
     PeersRefuseConnections,
-    /// Heartbeats of the other controllers to the leader are lost for 40 s; its own arrive.
+    /// Heartbeats from the other controllers to the leader are lost for 40 s; its own heartbeats
+    /// arrive.
     #[value(name = "one-way")]
     LeaderInboundLoss,
     /// The leader's timers are late by half a round for 60 s.
@@ -54,23 +56,24 @@
     /// All controllers' timers are late by half a round for 60 s.
     #[value(name = "all-slow")]
     AllSlow,
-    /// All controllers are restarted, one after the other, 20 s apart.
+    /// The controllers crash and restart one after the other, 20 s apart.
     #[value(name = "roll")]
     RollingRestart,
-    /// All controllers crash at once.
+    /// All controllers crash at the same time.
     #[value(name = "all")]
     AllCrash,
 }
 
 impl Serialize for FailoverScenario {
-    /// By the name that it has on the command line.
+    /// Writes the scenario's name on the command line.
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         serialize_value_name(self, serializer)
     }
 }
 
 impl FailoverScenario {
-    /// The controllers that fail, by the one that leads at the beginning.
+    /// Indexes of the controllers that fail, given the `leader` at the start. A successor that
+    /// crashes later is not among them.
     pub(super) fn failed_controllers(self, leader: usize, controllers: usize) -> Vec<usize> {
         let follower = (leader + 1) % controllers;
         match self {
@@ -84,7 +87,7 @@
         }
     }
 
-    /// How long the scenario is observed, in seconds.
+    /// How long the scenario is observed, in seconds from the failure.
     pub(super) fn duration_s(self, controllers: usize) -> u32 {
         match self {
             FailoverScenario::RollingRestart => 20 * controllers as u32 + 30,
