--- a/crates/simulator/tests/failover.rs
+++ b/crates/simulator/tests/failover.rs
@@ -1,14 +1,17 @@
-//! Each row of the table in `docs/FAILURE_DETECTION.md`, by whole controllers on virtual time: how
-//! long a failover takes, and that no healthy controller is declared failed.
+//! The rows of the table in `docs/FAILURE_DETECTION.md`, tested with complete controllers in
+//! virtual time: bounds on the duration of a failover, and no healthy controller may be
+//! declared failed.
 
 use rushwalk_simulator::failover::{FailoverMeasurements, FailoverScenario, run as run_scenario};
 
-/// Measurements of a scenario with several seeds, of which none may violate an invariant.
+/// Runs a scenario with several seeds and returns the measurements. Fails if a run violates an
+/// invariant, declares a healthy controller failed by evidence, or ends with a machine whose
+/// heartbeat no shard owner received. Processes that ended restart after 4 s.
 async fn measure(scenario: FailoverScenario, controllers: usize) -> Vec<FailoverMeasurements> {
     measure_with_restart(scenario, controllers, 4.0).await
 }
 
-/// The same with processes that are restarted after so many seconds.
+/// Like `measure`, but processes that ended restart after `restart_s` seconds.
 async fn measure_with_restart(
     scenario: FailoverScenario,
     controllers: usize,
@@ -25,8 +28,9 @@
     runs
 }
 
-/// Fails if there was no scheduling round for longer, or there were more leaders or shard
-/// moves.
+/// Like `measure` with three controllers. Also fails if a run had no scheduling round for
+/// longer than `round_gap_s` seconds, more than `leaders` leader terms, or more than
+/// `shard_moves` shard moves.
 async fn measure_within(
     scenario: FailoverScenario,
     round_gap_s: f64,
@@ -37,12 +41,12 @@
     for run in &runs {
         assert!(
             run.longest_round_gap_s <= round_gap_s,
-            "{scenario:?}: {} s",
+            "{scenario:?}: {} s without a scheduling round",
             run.longest_round_gap_s
         );
         assert!(
             run.leaders <= leaders,
-            "{scenario:?}: {} leaders",
+            "{scenario:?}: {} leader terms",
             run.leaders
         );
         assert!(
@@ -54,16 +58,18 @@
     runs
 }
 
-/// By the expiry of the member lease alone it took 4.3 to 6.9 s.
+/// Refused connections are evidence of a crash. With the expiry of the member lease as the only
+/// evidence, a failover took 4.3 to 6.9 s.
 #[tokio::test(start_paused = true)]
 async fn a_crash_is_detected_when_two_controllers_are_refused_a_connection() {
     measure_within(FailoverScenario::LeaderCrash, 2.5, 2, 3).await;
     measure_within(FailoverScenario::RollingRestart, 2.5, 4, 9).await;
 }
 
-/// No other controller is left to agree: only the expiry of the member lease counts.
+/// A controller is declared failed by evidence only if another controller agrees. A single
+/// remaining controller has to wait for the member lease to expire.
 #[tokio::test(start_paused = true)]
-async fn a_single_remaining_controller_declares_none_failed_by_evidence() {
+async fn a_single_remaining_controller_declares_no_controller_failed_by_evidence() {
     for run in measure_within(FailoverScenario::LeaderAndFollowerCrash, 6.0, 3, 4).await {
         assert!(run.declared_failed_s.is_none_or(|s| s > 2.0), "{run:#?}");
     }
@@ -74,13 +80,15 @@
 #[tokio::test(start_paused = true)]
 async fn a_leader_frozen_for_long_is_replaced_and_one_frozen_briefly_is_not() {
     measure_within(FailoverScenario::LeaderFrozen, 5.8, 2, 3).await;
-    // The result of its commits of that time is unknown: it rewrites its own key.
+    // The outcome of commits that were in flight during the suspension is unknown, so the leader
+    // rewrites the leader key, which counts as a second term.
     for run in measure_within(FailoverScenario::LeaderFrozenBriefly, 4.5, 2, 0).await {
         assert_eq!(run.declared_failed_s, None);
     }
 }
 
-/// Each reaches the store and its workers, and serves as before.
+/// Controllers that lose heartbeats from each other still reach the store and their workers,
+/// so leadership and shards must not move.
 #[tokio::test(start_paused = true)]
 async fn loss_of_peer_heartbeats_alone_declares_no_controller_failed() {
     measure_within(FailoverScenario::PeersRefuseConnections, 1.6, 1, 0).await;
@@ -97,7 +105,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn machines_that_cannot_reach_their_shard_owner_get_another() {
+async fn machines_that_cannot_reach_their_shard_owner_get_another_owner() {
     for run in measure_within(FailoverScenario::LeaderWorkersUnreachable, 1.6, 1, 12).await {
         assert!(
             run.machine_recovery_s.iter().all(|s| *s < 15.0),
@@ -107,9 +115,10 @@
     }
 }
 
-/// Its shard leases last from its last read; a third of the shards may move.
+/// A shard owner may act on its leases for 20 s after its last read of the store, which is
+/// longer than each loss of the store (6 s). One of the three shards may move.
 #[tokio::test(start_paused = true)]
-async fn a_controller_that_loses_the_store_repeatedly_keeps_its_shards() {
+async fn a_leader_that_loses_the_store_repeatedly_causes_at_most_one_shard_move() {
     measure_within(FailoverScenario::LeaderStoreFlapping, 7.0, 2, 1).await;
 }
 
@@ -120,8 +129,8 @@
     }
 }
 
-/// A process that is back before any other noticed: no failover is needed, and requests in
-/// flight of the process before it do no harm.
+/// If a process restarts before the other controllers notice its end, no failover is needed,
+/// and requests of the previous process that are still in flight must do no harm.
 #[tokio::test(start_paused = true)]
 async fn a_fast_restart_costs_no_more_than_a_slow_one() {
     for restart_s in [0.05, 0.5, 1.0] {
@@ -138,8 +147,10 @@
     }
 }
 
-/// A controller that crashed while it started, again and again, was elected 134 times in 20 s
-/// and assigned its shards each time: no owner had their machines' heartbeats until it stayed.
+/// A controller that crashed each time while it started was elected 134 times within 20 s and
+/// was assigned its shards each time, so no shard owner received the heartbeats of their
+/// machines until the crashes stopped. A crash-looping controller must leave leadership and
+/// shards to the others.
 #[tokio::test(start_paused = true)]
 async fn a_crash_looping_controller_leaves_leadership_and_shards_to_others() {
     for restart_s in [0.05, 0.5] {
--- a/crates/simulator/tests/fault_search.rs
+++ b/crates/simulator/tests/fault_search.rs
@@ -1,10 +1,10 @@
-//! The search for violations by random combinations of faults.
+//! Runs of the search for random combinations of faults that violate an invariant.
 
 use clap::ValueEnum;
 use rushwalk_simulator::fault_search::{self, FaultKind, FaultSchedule};
 use rushwalk_simulator::virtual_time::run_on_virtual_time;
 
-/// Some seeds of the search; `rushwalk-simulator search` runs others.
+/// Runs seeds 1 to 36; `rushwalk-simulator search` runs other seeds.
 #[test]
 fn random_fault_combinations_violate_no_invariant() {
     for seed in 1..=36 {
@@ -14,18 +14,26 @@
     }
 }
 
-/// A violation must be reproducible from its seed.
+/// Two runs with the same seed must record the same events, so that a violation can be
+/// reproduced from its seed.
 #[test]
-fn equal_seeds_give_equal_events() {
+fn runs_with_the_same_seed_record_the_same_events() {
     for seed in [3, 4] {
         let schedule = FaultSchedule::draw(seed, 3, FaultKind::value_variants());
         let run = || run_on_virtual_time(fault_search::run_with_events(&schedule, true)).unwrap();
         let (first, second) = (run(), run());
-        let (before, after) = (&first.events, &second.events);
-        assert!(before.len() > 1000, "{} events", before.len());
-        let differ = before.iter().zip(after).find(|(a, b)| a != b);
-        assert_eq!(differ, None, "seed {seed}");
-        assert_eq!(before.len(), after.len());
+        let (first_events, second_events) = (&first.events, &second.events);
+        assert!(
+            first_events.len() > 1000,
+            "only {} events",
+            first_events.len()
+        );
+        let first_difference = first_events
+            .iter()
+            .zip(second_events)
+            .find(|(first, second)| first != second);
+        assert_eq!(first_difference, None, "seed {seed}");
+        assert_eq!(first_events.len(), second_events.len());
         assert_eq!(
             format!("{:?}", first.outcome),
             format!("{:?}", second.outcome)
