--- a/crates/simulator/tests/cluster/faults.rs
+++ b/crates/simulator/tests/cluster/faults.rs
@@ -1,4 +1,4 @@
-//! Crashes, partitions, outages, and random sequences of them.
+//! Crashes, loss of the store, outages, and random sequences of faults.
 
 use rushwalk_simulator::SimulatedCluster;
 use rushwalk_testkit::Fault;
@@ -14,7 +14,7 @@
     cluster.cancel(&service).await;
     cluster.run_for(20).await;
     assert_eq!(cluster.platform.checker().running_tasks(), 0);
-    // Nothing is left to do: the machines are returned.
+    // Without jobs, all machines are returned.
     cluster.run_for(200).await;
     assert!(cluster.platform.workers().iter().all(|w| w.deleted));
     cluster.assert_invariants();
@@ -28,8 +28,8 @@
         cluster.submit(2, "gang", 2, 4.0, 70.0).await,
     ];
     cluster.run_for(25).await;
-    let before = cluster.platform.checker().started;
-    assert!(before >= 10, "all run by now: {before}");
+    let started = cluster.platform.checker().started;
+    assert!(started >= 10, "only {started} of 10 tasks started");
     let leader = cluster.leader();
     cluster.crash(leader);
     cluster.run_for(5).await;
@@ -45,8 +45,8 @@
     cluster.wait_until_done(&jobs, 300).await;
     assert_eq!(
         cluster.platform.checker().started,
-        before,
-        "a crash restarted a task"
+        started,
+        "a task was restarted after a crash"
     );
     cluster.assert_invariants();
 }
@@ -59,24 +59,24 @@
     let started = cluster.platform.checker().started;
     for index in 0..3 {
         cluster.platform.inject(Fault::StoreUnreachable(index));
-        // A cancellation at another controller must reach every task.
-        let extra = cluster
+        // A cancellation must reach every task, whichever controller confirms it.
+        let cancelled = cluster
             .submit(10 + index as u32, "standing", 3, 1.0, 0.0)
             .await;
         cluster.run_for(30).await;
-        cluster.cancel(&extra).await;
+        cluster.cancel(&cancelled).await;
         cluster.run_for(70).await;
         cluster.platform.clear(Fault::StoreUnreachable(index));
         cluster.run_for(20).await;
     }
     assert_eq!(cluster.job_status(&service).await.running, 6);
-    let again = cluster.platform.checker().started - started;
-    assert_eq!(again, 9, "the first service's tasks ran on");
+    let later_starts = cluster.platform.checker().started - started;
+    assert_eq!(later_starts, 9, "tasks of the first service were restarted");
     cluster.assert_invariants();
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_outage_shorter_than_the_lease_costs_nothing() {
+async fn a_store_outage_shorter_than_the_worker_lease_restarts_no_task() {
     let mut cluster = SimulatedCluster::new(4);
     let jobs = vec![cluster.submit(1, "sweep", 6, 1.0, 90.0).await];
     cluster.run_for(25).await;
@@ -88,45 +88,49 @@
     cluster.assert_invariants();
 }
 
-/// Responses are lost and messages delayed, and controllers crash, while jobs are submitted
-/// and cancelled.
+/// Submits and cancels jobs while responses to commits are lost, commits and messages to workers
+/// are delayed, controllers crash, and one or all controllers lose the store.
 async fn run_random_faults(seed: u64) {
     let mut cluster = SimulatedCluster::new(seed);
     cluster.platform.inject(Fault::CommitResponsesLost);
     cluster.platform.inject(Fault::FewCommitsDelayed);
-    let mut open = Vec::new();
+    let mut finite_jobs = Vec::new();
     let mut services = Vec::new();
     for iteration in 0..12u64 {
-        let pick = ((seed * 31 + iteration * 7) % 3) as usize;
+        let controller = ((seed * 31 + iteration * 7) % 3) as usize;
         let number = (iteration * 10) as u32;
-        open.push(cluster.submit(number, "sweep", 4, 1.0, 15.0).await);
-        open.push(cluster.submit(number + 1, "gang", 2, 4.0, 20.0).await);
+        finite_jobs.push(cluster.submit(number, "sweep", 4, 1.0, 15.0).await);
+        finite_jobs.push(cluster.submit(number + 1, "gang", 2, 4.0, 20.0).await);
         services.push(cluster.submit(number + 2, "standing", 2, 1.0, 0.0).await);
         match (seed + iteration) % 4 {
-            0 => cluster.crash(pick),
-            1 => cluster.platform.inject(Fault::WorkerMessagesDelayed(pick)),
-            2 => cluster.platform.inject(Fault::StoreUnreachable(pick)),
+            0 => cluster.crash(controller),
+            1 => cluster
+                .platform
+                .inject(Fault::WorkerMessagesDelayed(controller)),
+            2 => cluster.platform.inject(Fault::StoreUnreachable(controller)),
             _ => cluster.platform.inject(Fault::StoreOutage),
         }
         cluster.run_for(12).await;
-        // In an outage no cancellation can be confirmed.
+        // During an outage of the store no cancellation can be confirmed.
         cluster.platform.clear(Fault::StoreOutage);
         if iteration % 2 == 1 {
             let service = services.remove(0);
             cluster.cancel(&service).await;
         }
         cluster.run_for(8).await;
-        cluster.platform.clear(Fault::WorkerMessagesDelayed(pick));
-        cluster.platform.clear(Fault::StoreUnreachable(pick));
+        cluster
+            .platform
+            .clear(Fault::WorkerMessagesDelayed(controller));
+        cluster.platform.clear(Fault::StoreUnreachable(controller));
         cluster.platform.clear(Fault::StoreOutage);
-        cluster.start_if_stopped(pick);
+        cluster.start_if_stopped(controller);
     }
     cluster.platform.clear(Fault::CommitResponsesLost);
     cluster.platform.clear(Fault::FewCommitsDelayed);
     for service in services {
         cluster.cancel(&service).await;
     }
-    cluster.wait_until_done(&open, 600).await;
+    cluster.wait_until_done(&finite_jobs, 600).await;
     cluster.run_for(70).await;
     cluster.assert_invariants();
 }
--- a/crates/simulator/tests/cluster/http.rs
+++ b/crates/simulator/tests/cluster/http.rs
@@ -1,4 +1,4 @@
-//! HTTP statuses of the interface for users and workers.
+//! HTTP statuses of the API for users and workers.
 
 use rushwalk_simulator::SimulatedCluster;
 
@@ -16,7 +16,7 @@
     assert_eq!(status("POST", "/api/jobs", b"{").await, 400);
     assert_eq!(status("POST", "/api/jobs", b"[1]").await, 400);
     assert_eq!(status("POST", "/api/jobs", &[b' '; 70_000]).await, 413);
-    // A known job is never validated again.
+    // A submission with the id of a known job is not validated.
     let changed = format!(r#"{{"uid":"{known}","pieces":-4}}"#);
     assert_eq!(status("POST", "/api/jobs", changed.as_bytes()).await, 200);
     let mut spec = cluster.jobs[&known].clone();
--- a/crates/simulator/tests/cluster/main.rs
+++ b/crates/simulator/tests/cluster/main.rs
@@ -1,4 +1,4 @@
-//! Whole controllers against the simulated platform on virtual time, with crashes,
+//! Tests of complete controllers on the simulated platform in virtual time, with crashes,
 //! partitions, lost responses and delayed messages. The protocol's invariants must hold.
 
 mod faults;
--- a/crates/simulator/tests/cluster/restart.rs
+++ b/crates/simulator/tests/cluster/restart.rs
@@ -1,15 +1,15 @@
-//! Controllers that start, after snapshots and after a crash of all.
+//! Restarts of controllers, after snapshots and after a crash of all controllers.
 
 use rushwalk_protocol::jobs::StatusPhase;
 use rushwalk_simulator::{ClusterConfig, SimulatedCluster, inspect};
 use std::time::Duration;
 use tokio::task::JoinHandle;
 
-/// After a snapshot the log's keys are reused: controllers that start then must know all
-/// earlier entries, and tasks must run on.
+/// After a snapshot the keys of the log are reused. Controllers that start afterwards must still
+/// know the content of all earlier entries, and running tasks must continue.
 #[tokio::test(start_paused = true)]
-async fn a_restart_after_a_snapshot_loses_nothing() {
-    // Few writes per second: more than one snapshot is due early.
+async fn a_restart_after_a_snapshot_loses_no_job() {
+    // With few writes per second, two snapshots are due after few log entries.
     let config = ClusterConfig {
         write_rps: 10.0,
         ..ClusterConfig::default()
@@ -21,7 +21,7 @@
     let mut snapshots = 0;
     while snapshots < 2 {
         number += 1;
-        assert!(number < 400, "no snapshot was made");
+        assert!(number < 400, "fewer than two snapshots were written");
         jobs.push(cluster.submit(number, "sweep", 2, 1.0, 8.0).await);
         cluster.run_for(2).await;
         let process = cluster.processes[0].as_ref().unwrap();
@@ -41,15 +41,15 @@
         cluster.job_status(&cancelled).await.phase,
         StatusPhase::Cancelled
     );
-    let again = cluster.platform.checker().started - started;
-    assert!(again <= 12, "{again} tasks started anew");
+    let restarted = cluster.platform.checker().started - started;
+    assert!(restarted <= 12, "{restarted} tasks started after the crash");
     cluster.assert_invariants();
 }
 
-/// Until the shards of its predecessor are assigned again a controller could only refuse its
-/// workers: its port stays closed until then.
+/// A restarted controller can only reject workers until the shards that its previous process
+/// owned are assigned again, so its port for workers stays closed until then.
 #[tokio::test(start_paused = true)]
-async fn after_a_crash_of_all_ports_open_when_shards_are_assigned() {
+async fn after_a_crash_of_all_controllers_ports_open_when_shards_are_assigned() {
     let mut cluster = SimulatedCluster::new(11);
     cluster.submit(1, "standing", 6, 1.0, 0.0).await;
     cluster.run_for(20).await;
@@ -57,11 +57,11 @@
     cluster.run_for(4).await;
     cluster.start_all();
     for process in cluster.processes.iter().flatten() {
-        let opens = tokio::time::timeout(
+        let registered = tokio::time::timeout(
             Duration::from_secs(8),
             process.controller.replica.wait_until_registered(),
         );
-        opens.await.unwrap();
+        registered.await.unwrap();
         let controller = &process.controller;
         assert!(inspect::is_registered_without_earlier_leases(controller));
     }
--- a/crates/simulator/tests/cluster/scale.rs
+++ b/crates/simulator/tests/cluster/scale.rs
@@ -1,4 +1,4 @@
-//! Large jobs and fleets with few writes to the store and little work for each controller.
+//! Large jobs and fleets need few writes to the store and little work of each controller.
 
 use rushwalk_simulator::{ClusterConfig, SimulatedCluster, inspect};
 use std::time::Duration;
@@ -9,23 +9,23 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_job_of_100_000_tasks_does_not_block_small_ones() {
+async fn a_job_of_100_000_tasks_does_not_block_small_jobs() {
     let mut cluster = SimulatedCluster::new(6);
-    let big = cluster.submit(1, "sweep", 100_000, 1.0, 5.0).await;
-    let small = vec![cluster.submit(2, "sweep", 1, 1.0, 5.0).await];
-    cluster.wait_until_done(&small, 120).await;
-    let state = cluster.job_status(&big).await;
-    assert!(state.done > 0 && state.running <= 20, "{state:?}");
-    cluster.cancel(&big).await;
+    let large_job = cluster.submit(1, "sweep", 100_000, 1.0, 5.0).await;
+    let small_jobs = vec![cluster.submit(2, "sweep", 1, 1.0, 5.0).await];
+    cluster.wait_until_done(&small_jobs, 120).await;
+    let status = cluster.job_status(&large_job).await;
+    assert!(status.done > 0 && status.running <= 20, "{status:?}");
+    cluster.cancel(&large_job).await;
     cluster.run_for(20).await;
     assert_eq!(cluster.platform.checker().running_tasks(), 0);
     cluster.assert_invariants();
 }
 
-/// The store takes a few dozen writes per second, whatever the size of the fleet: a key for
-/// each task or machine would be too many.
+/// The store accepts a few dozen writes per second, whatever the size of the fleet. Writing one
+/// key for each task or machine would exceed that.
 #[tokio::test(start_paused = true)]
-async fn writes_grow_with_rounds_not_with_tasks() {
+async fn store_writes_grow_with_rounds_not_with_tasks() {
     let mut cluster = large_cluster(8).await;
     let before = cluster.platform.write_count();
     let mut jobs = Vec::new();
@@ -38,30 +38,35 @@
         cluster.platform.checker().started,
     );
     assert!(started >= 2000, "{started}");
-    assert!(cluster.platform.workers().len() >= 250, "machines of four");
-    assert!(writes < started / 2, "{writes} changes for {started} tasks");
+    assert!(
+        cluster.platform.workers().len() >= 250,
+        "fewer than 250 machines were rented"
+    );
+    assert!(writes < started / 2, "{writes} writes for {started} tasks");
     cluster.assert_invariants();
 }
 
-/// On the smallest hosts a shard owner that reconciled each of its machines in each round, or
-/// asked all workers for their status at once after a crash, had no time left to respond to
-/// them. It reconciles those with heartbeats or changes; most workers find it by themselves.
+/// On the smallest hosts, a shard owner had no time left to respond to its workers when it
+/// reconciled all its machines in each round, or queried the status of all workers together
+/// after a crash. It reconciles only machines with a heartbeat or a change, and queries few
+/// workers at a time, since most workers find a new owner by themselves.
 #[tokio::test(start_paused = true)]
-async fn owners_reconcile_what_changes_and_ask_few_workers_at_a_time() {
+async fn owners_reconcile_changed_machines_only_and_query_few_workers_at_a_time() {
     let mut cluster = large_cluster(10).await;
     let service = cluster.submit(1, "standing", 250, 4.0, 0.0).await;
     cluster.run_for(40).await;
     assert_eq!(cluster.job_status(&service).await.running, 250);
-    let reconciled = |cluster: &SimulatedCluster| -> u64 {
+    let count_reconciled = |cluster: &SimulatedCluster| -> u64 {
         let processes = cluster.processes.iter().flatten();
         processes
             .map(|process| inspect::reconciled_machines(&process.controller))
             .sum()
     };
-    let before = reconciled(&cluster);
+    let reconciled_before = count_reconciled(&cluster);
     cluster.run_for(30).await;
-    // A heartbeat every 3 s or so: 2,500 in 30 s, and as many rounds of 250.
-    let reconciled = reconciled(&cluster) - before;
+    // With a heartbeat about every 3 s, 250 machines send 2,500 heartbeats in 30 s. Reconciling
+    // all machines in each of the 30 rounds would make 7,500.
+    let reconciled = count_reconciled(&cluster) - reconciled_before;
     assert!(
         reconciled < 3_500,
         "{reconciled} machines reconciled for 2,500 heartbeats"
@@ -71,15 +76,18 @@
     cluster.start_all();
     cluster.run_for(40).await;
     assert_eq!(cluster.job_status(&service).await.running, 250);
-    let most = cluster
+    let max_queried = cluster
         .platform
         .max_status_requests_within(Duration::from_millis(300));
-    assert!(most <= 80, "{most} of 250 workers asked in a tick");
+    assert!(
+        max_queried <= 80,
+        "{max_queried} of 250 workers queried within 300 ms"
+    );
     cluster.assert_invariants();
 }
 
-/// Concurrent queries share one read of the store, also during a failover, and submissions and
-/// cancellations don't wait behind them.
+/// Concurrent queries share one read of the store, also during a failover. Submissions and
+/// cancellations must not wait behind them.
 #[tokio::test(start_paused = true)]
 async fn many_queries_during_a_failover_delay_no_other_request() {
     let mut cluster = SimulatedCluster::new(16);
@@ -88,11 +96,11 @@
     let leader = cluster.leader();
     cluster.crash(leader);
     let path = format!("/api/jobs/{service}");
-    let mut polls = tokio::task::JoinSet::new();
+    let mut queries = tokio::task::JoinSet::new();
     for number in 0..2000u64 {
         let (platform, path) = (cluster.platform.clone(), path.clone());
         let controller = (leader + 1 + number as usize % 2) % 3;
-        polls.spawn(async move {
+        queries.spawn(async move {
             tokio::time::sleep(Duration::from_millis(2 * number)).await;
             let call = platform.user_request(controller, "GET", &path, Vec::new());
             tokio::time::timeout(Duration::from_secs(2), call).await
@@ -101,29 +109,35 @@
     let began = tokio::time::Instant::now();
     let job = cluster.submit(2, "sweep", 2, 1.0, 5.0).await;
     cluster.cancel(&service).await;
-    let took = began.elapsed();
-    assert!(took < Duration::from_secs(3), "{took:?} for two changes");
-    let (mut answered, mut refused) = (0, 0);
-    while let Some(answer) = polls.join_next().await {
-        match answer.unwrap() {
-            Ok(Some(response)) if response.status == 200 => answered += 1,
-            Ok(Some(response)) if matches!(response.status, 429 | 503) => refused += 1,
+    let elapsed = began.elapsed();
+    assert!(
+        elapsed < Duration::from_secs(3),
+        "{elapsed:?} for a submission and a cancellation"
+    );
+    let (mut succeeded, mut rejected) = (0, 0);
+    while let Some(result) = queries.join_next().await {
+        match result.unwrap() {
+            Ok(Some(response)) if response.status == 200 => succeeded += 1,
+            Ok(Some(response)) if matches!(response.status, 429 | 503) => rejected += 1,
             other => panic!("{other:?}"),
         }
     }
-    assert!(answered > 1900, "{answered} answered, {refused} refused");
+    assert!(
+        succeeded > 1900,
+        "{succeeded} queries succeeded, {rejected} were rejected"
+    );
     cluster.wait_until_done(&[job], 60).await;
     cluster.assert_invariants();
 }
 
-/// The leader crashes half way through an array of thousands of short tasks.
+/// The leader crashes halfway through an array of 2,000 short tasks.
 #[tokio::test(start_paused = true)]
-async fn a_long_array_continues_over_a_crash_with_few_writes() {
+async fn a_long_array_continues_after_a_leader_crash_with_few_writes() {
     let mut cluster = SimulatedCluster::warmed_up(ClusterConfig::with_gpus(200.0), 17).await;
     let array = cluster.submit(1, "sweep", 2000, 1.0, 4.0).await;
     cluster.run_for(30).await;
-    let half = cluster.job_status(&array).await.done;
-    assert!((100..1900).contains(&half), "{half} done at the crash");
+    let done = cluster.job_status(&array).await.done;
+    assert!((100..1900).contains(&done), "{done} done at the crash");
     let leader = cluster.leader();
     cluster.crash(leader);
     cluster.run_for(1).await;
@@ -133,9 +147,9 @@
     assert_eq!(
         cluster.platform.checker().started,
         2000,
-        "none was started twice"
+        "a task was started twice"
     );
     let writes = cluster.platform.write_count() - before;
-    assert!(writes < 1200, "{writes} changes for {} tasks", 2000 - half);
+    assert!(writes < 1200, "{writes} writes for {} tasks", 2000 - done);
     cluster.assert_invariants();
 }
--- a/crates/simulator/tests/cluster/scheduling.rs
+++ b/crates/simulator/tests/cluster/scheduling.rs
@@ -1,10 +1,10 @@
-//! Scale out, and retries of failing tasks.
+//! Scale-out, and retries of failing tasks.
 
 use rushwalk_simulator::{ClusterConfig, SimulatedCluster};
 use rushwalk_testkit::Fault;
 
-/// Rental requests in exhausted zones came before those in zones with capacity: at twice a
-/// fleet's size three of four brought nothing, and machines were minutes late.
+/// When rental requests for exhausted zones were sent before those for zones with capacity, three
+/// of four requests were refused at twice the usual fleet size, and machines were minutes late.
 #[tokio::test(start_paused = true)]
 async fn rentals_go_to_zones_with_capacity() {
     let config = ClusterConfig {
@@ -20,19 +20,22 @@
     }
     cluster.run_for(45).await;
     let rentals = cluster.platform.rental_counts();
-    let (brought, nothing) = (rentals.fulfilled, rentals.refused);
+    let (fulfilled, refused) = (rentals.fulfilled, rentals.refused);
     let machines = cluster.platform.workers().len();
-    assert!(machines >= 450, "{machines} machines by {brought} calls");
     assert!(
-        nothing <= 4,
-        "{nothing} calls brought nothing, {brought} did"
+        machines >= 450,
+        "{machines} machines from {fulfilled} fulfilled requests"
+    );
+    assert!(
+        refused <= 4,
+        "{refused} rental requests refused, {fulfilled} fulfilled"
     );
     cluster.assert_invariants();
 }
 
-/// Machines that never became ready were expected within a fifth of the boot time, again and
-/// again: nothing was rented in their place until their boot was abandoned after four times
-/// that time.
+/// Machines that never became ready were always expected to be ready within another fifth of the
+/// boot time, so no others were rented in their place until they were abandoned after four boot
+/// times. They must be replaced sooner.
 #[tokio::test(start_paused = true)]
 async fn tasks_do_not_wait_for_machines_that_never_boot() {
     let mut cluster = SimulatedCluster::new(14);
@@ -41,49 +44,52 @@
     let service = cluster.submit(1, "standing", 12, 1.0, 0.0).await;
     cluster.run_for(2).await;
     cluster.platform.clear(Fault::BootsFail);
-    let mut waited = 2;
+    let mut waited_s = 2;
     while cluster.job_status(&service).await.running < 12 {
         cluster.run_for(1).await;
-        waited += 1;
+        waited_s += 1;
     }
-    assert!(waited <= 24, "{waited} s, with boots of 5 s");
-    // Superfluous machines are returned.
+    assert!(
+        waited_s <= 24,
+        "{waited_s} s until all tasks ran, at a boot time of 5 s"
+    );
+    // Machines that no task needs are returned.
     cluster.run_for(60).await;
     let machines = cluster.platform.live_machines();
     assert!(machines <= 6, "{machines} machines for 12 GPUs");
     cluster.assert_invariants();
 }
 
-/// Each retry of a failing job took as many machines as it has tasks, and tasks of a good job
-/// that failed on one machine delayed all its others.
+/// Each retry of a job whose tasks always fail used as many machines as the job has tasks, and
+/// when tasks of another job failed on one faulty machine, all its other tasks were delayed.
 #[tokio::test(start_paused = true)]
-async fn a_failing_job_costs_little_and_a_faulty_machine_delays_no_job() {
+async fn a_failing_job_is_retried_with_few_tasks_and_a_faulty_machine_delays_no_job() {
     let mut cluster = SimulatedCluster::warmed_up(ClusterConfig::with_gpus(400.0), 15).await;
-    let base = cluster.submit(1, "standing", 20, 4.0, 0.0).await;
+    let service = cluster.submit(1, "standing", 20, 4.0, 0.0).await;
     cluster.run_for(30).await;
     cluster.platform.checker().failing_jobs = ["j-000010", "j-000011"].map(String::from).into();
-    let first = cluster.platform.workers().len();
+    let next_machine = cluster.platform.workers().len();
     let array = cluster.submit(10, "sweep", 60, 1.0, 10.0).await;
     let gang = cluster.submit(11, "gang", 4, 4.0, 10.0).await;
     cluster.run_for(200).await;
-    // All tasks start at first; afterwards one task, or one gang, at a time.
+    // The first attempt starts all tasks, each retry one task of the array or the whole gang.
     let failed = cluster.platform.checker().failed_starts;
-    assert!(failed <= 60 + 3 * 4 + 8, "{failed} starts for nothing");
-    // All tasks on the next machine fail.
+    assert!(failed <= 60 + 3 * 4 + 8, "{failed} failed starts");
+    // All tasks fail on the next machine to be rented and on three later ones.
     let mut faulty = Vec::new();
-    faulty.extend((first..first + 1).map(|index| format!("i-{index:06}")));
+    faulty.extend((next_machine..next_machine + 1).map(|index| format!("i-{index:06}")));
     faulty.extend(
-        (first + 15..first + 60)
+        (next_machine + 15..next_machine + 60)
             .step_by(15)
             .map(|index| format!("i-{index:06}")),
     );
     cluster.platform.checker().faulty_machines = faulty.into_iter().collect();
-    let good = vec![
+    let working_jobs = vec![
         cluster.submit(20, "sweep", 60, 1.0, 10.0).await,
         cluster.submit(21, "gang", 4, 4.0, 10.0).await,
     ];
-    cluster.wait_until_done(&good, 60).await;
-    assert_eq!(cluster.job_status(&base).await.running, 20);
+    cluster.wait_until_done(&working_jobs, 60).await;
+    assert_eq!(cluster.job_status(&service).await.running, 20);
     for id in [&array, &gang] {
         assert_eq!(cluster.job_status(id).await.done, 0);
         cluster.cancel(id).await;
@@ -93,7 +99,7 @@
     assert_eq!(
         cluster.platform.checker().failed_starts,
         failed,
-        "cancelled jobs start nothing"
+        "tasks of cancelled jobs were started"
     );
     cluster.assert_invariants();
 }
