--- a/crates/simulator/tests/failover.rs
+++ b/crates/simulator/tests/failover.rs
@@ -5,8 +5,9 @@
 use rushwalk_simulator::failover::{FailoverMeasurements, FailoverScenario, run as run_scenario};
 
 /// Runs a scenario with several seeds and returns the measurements. Fails if a run violates an
-/// invariant, declares a healthy controller failed by evidence, or ends with a machine whose
-/// heartbeat no shard owner received. Processes that ended restart after 4 s.
+/// invariant, declares a healthy controller failed by evidence, or ends with a machine of a
+/// failed controller from which no shard owner has received a heartbeat since the failure.
+/// Processes that ended restart after 4 s.
 async fn measure(scenario: FailoverScenario, controllers: usize) -> Vec<FailoverMeasurements> {
     measure_with_restart(scenario, controllers, 4.0).await
 }
--- a/crates/simulator/tests/fault_combinations.rs
+++ b/crates/simulator/tests/fault_combinations.rs
@@ -194,6 +194,7 @@
         .platform
         .inject_each(Fault::MachineFrozen, &machines);
     let array = cluster.submit(2, "sweep", 3, 4.0, 300.0).await;
+    // The commit that records the end of these tasks is applied 7 s late.
     cluster
         .platform
         .delay_next_commit(r#"{"e":["j-000002""#, Duration::from_secs(7));
@@ -216,6 +217,7 @@
 /// of all controllers none could.
 #[tokio::test(start_paused = true)]
 async fn a_delayed_write_of_a_snapshot_does_not_corrupt_the_next_snapshot() {
+    // The keys of a snapshot's chunks and of its manifest.
     for (delayed_commit, seed) in [("w/s/", 34), (r#""write":"w/base""#, 35)] {
         let mut cluster = small_cluster(seed, 10.0).await;
         let service = cluster.submit(1, "standing", 4, 1.0, 0.0).await;
@@ -272,9 +274,9 @@
     for iteration in 0..3u32 {
         // Short jobs fill the log until a snapshot is written.
         let generation = inspect::snapshot_generation(cluster.first_controller());
-        for k in 0..40 {
+        for short_job in 0..40 {
             cluster
-                .submit(100 + iteration * 40 + k, "sweep", 1, 1.0, 2.0)
+                .submit(100 + iteration * 40 + short_job, "sweep", 1, 1.0, 2.0)
                 .await;
             cluster.run_for(1).await;
             if inspect::snapshot_generation(cluster.first_controller()) > generation {
