--- a/crates/simulator/tests/real_machines/cancellation.rs
+++ b/crates/simulator/tests/real_machines/cancellation.rs
@@ -1,4 +1,4 @@
-//! Cancellations meet their deadline, and free their quota, whatever fails meanwhile.
+//! Cancellations during faults: they meet their deadline and release the team's quota.
 
 use crate::common::small_cluster;
 use crate::sleep_ms;
@@ -8,9 +8,10 @@
 use rushwalk_testkit::{Fault, Request};
 use serde_json::json;
 
-/// Every team is at its quota while jobs are cancelled whose machines are partitioned or
-/// suspended, and the leader changes: cancelled tasks count until they have surely ended, and
-/// then their capacity is used again.
+/// Cancels jobs while every team is at its quota and `fault` affects some of the jobs' machines
+/// for `duration_s` seconds; with `with_crash` the leader also crashes and restarts. Cancelled
+/// tasks must count towards the quota until they have certainly ended, and afterwards other jobs
+/// must be able to use their capacity.
 async fn cancel_at_quota(seed: u64, fault: fn(usize) -> Fault, duration_s: u64, with_crash: bool) {
     let config = ClusterConfig {
         teams: vec![
@@ -28,7 +29,7 @@
     };
     let mut cluster = SimulatedCluster::warmed_up(config, seed).await;
     let blue = json!({"crew": "blue"});
-    let mut first = vec![
+    let mut jobs_to_cancel = vec![
         cluster.submit(1, "standing", 12, 1.0, 0.0).await,
         cluster.submit(2, "sweep", 6, 2.0, 900.0).await,
         cluster
@@ -37,13 +38,13 @@
     ];
     cluster.run_for(25).await;
     assert_eq!(cluster.platform.checker().running_tasks(), 21);
-    let machines: Vec<usize> = (first.iter())
+    let machines: Vec<usize> = (jobs_to_cancel.iter())
         .flat_map(|id| cluster.platform.checker().machines_of(id))
         .collect();
-    // Every second machine, also of the gang.
+    // Machines with an even index, also those of the gang.
     let affected: Vec<usize> = machines.into_iter().filter(|m| m % 2 == 0).collect();
     cluster.platform.inject_each(fault, &affected);
-    let mut next = vec![
+    let mut later_jobs = vec![
         cluster.submit(11, "sweep", 24, 1.0, 20.0).await,
         cluster
             .submit_with(12, "gang", 3, 4.0, 20.0, blue.clone())
@@ -51,25 +52,25 @@
         cluster.submit_with(13, "sweep", 12, 1.0, 20.0, blue).await,
     ];
     let leader = cluster.leader();
-    cluster.cancel(&first.remove(0)).await;
-    cluster.cancel(&first.remove(1)).await;
+    cluster.cancel(&jobs_to_cancel.remove(0)).await;
+    cluster.cancel(&jobs_to_cancel.remove(1)).await;
     if with_crash {
         cluster.crash(leader);
         sleep_ms(200).await;
         cluster.start(leader);
     }
-    cluster.cancel(&first.remove(0)).await;
+    cluster.cancel(&jobs_to_cancel.remove(0)).await;
     cluster.run_for(duration_s).await;
     cluster.platform.clear_each(fault, &affected);
     cluster.declare_faults_ended();
-    next.push(cluster.submit(14, "sweep", 24, 1.0, 5.0).await);
-    cluster.wait_until_done(&next, 200).await;
+    later_jobs.push(cluster.submit(14, "sweep", 24, 1.0, 5.0).await);
+    cluster.wait_until_done(&later_jobs, 200).await;
     cluster.run_for(70).await;
     cluster.assert_invariants();
 }
 
 #[tokio::test(start_paused = true)]
-async fn teams_at_their_quota_get_cancelled_capacity_back_and_no_more() {
+async fn teams_at_their_quota_reuse_cancelled_capacity_and_never_exceed_it() {
     let mut seed = 80;
     for fault in [
         Fault::MachineFrozen,
@@ -84,17 +85,17 @@
     }
 }
 
-/// Jobs are cancelled before, while and after a controller's shards get other owners, with
-/// commands of the former owner delayed.
+/// Jobs are cancelled before, during and after the move of a crashed controller's shards to other
+/// owners. In every second iteration, messages between that controller and workers are delayed.
 #[tokio::test(start_paused = true)]
 async fn cancellations_during_shard_moves_take_effect() {
-    for (seed, back_ms) in [(101, 200), (102, 1_200), (103, 9_000)] {
+    for (seed, restart_after_ms) in [(101, 200), (102, 1_200), (103, 9_000)] {
         let mut cluster = small_cluster(seed, 12.0).await;
         let mut number = 100;
         let mut cancelled = Vec::new();
         for iteration in 0..6u64 {
-            let owner = (cluster.leader() + iteration as usize) % 3;
-            let together = json!({"together": true});
+            let crashed = (cluster.leader() + iteration as usize) % 3;
+            let one_zone = json!({"together": true});
             let mut jobs = Vec::new();
             for (shape, tasks, gpus) in [
                 ("standing", 4, 1.0),
@@ -104,22 +105,24 @@
                 ("sweep", 5, 1.0),
             ] {
                 number += 1;
-                let together = together.clone();
-                let id = cluster.submit_with(number, shape, tasks, gpus, 200.0, together);
+                let fields = one_zone.clone();
+                let id = cluster.submit_with(number, shape, tasks, gpus, 200.0, fields);
                 jobs.push(id.await);
             }
             sleep_ms(150 * iteration).await;
             if iteration % 2 == 0 {
-                cluster.platform.inject(Fault::WorkerMessagesDelayed(owner));
+                cluster
+                    .platform
+                    .inject(Fault::WorkerMessagesDelayed(crashed));
             }
-            cluster.crash(owner);
+            cluster.crash(crashed);
             let (platform, ids) = (cluster.platform.clone(), jobs.clone());
-            // One each 400 ms: before, while and after the shard leases change.
-            let cancels = tokio::spawn(async move {
+            // One every 400 ms: before, during and after the change of the shard leases.
+            let cancellations = tokio::spawn(async move {
                 for (index, id) in ids.into_iter().enumerate() {
                     sleep_ms(400).await;
-                    for k in 0.. {
-                        let controller = (owner + 1 + (index + k) % 2) % 3;
+                    for attempt in 0.. {
+                        let controller = (crashed + 1 + (index + attempt) % 2) % 3;
                         match request(&platform, controller, Request::Cancel, &id, "").await {
                             Some(response) if response.status == 200 => break,
                             _ => sleep_ms(300).await,
@@ -127,11 +130,13 @@
                     }
                 }
             });
-            sleep_ms(back_ms).await;
-            cluster.start(owner);
-            cancels.await.unwrap();
+            sleep_ms(restart_after_ms).await;
+            cluster.start(crashed);
+            cancellations.await.unwrap();
             sleep_ms(700).await;
-            cluster.platform.clear(Fault::WorkerMessagesDelayed(owner));
+            cluster
+                .platform
+                .clear(Fault::WorkerMessagesDelayed(crashed));
             cancelled.extend(jobs);
             cluster.run_for(4).await;
         }
@@ -145,19 +150,20 @@
     }
 }
 
-/// Jobs are cancelled just as the store refuses the leader alone; a second later it refuses
-/// everybody for longer than the deadline of a cancellation. In addition a team is at its
-/// quota, machines are suspended, and the leader changes.
+/// Jobs are cancelled right after the store begins to refuse the leader alone; a second later it
+/// refuses all controllers for 75 s, longer than the deadline of a cancellation (65 s), or for
+/// 20 s. In two of the cases the team is also at its quota, machines are suspended, and the
+/// leader crashes.
 #[tokio::test(start_paused = true)]
 async fn cancellations_as_the_leader_loses_the_store_before_an_outage_take_effect() {
-    for (seed, limit, with_frozen_machines, outage_s) in [
+    for (seed, gpu_quota, with_frozen_machines, outage_s) in [
         (191, 60.0, false, 75),
         (192, 16.0, true, 75),
         (193, 16.0, true, 20),
     ] {
         let config = ClusterConfig {
             write_rps: 20.0,
-            ..ClusterConfig::with_gpus(limit)
+            ..ClusterConfig::with_gpus(gpu_quota)
         };
         let mut cluster = SimulatedCluster::warmed_up(config, seed).await;
         let mut jobs = Vec::new();
@@ -192,10 +198,10 @@
             cluster.start(leader);
             cluster.platform.clear_each(Fault::MachineFrozen, &machines);
         }
-        let next = cluster.submit(10, "sweep", 8, 2.0, 10.0).await;
+        let later_array = cluster.submit(10, "sweep", 8, 2.0, 10.0).await;
         cluster.run_for(5).await;
         cluster.declare_faults_ended();
-        cluster.wait_until_done(&[next], 120).await;
+        cluster.wait_until_done(&[later_array], 120).await;
         for id in &jobs {
             cluster.cancel(id).await;
         }
--- a/crates/simulator/tests/real_machines/consistency.rs
+++ b/crates/simulator/tests/real_machines/consistency.rs
@@ -1,4 +1,4 @@
-//! No user gets stale status of a job, whichever controller responds.
+//! No controller returns a stale job status.
 
 use crate::common::small_cluster;
 use crate::sleep_ms;
@@ -9,21 +9,25 @@
 use rushwalk_testkit::{Fault, Request};
 use std::time::Duration;
 
-/// Submits at one controller, cancels at another while that is in flight, then queries all.
+/// Submits a job at one controller, cancels it at another `cancel_after_ms` milliseconds
+/// later, while the submission may still be in flight, then queries all controllers.
 async fn submit_and_cancel_concurrently(
     cluster: &mut SimulatedCluster,
     number: u32,
-    after_ms: u64,
+    cancel_after_ms: u64,
 ) {
     let id = format!("j-{number:06}");
     let body = job(&id, "sweep", 2, 1.0, 30.0);
     cluster.register_job(&id, &body);
     let platform = cluster.platform.clone();
-    // The response may be lost: then the user submits again.
+    // If the response is lost, the user submits the job again.
     let submit = async {
-        let first = request(&platform, number as usize % 3, Request::Submit, &id, &body).await;
-        if first.as_ref().is_some_and(|response| response.status < 300) {
-            return first;
+        let response = request(&platform, number as usize % 3, Request::Submit, &id, &body).await;
+        if response
+            .as_ref()
+            .is_some_and(|response| response.status < 300)
+        {
+            return response;
         }
         sleep_ms(1_000).await;
         request(
@@ -36,7 +40,7 @@
         .await
     };
     let cancel = async {
-        sleep_ms(after_ms).await;
+        sleep_ms(cancel_after_ms).await;
         request(
             &platform,
             (number as usize + 1) % 3,
@@ -55,7 +59,7 @@
         Some(response) if response.status == 200 => {
             assert_eq!(response.phase(), Some(StatusPhase::Cancelled));
         }
-        // The cancellation came first, or no controller could decide.
+        // The cancellation arrived before the submission, or no controller could carry it out.
         other => {
             let status = other.as_ref().map(|response| response.status);
             assert!(matches!(status, None | Some(404 | 429 | 503)), "{other:?}");
@@ -66,9 +70,9 @@
     query_all_controllers(&platform, &id, &body).await;
 }
 
-/// Users query all controllers many times within milliseconds, and submit again, right after
-/// a job was accepted, cancelled or done: without faults, while the leader crashes, while the
-/// store is slow, and while responses to commits are lost.
+/// Users query all controllers many times within milliseconds, and repeat the submission, right
+/// after a job was accepted, cancelled or done. This happens without faults, after a crash of the
+/// leader, while the store is slow, and while responses to commits are lost.
 #[tokio::test(start_paused = true)]
 async fn no_controller_returns_stale_job_status() {
     let mut cluster = small_cluster(51, 50.0).await;
@@ -86,9 +90,9 @@
             let id = cluster.submit(number, "sweep", 1, 1.0, 3.0).await;
             let body = job(&id, "sweep", 1, 1.0, 3.0);
             query_all_controllers(&cluster.platform, &id, &body).await;
-            for after_ms in [0, 2, 40] {
+            for cancel_after_ms in [0, 2, 40] {
                 number += 1;
-                submit_and_cancel_concurrently(&mut cluster, number, after_ms).await;
+                submit_and_cancel_concurrently(&mut cluster, number, cancel_after_ms).await;
             }
             cluster.wait_until_done(std::slice::from_ref(&id), 60).await;
             query_all_controllers(&cluster.platform, &id, &body).await;
@@ -101,12 +105,13 @@
     cluster.assert_invariants();
 }
 
-/// A controller that was away for so long that it must list all keys, slowly, is queried
-/// about jobs that are accepted meanwhile: it returns nothing stale, and knows them all in
-/// the end. (Its reads are too old as well, so it waits for the listing; what guards the
-/// replacement of its state is tested beside that.)
+/// A controller loses the store for so long that it must list all keys, while the store is slow.
+/// Queries at this controller about jobs that are accepted during the listing must return no
+/// stale status, and after the listing its state must hold all jobs. (Its latest read is too old
+/// as well, so queries wait for the listing. The check that guards the replacement of its state
+/// has a test next to its code.)
 #[tokio::test(start_paused = true)]
-async fn relisting_controller_returns_no_stale_job_status() {
+async fn controller_that_lists_the_store_again_returns_no_stale_job_status() {
     let config = ClusterConfig {
         retained_changes: 30,
         ..ClusterConfig::with_gpus(60.0)
@@ -114,26 +119,30 @@
     let mut cluster = SimulatedCluster::warmed_up(config, 52).await;
     let mut number = 100;
     for _ in 0..6 {
-        let away = (cluster.leader() + 1) % 3;
-        cluster.platform.inject(Fault::StoreUnreachable(away));
+        let disconnected = (cluster.leader() + 1) % 3;
+        cluster
+            .platform
+            .inject(Fault::StoreUnreachable(disconnected));
         for _ in 0..12 {
             number += 1;
             cluster.submit(number, "sweep", 2, 1.0, 3.0).await;
             cluster.run_for(1).await;
         }
         cluster.platform.inject(Fault::StoreSlow);
-        cluster.platform.clear(Fault::StoreUnreachable(away));
+        cluster
+            .platform
+            .clear(Fault::StoreUnreachable(disconnected));
         let mut users = tokio::task::JoinSet::new();
-        for k in 0..40u64 {
+        for user in 0..40u64 {
             number += 1;
             let (id, platform) = (format!("j-{number:06}"), cluster.platform.clone());
             let body = job(&id, "sweep", 1, 1.0, 3.0);
             cluster.register_job(&id, &body);
             users.spawn(async move {
-                sleep_ms(100 * k).await;
-                request(&platform, k as usize % 3, Request::Submit, &id, &body).await;
+                sleep_ms(100 * user).await;
+                request(&platform, user as usize % 3, Request::Submit, &id, &body).await;
                 for _ in 0..8 {
-                    request(&platform, away, Request::Query, &id, "").await;
+                    request(&platform, disconnected, Request::Query, &id, "").await;
                     sleep_ms(150).await;
                 }
             });
@@ -143,7 +152,7 @@
         cluster.run_for(10).await;
     }
     cluster.run_for(20).await;
-    // Every controller has the same jobs with the same status.
+    // All controllers hold all jobs, with the same status.
     let statuses = |controller: &Controller| -> Vec<_> {
         let ids = cluster.jobs.keys();
         ids.map(|id| inspect::job_status(controller, id)).collect()
@@ -155,16 +164,19 @@
     assert!(by_controller[0].iter().all(Option::is_some));
     assert!(
         by_controller.windows(2).all(|pair| pair[0] == pair[1]),
-        "states differ"
+        "controllers have different job statuses"
     );
     cluster.assert_invariants();
 }
 
-/// A transaction is applied at once and only its response is lost, while the other
-/// controllers read what it wrote: for each kind of commit.
+/// For each kind of commit: a transaction is applied immediately and only its response is lost,
+/// while the other controllers already read what it wrote.
 #[tokio::test(start_paused = true)]
 async fn commits_with_lost_responses_take_effect_once() {
-    for (index, text) in [
+    // Texts that identify commits by their bodies: log entries that submit or cancel a job, assign
+    // or place tasks, record their start or end, request or fulfil a rental, or record a ready
+    // machine; then the keys of a shard lease, a member and the leader.
+    for (index, commit) in [
         r#"{"j":[{"uid":"j-000100""#,
         r#"{"c":"j-000102""#,
         r#"{"a":["j-000100""#,
@@ -182,8 +194,8 @@
     .enumerate()
     {
         let mut cluster = small_cluster(60 + index as u64, 50.0).await;
-        cluster.platform.delay_next_commit(text, Duration::ZERO);
-        if matches!(text, "w/m/" | "w/leader" | "w/g/") {
+        cluster.platform.delay_next_commit(commit, Duration::ZERO);
+        if matches!(commit, "w/m/" | "w/leader" | "w/g/") {
             let leader = cluster.leader();
             cluster.crash(leader);
             cluster.run_for(2).await;
@@ -201,7 +213,7 @@
             .await;
         assert!(
             cluster.platform.all_commit_delays_used(),
-            "no such commit: {text}"
+            "no such commit: {commit}"
         );
         cluster.declare_faults_ended();
         cluster.run_for(70).await;
@@ -213,21 +225,21 @@
             assert_eq!(
                 cluster.platform.checker().starts_by_job[id],
                 tasks,
-                "{text}"
+                "{commit}"
             );
         }
-        // Rented machines are used or returned.
+        // Without jobs, all rented machines are returned.
         cluster.run_for(200).await;
         assert!(
             cluster.platform.workers().iter().all(|w| w.deleted),
-            "{text}"
+            "{commit}: a machine was not returned"
         );
         cluster.assert_invariants();
     }
 }
 
-/// A cancellation, a query or a repeated submission arrives as a job's last task ends,
-/// without any fault.
+/// A cancellation, a query or a repeated submission arrives when a job's last task ends, without
+/// any fault.
 #[tokio::test(start_paused = true)]
 async fn requests_at_the_end_of_a_jobs_last_task_are_consistent() {
     let mut cluster = small_cluster(181, 50.0).await;
@@ -249,7 +261,7 @@
         let id = completions.recv().await.unwrap();
         let spec = serde_json::to_string(&cluster.jobs[&id]).unwrap();
         let platform = cluster.platform.clone();
-        // Some at once, some while the outcome is being committed.
+        // Some requests are sent immediately, others while the outcome is being committed.
         tokio::spawn(async move {
             sleep_ms(number % 6 * 60).await;
             let kind = [Request::Cancel, Request::Query, Request::Submit][number as usize % 3];
--- a/crates/simulator/tests/real_machines/failover.rs
+++ b/crates/simulator/tests/real_machines/failover.rs
@@ -1,4 +1,4 @@
-//! Work goes on while leaders change and controllers are away.
+//! Jobs continue while leaders change and while controllers are stopped.
 
 use crate::common::small_cluster;
 use crate::sleep_ms;
@@ -9,15 +9,16 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Old heartbeats reach every controller just as a new leader begins: of earlier worker
-/// sessions and attempts, and of machines deleted meanwhile. They prove neither that a task
-/// is gone nor that it runs, and bring nothing back.
+/// Old heartbeats are replayed to every controller right after the election of a new leader:
+/// heartbeats of earlier worker sessions and attempts, and of machines that were deleted since.
+/// They must not count as evidence that a task runs or has ended, and must not restore deleted
+/// machines.
 #[tokio::test(start_paused = true)]
-async fn replayed_heartbeats_prove_nothing_to_a_new_leader() {
+async fn replayed_heartbeats_are_no_evidence_to_a_new_leader() {
     for seed in 121..=124 {
         let mut cluster = small_cluster(seed, 20.0).await;
         let service = cluster.submit(1, "standing", 6, 1.0, 0.0).await;
-        let old = cluster.submit(2, "standing", 12, 4.0, 0.0).await;
+        let cancelled_service = cluster.submit(2, "standing", 12, 4.0, 0.0).await;
         cluster.run_for(20).await;
         cluster.platform.inject(Fault::HeartbeatsRecorded);
         let mut jobs = Vec::new();
@@ -25,21 +26,22 @@
             jobs.push(cluster.submit(number, "sweep", 3, 1.0, 8.0).await);
             cluster.run_for(3).await;
         }
-        // Some restart with their next session; the machines of `old` are returned.
+        // A quarter of the workers restart with a new session. The machines of the cancelled
+        // service are returned.
         for (index, worker) in cluster.platform.workers().iter_mut().enumerate() {
             if index % 4 == seed as usize % 4 {
                 worker.restart(&cluster.platform);
             }
         }
-        cluster.cancel(&old).await;
+        cluster.cancel(&cancelled_service).await;
         cluster.run_for(70).await;
         let deleted: Vec<String> = (cluster.platform.workers().iter())
             .filter(|w| w.deleted)
             .map(|w| w.name.clone())
             .collect();
-        assert!(!deleted.is_empty(), "none was returned");
-        let long = cluster.submit(30, "sweep", 6, 1.0, 40.0).await;
-        while cluster.platform.checker().starts_by_job.get(&long) != Some(&6) {
+        assert!(!deleted.is_empty(), "no machine was returned");
+        let long_array = cluster.submit(30, "sweep", 6, 1.0, 40.0).await;
+        while cluster.platform.checker().starts_by_job.get(&long_array) != Some(&6) {
             cluster.run_for(1).await;
         }
         let leader = cluster.leader();
@@ -54,24 +56,27 @@
         cluster.run_for(10).await;
         for name in &deleted {
             let controller = cluster.first_controller();
-            assert!(!inspect::has_machine(controller, name), "{name}");
+            assert!(
+                !inspect::has_machine(controller, name),
+                "deleted machine {name} was restored"
+            );
         }
-        jobs.push(long.clone());
+        jobs.push(long_array.clone());
         cluster.platform.clear(Fault::HeartbeatsRecorded);
         cluster.declare_faults_ended();
         cluster.wait_until_done(&jobs, 100).await;
         assert_eq!(
-            cluster.platform.checker().starts_by_job[&long],
+            cluster.platform.checker().starts_by_job[&long_array],
             6,
-            "started anew"
+            "a running task was started again"
         );
         assert_eq!(cluster.job_status(&service).await.running, 6);
         cluster.assert_invariants();
     }
 }
 
-/// Jobs of one task are submitted four per second for minutes, a quarter of them cancelled,
-/// with thirty writes per second, and the leader crashes half way.
+/// Jobs of one task are submitted at four per second for 150 s, and a quarter of them are
+/// cancelled. The store accepts 30 writes per second, and the leader crashes halfway.
 #[tokio::test(start_paused = true)]
 async fn four_jobs_per_second_for_minutes_are_all_served() {
     let config = ClusterConfig {
@@ -79,9 +84,9 @@
         ..ClusterConfig::with_gpus(200.0)
     };
     let mut cluster = SimulatedCluster::warmed_up(config, 131).await;
-    let before = cluster.platform.write_count();
+    let writes_before = cluster.platform.write_count();
     let mut users = tokio::task::JoinSet::new();
-    let mut crashed = 0;
+    let mut crashed_leader = 0;
     const JOBS: u32 = 4 * 150;
     for number in 0..JOBS {
         let (id, platform) = (format!("j-{number:06}"), cluster.platform.clone());
@@ -100,7 +105,7 @@
                     }
                     sleep_ms(1_000).await;
                 }
-                panic!("{id}: no answer to {kind:?}");
+                panic!("{id}: {kind:?} did not succeed within 60 attempts");
             };
             retry(Request::Submit, &body).await;
             if number % 4 == 0 {
@@ -118,23 +123,23 @@
         });
         sleep_ms(250).await;
         if number == JOBS / 2 {
-            crashed = cluster.leader();
-            cluster.crash(crashed);
+            crashed_leader = cluster.leader();
+            cluster.crash(crashed_leader);
         }
         if number == JOBS / 2 + 1 {
-            cluster.start(crashed);
+            cluster.start(crashed_leader);
         }
         cluster.platform.check_invariants();
     }
     cluster.declare_faults_ended();
-    let mut took = Duration::ZERO;
+    let mut longest = Duration::ZERO;
     while let Some(result) = users.join_next().await {
-        took = took.max(result.unwrap());
+        longest = longest.max(result.unwrap());
     }
     let seconds = f64::from(JOBS) / 4.0;
-    let rate = (cluster.platform.write_count() - before) as f64 / seconds;
-    assert!(rate < 0.9 * 30.0, "{rate} changes a second");
-    assert!(took < Duration::from_secs(60), "{took:?} until done");
+    let rate = (cluster.platform.write_count() - writes_before) as f64 / seconds;
+    assert!(rate < 0.9 * 30.0, "{rate} writes per second");
+    assert!(longest < Duration::from_secs(60), "longest: {longest:?}");
     let after_cancellation = cluster.platform.checker().starts_after_cancellation;
     assert!(
         after_cancellation.longest_delay < Duration::from_secs(3),
@@ -143,9 +148,9 @@
     cluster.assert_invariants();
 }
 
-/// All controllers are stopped for longer than a worker lease.
+/// All controllers are stopped for 55 s, longer than a worker lease (40 s).
 #[tokio::test(start_paused = true)]
-async fn all_controllers_stopped_for_longer_than_a_lease() {
+async fn jobs_complete_after_all_controllers_were_stopped_for_longer_than_a_worker_lease() {
     let mut cluster = small_cluster(161, 20.0).await;
     let service = cluster.submit(1, "standing", 6, 1.0, 0.0).await;
     let array = cluster.submit(2, "sweep", 6, 1.0, 60.0).await;
@@ -155,25 +160,27 @@
     cluster.run_for(55).await;
     cluster.start_all();
     cluster.run_for(3).await;
-    let late = cluster.submit(4, "sweep", 2, 1.0, 5.0).await;
+    let later_array = cluster.submit(4, "sweep", 2, 1.0, 5.0).await;
     cluster.declare_faults_ended();
-    cluster.wait_until_done(&[array, gang, late], 160).await;
+    cluster
+        .wait_until_done(&[array, gang, later_array], 160)
+        .await;
     assert_eq!(cluster.job_status(&service).await.running, 6);
     cluster.assert_invariants();
 }
 
-/// Leaders change ten times in two minutes, also in an outage, while users query all
-/// controllers.
+/// The leader crashes ten times in two minutes while users query all controllers. In the second
+/// case the store also has outages during some of the leader changes.
 #[tokio::test(start_paused = true)]
-async fn ten_leaders_in_two_minutes_also_during_an_outage() {
-    for (seed, outage) in [(171, false), (172, true)] {
+async fn ten_leader_crashes_in_two_minutes_start_no_task_twice() {
+    for (seed, with_outages) in [(171, false), (172, true)] {
         let mut cluster = small_cluster(seed, 20.0).await;
         let service = cluster.submit(1, "standing", 6, 1.0, 0.0).await;
         let mut jobs = Vec::new();
         for iteration in 0..10u32 {
             jobs.push(cluster.submit(10 + iteration, "sweep", 2, 1.0, 15.0).await);
             let leader = cluster.leader();
-            if outage && iteration % 3 == 1 {
+            if with_outages && iteration % 3 == 1 {
                 cluster.platform.inject(Fault::StoreOutage);
             }
             cluster.crash(leader);
@@ -188,14 +195,14 @@
         }
         cluster.declare_faults_ended();
         cluster.wait_until_done(&jobs, 100).await;
-        // Replicas may be in eviction from a machine that is returned.
+        // Tasks of the service may still be moving off a machine that is being returned.
         cluster.run_for(8).await;
         assert_eq!(cluster.job_status(&service).await.running, 6);
         for id in &jobs {
             assert_eq!(
                 cluster.platform.checker().starts_by_job[id],
                 2,
-                "{id} started anew"
+                "tasks of {id} were started again"
             );
         }
         cluster.assert_invariants();
--- a/crates/simulator/tests/real_machines/machines.rs
+++ b/crates/simulator/tests/real_machines/machines.rs
@@ -1,4 +1,4 @@
-//! Machines that boot fast, lose messages, are partitioned off or are reclaimed.
+//! Machines that boot fast, lose messages, are partitioned or are reclaimed.
 
 use crate::common::small_cluster;
 use crate::sleep_ms;
@@ -6,8 +6,9 @@
 use serde_json::json;
 use std::time::Duration;
 
-/// New machines are ready within two seconds and get work at once while commits are delayed
-/// and the leader crashes: with rentals of unknown result and outcomes that arrive late.
+/// New machines are ready within two seconds and start tasks immediately, while commits are
+/// delayed and the leader crashes. Controllers then don't know the result of some rentals, and
+/// outcomes of tasks are committed late. All jobs must complete, and no machine may be left over.
 #[tokio::test(start_paused = true)]
 async fn quickly_booted_machines_are_used_while_commits_are_delayed_and_the_leader_crashes() {
     for (seed, crash_after_ms) in [
@@ -31,24 +32,24 @@
         sleep_ms(crash_after_ms).await;
         cluster.start(leader);
         cluster.run_for(20).await;
-        let second = cluster.leader();
-        cluster.crash(second);
+        let new_leader = cluster.leader();
+        cluster.crash(new_leader);
         cluster.run_for(1).await;
-        cluster.start(second);
+        cluster.start(new_leader);
         cluster.run_for(10).await;
         cluster.platform.clear(Fault::ManyCommitsDelayed);
         cluster.run_for(13).await;
         cluster.declare_faults_ended();
         cluster.wait_until_done(&jobs, 120).await;
         cluster.run_for(240).await;
-        let left = cluster.platform.live_machines();
-        assert_eq!(left, 0, "seed {seed}: machines that nobody uses or returns");
+        let live_machines = cluster.platform.live_machines();
+        assert_eq!(live_machines, 0, "seed {seed}: idle machines not returned");
         cluster.assert_invariants();
     }
 }
 
-/// Direct commands reach machines whose heartbeats are lost: their tasks ended with each
-/// lease and were started there again, for as long as the fault lasted.
+/// Machines whose heartbeats are lost still receive direct commands. Until the fault ended, their
+/// tasks ended whenever the worker lease expired and were started on the same machines again.
 #[tokio::test(start_paused = true)]
 async fn machines_with_outbound_loss_get_no_more_tasks() {
     let mut cluster = small_cluster(141, 50.0).await;
@@ -69,7 +70,7 @@
     );
     cluster.wait_until_done(&[array], 1).await;
     let started = cluster.platform.checker().started - started;
-    assert!(started <= 5 + 3 + 3, "{started} starts");
+    assert!(started <= 5 + 3 + 3, "{started} tasks started");
     cluster
         .platform
         .clear_each(Fault::MachineOutboundLoss, &machines[..3]);
@@ -79,21 +80,21 @@
     cluster.assert_invariants();
 }
 
-/// A zone with workers and a controller is partitioned off for longer than a lease; jobs
-/// bound to it lose machines meanwhile.
+/// A zone with workers and a controller is partitioned for 30 s or 75 s, while a worker lease
+/// lasts 40 s. In two of the cases an array bound to the zone also loses its machines.
 #[tokio::test(start_paused = true)]
 async fn jobs_bound_to_a_partitioned_zone_survive() {
-    for (seed, for_s, loses_machines) in [(151, 30, true), (152, 75, false), (153, 75, true)] {
+    for (seed, duration_s, loses_machines) in [(151, 30, true), (152, 75, false), (153, 75, true)] {
         let mut cluster = small_cluster(seed, 20.0).await;
-        let bound = json!({"yard": ZONES[1]});
+        let in_zone = json!({"yard": ZONES[1]});
         let service = cluster
-            .submit_with(1, "standing", 4, 1.0, 0.0, bound.clone())
+            .submit_with(1, "standing", 4, 1.0, 0.0, in_zone.clone())
             .await;
-        let array = cluster.submit_with(2, "sweep", 8, 1.0, 40.0, bound.clone());
+        let array = cluster.submit_with(2, "sweep", 8, 1.0, 40.0, in_zone.clone());
         let array = array.await;
-        let free = cluster.submit(3, "standing", 6, 1.0, 0.0).await;
+        let service_in_any_zone = cluster.submit(3, "standing", 6, 1.0, 0.0).await;
         let cancelled = cluster
-            .submit_with(4, "standing", 3, 1.0, 0.0, bound.clone())
+            .submit_with(4, "standing", 3, 1.0, 0.0, in_zone.clone())
             .await;
         cluster.run_for(15).await;
         cluster.platform.inject(Fault::ZonePartitioned(1));
@@ -105,23 +106,24 @@
                 .iter()
                 .for_each(|m| cluster.platform.delete_machine(&format!("i-{m:06}")));
         }
-        cluster.run_for(for_s).await;
+        cluster.run_for(duration_s).await;
         cluster.platform.clear(Fault::ZonePartitioned(1));
         cluster.declare_faults_ended();
-        let more = cluster.submit_with(5, "sweep", 4, 1.0, 5.0, bound).await;
-        cluster.wait_until_done(&[array, more], 160).await;
+        let later_array = cluster.submit_with(5, "sweep", 4, 1.0, 5.0, in_zone).await;
+        cluster.wait_until_done(&[array, later_array], 160).await;
         cluster.run_for(70).await;
-        for (id, tasks) in [(&service, 4), (&free, 6)] {
+        for (id, tasks) in [(&service, 4), (&service_in_any_zone, 6)] {
             assert_eq!(cluster.job_status(id).await.running, tasks, "seed {seed}");
         }
         cluster.assert_invariants();
     }
 }
 
-/// More work than capacity, with all priorities: nothing is lost, and constraints on machine
-/// types, spot instances and zones hold while spot instances are reclaimed.
+/// Jobs of all priorities need more than the capacity of the zones, which have two machine types
+/// and spot instances. All jobs must complete, and their constraints on machine types, spot
+/// instances and zones must hold while spot instances are reclaimed.
 #[tokio::test(start_paused = true)]
-async fn more_work_than_capacity_of_two_types_and_spot_instances() {
+async fn jobs_beyond_the_capacity_of_two_types_and_spot_instances_complete() {
     let mut cluster = small_cluster(201, 20.0).await;
     cluster.platform.offer_machine_type(MachineType {
         label: "crate",
@@ -139,13 +141,13 @@
     cluster.run_for(15).await;
     let mut jobs = Vec::new();
     for number in 0..16 {
-        let rank = ["normal", "urgent", "best_effort", "prod"][number as usize % 4];
+        let priority = ["normal", "urgent", "best_effort", "prod"][number as usize % 4];
         let fields = match number % 5 {
-            0 => json!({"rank": rank, "loaners": true}),
-            1 => json!({"rank": rank, "builds": ["box"]}),
-            2 => json!({"rank": rank, "builds": ["crate"], "loaners": true, "spread": true}),
-            3 => json!({"rank": rank, "yard": ZONES[number as usize % 3], "loaners": true}),
-            _ => json!({"rank": rank, "together": true}),
+            0 => json!({"rank": priority, "loaners": true}),
+            1 => json!({"rank": priority, "builds": ["box"]}),
+            2 => json!({"rank": priority, "builds": ["crate"], "loaners": true, "spread": true}),
+            3 => json!({"rank": priority, "yard": ZONES[number as usize % 3], "loaners": true}),
+            _ => json!({"rank": priority, "together": true}),
         };
         let shape = ["sweep", "gang"][number as usize % 2];
         jobs.push(
@@ -157,18 +159,18 @@
     }
     for iteration in 0..4u64 {
         cluster.run_for(8).await;
-        let spot: Vec<usize> = (cluster.platform.workers().iter().enumerate())
+        let spot_instances: Vec<usize> = (cluster.platform.workers().iter().enumerate())
             .filter(|(_, w)| w.spot && !w.deleted && w.reclaim_at.is_none())
             .map(|(index, _)| index)
             .collect();
-        for index in spot.into_iter().step_by(2) {
+        for index in spot_instances.into_iter().step_by(2) {
             let notice = (iteration % 2 == 0).then(|| Duration::from_secs(6));
             cluster.platform.reclaim(index, notice);
         }
     }
     assert!(
         cluster.platform.workers().iter().any(|w| w.spot),
-        "none was rented"
+        "no spot instance was rented"
     );
     cluster.declare_faults_ended();
     cluster.wait_until_done(&jobs, 400).await;
--- a/crates/simulator/tests/real_machines/main.rs
+++ b/crates/simulator/tests/real_machines/main.rs
@@ -1,5 +1,6 @@
-//! Combinations of faults that were observed on real machines or that operators asked for,
-//! with whole controllers on virtual time. `docs/FAULT_COMBINATIONS.md` says what each guards against.
+//! Combinations of faults that occurred on real machines or that operators asked to test. They
+//! run here on the simulated platform, with complete controllers in virtual time.
+//! `docs/FAULT_COMBINATIONS.md` says which failure each test guards against.
 
 mod cancellation;
 #[path = "../common/mod.rs"]
--- a/crates/simulator/tests/real_machines/validation.rs
+++ b/crates/simulator/tests/real_machines/validation.rs
@@ -1,4 +1,4 @@
-//! Submissions that can never run are refused.
+//! Rejection of submissions that are malformed or can never run.
 
 use rushwalk_protocol::jobs::StatusPhase;
 use rushwalk_simulator::cluster::{JobShape, job_with, request};
@@ -8,16 +8,16 @@
 
 const INVALID_JOB: &str = "j-000500";
 
-/// A submission that must be refused.
+/// A submission that must be rejected.
 struct InvalidSubmission {
-    /// The status of the refusal.
+    /// The HTTP status of the response.
     status: u16,
-    /// A text that the refusal must contain.
-    names: &'static str,
+    /// A text that the response must contain.
+    expected_text: &'static str,
     body: String,
 }
 
-/// The submission of a gang, with some fields changed.
+/// The body that submits a gang, with some fields changed or added.
 fn submission(fields: Value) -> String {
     let gang = JobShape {
         shape: "gang",
@@ -29,8 +29,8 @@
 }
 
 fn submissions_with_invalid_values() -> Vec<InvalidSubmission> {
-    let types = (0..99).map(|index| format!("{index:0>199}"));
-    let types: Vec<String> = types.chain(["box".to_string()]).collect();
+    let long_names = (0..99).map(|index| format!("{index:0>199}"));
+    let types: Vec<String> = long_names.chain(["box".to_string()]).collect();
     let cases = [
         (422, "team", json!({"crew": "nobody"})),
         (422, "zone", json!({"yard": "south"})),
@@ -38,7 +38,7 @@
         (422, "type", json!({"gpus": 5.0})),
         (422, "type", json!({"memoryGb": 65.0})),
         (422, "limit", json!({"pieces": 21})),
-        // At most half of its tasks may be in the one zone where all have to be.
+        // All tasks have to be in one zone, but at most half of them may be in the same zone.
         (422, "spread", json!({"spread": true, "together": true})),
         (422, "spread", json!({"spread": true, "yard": "east"})),
         (
@@ -57,9 +57,9 @@
     ];
     let cases = cases.into_iter();
     cases
-        .map(|(status, names, fields)| InvalidSubmission {
+        .map(|(status, expected_text, fields)| InvalidSubmission {
             status,
-            names,
+            expected_text,
             body: submission(fields),
         })
         .collect()
@@ -89,18 +89,18 @@
         body.as_object_mut().unwrap().remove(field);
         InvalidSubmission {
             status: 400,
-            names: field,
+            expected_text: field,
             body: body.to_string(),
         }
     };
     fields.into_iter().map(without).collect()
 }
 
-/// Each controller refuses a submission with the expected status and text.
-async fn assert_refused(cluster: &SimulatedCluster, submission: &InvalidSubmission) {
+/// Fails unless each controller rejects the submission with the expected status and text.
+async fn assert_rejected(cluster: &SimulatedCluster, submission: &InvalidSubmission) {
     let InvalidSubmission {
         status,
-        names,
+        expected_text,
         body,
     } = submission;
     for controller in 0..3 {
@@ -112,16 +112,16 @@
         let text = String::from_utf8(response.body).unwrap();
         assert_eq!(response.status, *status, "{text}");
         assert!(
-            text.contains(names) || names.contains("type") && text.contains("type"),
-            "{names}: {text}"
+            text.contains(expected_text) || expected_text.contains("type") && text.contains("type"),
+            "{expected_text}: {text}"
         );
     }
 }
 
-/// Invalid submissions are refused with the field named, and change nothing; under a known
-/// job's id they get its status.
+/// An invalid submission is rejected with a response that names the field, and changes nothing.
+/// With the id of a known job, the response is that job's status instead.
 #[tokio::test(start_paused = true)]
-async fn invalid_submissions_are_refused_and_change_nothing() {
+async fn invalid_submissions_are_rejected_and_change_nothing() {
     let config = ClusterConfig {
         value_kb: 16.0,
         ..ClusterConfig::default()
@@ -139,8 +139,8 @@
     cluster.run_for(30).await;
     let jobs_before = inspect::job_count(cluster.first_controller());
     for submission in &submissions {
-        assert_refused(&cluster, submission).await;
-        // The same body under a known job's id.
+        assert_rejected(&cluster, submission).await;
+        // The same body with the id of a known job.
         for (id, phase) in [
             (&known, StatusPhase::Done),
             (&service, StatusPhase::Running),
@@ -149,8 +149,8 @@
             if submission.status == 413 || body.contains(r#""uid":"job""#) {
                 continue;
             }
-            let answer = request(&cluster.platform, 1, Request::Submit, id, &body).await;
-            let response = answer.unwrap();
+            let response = request(&cluster.platform, 1, Request::Submit, id, &body).await;
+            let response = response.unwrap();
             assert_eq!((response.status, response.phase()), (200, Some(phase)));
         }
     }
@@ -163,7 +163,8 @@
     assert_eq!(cancel(INVALID_JOB).await.status, 404);
     let jobs = inspect::job_count(cluster.first_controller());
     assert_eq!(jobs, jobs_before);
-    // An array may have its tasks in the one zone, half of them at a time.
+    // An array's tasks need not run at the same time, so half of them at a time may be in its
+    // only zone.
     let fields = json!({"spread": true, "yard": "east"});
     let array = cluster.submit_with(600, "sweep", 4, 1.0, 5.0, fields).await;
     cluster.wait_until_done(&[array], 60).await;
