--- a/crates/failure-detector/src/accrual.rs
+++ b/crates/failure-detector/src/accrual.rs
@@ -22,7 +22,7 @@
 
 /// The longest interval in the history, as a multiple of the expected interval. Longer ones
 /// are shortened to it.
-const MAX_INTERVALS_PER_SAMPLE: f64 = 8.0;
+const MAX_INTERVAL_FACTOR: f64 = 8.0;
 
 /// The latest intervals between the heartbeats of one peer.
 #[derive(Debug, Clone)]
@@ -62,7 +62,7 @@
             }
             // The history includes long intervals, but shortened: at full length, one outage
             // would hide the next for half a minute.
-            let longest = MAX_INTERVALS_PER_SAMPLE * self.expected_s;
+            let longest = MAX_INTERVAL_FACTOR * self.expected_s;
             self.intervals.push_back((now_s - last).min(longest));
         }
         self.last_s = Some(now_s);
@@ -85,9 +85,13 @@
         let samples = PRIOR_WEIGHT + self.intervals.len() as f64;
         let sum: f64 = self.intervals.iter().sum();
         let mean = (PRIOR_WEIGHT * self.expected_s + sum) / samples;
-        let squared = |interval: f64| (interval - mean) * (interval - mean);
-        let observed = self.intervals.iter().map(|i| squared(*i)).sum::<f64>();
-        let squares = PRIOR_WEIGHT * squared(self.expected_s) + observed;
+        let squared_deviation = |interval: f64| (interval - mean) * (interval - mean);
+        let observed_squares = self
+            .intervals
+            .iter()
+            .map(|i| squared_deviation(*i))
+            .sum::<f64>();
+        let squares = PRIOR_WEIGHT * squared_deviation(self.expected_s) + observed_squares;
         // The deviation is at least half an interval, since packets are lost and retransmitted.
         let deviation = (squares / samples).sqrt().max(self.expected_s / 2.0);
         IntervalDistribution {
@@ -98,9 +102,10 @@
 
     /// φ at `now_s`: how improbable it is that a live peer has sent nothing since its last
     /// heartbeat; 0 before the first heartbeat. `lag_s` is the observer's own event-loop lag. A
-    /// response may have waited that long in the observer's queue (the local health of
-    /// Lifeguard: Dadgar, Phillips and Currey, 2018), so an observer that is short of
-    /// processor time suspects no peer.
+    /// heartbeat may have waited that long in the observer's queue, so the lag is deducted from the
+    /// time without a heartbeat and added to the deviation (the local health of Lifeguard: Dadgar,
+    /// Phillips and Currey, 2018). An observer that is short of processor time thus does not
+    /// suspect peers because of its own delay.
     pub fn phi(&self, now_s: f64, lag_s: f64) -> f64 {
         let Some(last) = self.last_s else {
             return 0.0;
@@ -108,8 +113,8 @@
         let intervals = self.distribution();
         let silence_s = now_s - last - lag_s;
         let deviation = intervals.deviation_s + lag_s;
-        let deviations = (silence_s - intervals.mean_s) / (deviation * std::f64::consts::SQRT_2);
-        let tail = 0.5 * erfc(deviations);
+        let erfc_argument = (silence_s - intervals.mean_s) / (deviation * std::f64::consts::SQRT_2);
+        let tail = 0.5 * erfc(erfc_argument);
         (-tail.log10()).clamp(0.0, MAX_PHI)
     }
 }
--- a/crates/failure-detector/src/damping.rs
+++ b/crates/failure-detector/src/damping.rs
@@ -11,17 +11,19 @@
 /// flapping.
 const RETENTION_FACTOR: f64 = 16.0;
 
-/// The largest number of departures that double the delay; bounds the exponent.
+/// Departures beyond this number do not increase the delay; this bounds the exponent.
 const MAX_COUNTED_DEPARTURES: usize = 8;
 
-/// One term of a member, which ends with a departure. Each term counts as one departure at
-/// most, for instance if a member is declared failed and its lease expires afterwards.
+/// One term of a member, which ends with a departure. Each term counts as one departure at most,
+/// even if a member is declared failed and its lease expires afterwards.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MembershipTerm {
-    /// The member's process.
+    /// The incarnation of the member's process; 0 for a term as the leader, which a version of the
+    /// leader key identifies instead.
     pub incarnation: u64,
-    /// Distinguishes the terms of the same process. For a term as a registered member, the
-    /// time of registration in milliseconds since the Unix epoch.
+    /// Distinguishes the terms with the same incarnation. For a term as a registered member, the
+    /// time of registration in milliseconds since the Unix epoch. Departures for other reasons use
+    /// other numbers, each defined where the departure is recorded.
     pub since: u64,
 }
 
@@ -71,7 +73,8 @@
             .count()
     }
 
-    /// How long after its latest departure a member does not get work back, in seconds.
+    /// How long after its latest departure a member does not get work back, in seconds; the first
+    /// delay if no departure counts.
     pub fn delay_s(&self, now_s: f64, member: &str) -> f64 {
         let factor = match self.departures(now_s, member) {
             0 => 1.0,
--- a/crates/failure-detector/src/detector.rs
+++ b/crates/failure-detector/src/detector.rs
@@ -1,4 +1,4 @@
-//! One controller's view of the health of its peers, with the reasons for it.
+//! One controller's view of the health of its peers.
 //!
 //! | health | what other controllers do | how it ends |
 //! | --- | --- | --- |
@@ -6,19 +6,20 @@
 //! | suspected | take reversible measures: they assign no new work to the peer, forward no user requests to it, and a successor prepares to take over | the reason no longer holds, for example because the process responds to a later heartbeat |
 //! | failed | take over leadership and shards by conditional commits, which the store fences | the member registers again, or the same process responds for the length of a member lease |
 //!
-//! A peer that is unresponsive or refuses connections is declared failed only if all of this
-//! holds since the suspicion began:
+//! A peer that is unresponsive or refuses connections is declared failed only if all of this holds:
 //!
 //! - Of the other controllers that send heartbeats and reach the store, most have the same
-//!   suspicion and none has had contact with the peer.
-//! - The peer has written nothing to the log.
-//! - The observer itself has read the store.
+//!   suspicion, and none has had contact with the peer since the suspicion began.
+//! - The observer has seen no recent write of the peer in the store.
+//! - The observer itself has read the store since the suspicion began, and its event loop does
+//!   not lag.
 //!
-//! So a controller that is partitioned from the others can't declare any of them failed, and
-//! if a packet filter separates all controllers, none of them can. There are three
-//! exceptions: with a single peer there are no witnesses to ask; a peer whose member lease
-//! has expired is failed without further evidence; and a leader that finishes no scheduling
-//! rounds is judged by its own heartbeats.
+//! So a controller that is partitioned from the others can't declare any of them failed, and if a
+//! packet filter separates all controllers, none of them can. There are three exceptions: a single
+//! peer, for which there are no witnesses, is declared failed without their agreement if it refuses
+//! connections (but never for being unresponsive); a peer whose member lease has expired is failed
+//! without further evidence; and whether a leader finishes no scheduling rounds follows from its
+//! own heartbeats.
 
 mod assessment;
 mod evaluation;
@@ -45,10 +46,10 @@
     pub heartbeat_s: f64,
     /// The interval of the leader's scheduling rounds, in seconds.
     pub round_s: f64,
-    /// The lease of a member's record in the store, in seconds. Its expiry shows that the
-    /// member is gone.
+    /// The duration of the lease of a member's record in the store, in seconds. Its expiry shows
+    /// that the member is gone.
     pub member_lease_s: f64,
-    /// The lease of a worker, in seconds. A stalled leader is declared failed only if
+    /// The duration of a worker's lease, in seconds. A stalled leader is declared failed only if
     /// leadership has not moved between live controllers for this long.
     pub worker_lease_s: f64,
     /// A peer is suspected as unresponsive if its φ exceeds this (see [`crate::accrual`]).
--- a/crates/failure-detector/src/detector/assessment.rs
+++ b/crates/failure-detector/src/detector/assessment.rs
@@ -8,9 +8,9 @@
 /// the peer is unresponsive.
 const SILENT_HEARTBEATS: f64 = 4.0;
 
-/// Age limit in scheduling rounds. A witness counts only if its last heartbeat and its last
-/// read of the store are younger than this. A peer whose last log entry is older than this
-/// counts as idle. Without witnesses, a suspicion must last this long.
+/// Age limit in scheduling rounds. A witness counts only if its last heartbeat and its last read of
+/// the store are younger than this. A peer's write to the store counts only if it is younger than
+/// this. Without witnesses, a suspicion must last this long.
 const RECENT_ROUNDS: f64 = 2.0;
 
 /// An unresponsive peer may be declared failed after this share of the member lease without
@@ -21,7 +21,8 @@
 pub(super) struct Assessment {
     /// Whether the evidence is enough to declare the peer failed.
     pub conclusive: bool,
-    /// Whether most witnesses have the same suspicion and the log does not contradict it.
+    /// Whether most witnesses have the same suspicion and no recent write of the peer contradicts
+    /// it.
     pub majority_agrees: bool,
     /// The number of other controllers whose observations count.
     pub witnesses: usize,
@@ -63,10 +64,10 @@
         local: &LocalHealth,
     ) -> Assessment {
         let reports = self.witness_reports(member, peer, now_s);
-        let idle_in_log = self.is_idle_in_log(peer, now_s);
+        let no_recent_write = self.has_no_recent_write(peer, now_s);
         Assessment {
-            conclusive: self.is_conclusive(peer, &reports, idle_in_log, now_s, local),
-            majority_agrees: reports.majority_agrees() && idle_in_log,
+            conclusive: self.is_conclusive(peer, &reports, no_recent_write, now_s, local),
+            majority_agrees: reports.majority_agrees() && no_recent_write,
             witnesses: reports.witnesses,
             agreeing: reports.agreeing,
         }
@@ -76,7 +77,7 @@
         &self,
         peer: &PeerState,
         reports: &WitnessReports,
-        idle_in_log: bool,
+        no_recent_write: bool,
         now_s: f64,
         local: &LocalHealth,
     ) -> bool {
@@ -90,10 +91,10 @@
         match peer.reason {
             Some(SuspicionReason::LeaseExpired) => true,
             Some(SuspicionReason::Refused) if only_peer => {
-                can_observe && idle_in_log && suspected_s >= RECENT_ROUNDS * config.round_s
+                can_observe && no_recent_write && suspected_s >= RECENT_ROUNDS * config.round_s
             }
             Some(SuspicionReason::Refused) => {
-                can_observe && idle_in_log && agreed && suspected_s >= config.heartbeat_s
+                can_observe && no_recent_write && agreed && suspected_s >= config.heartbeat_s
             }
             Some(SuspicionReason::Unresponsive) => {
                 can_observe
@@ -112,8 +113,8 @@
         }
     }
 
-    /// Whether a peer has sent no heartbeat and written no log entry for so long that its member
-    /// lease is about to expire, unless its process still renews the lease but does nothing
+    /// Whether no heartbeat and no write of a peer has been seen for most of a member lease. The
+    /// peer's lease is then about to expire, unless its process still renews it but does nothing
     /// else.
     fn is_silent_for_long(&self, peer: &PeerState, now_s: f64) -> bool {
         let long_s = SILENCE_LEASE_SHARE * self.config.member_lease_s;
@@ -122,10 +123,10 @@
             && peer.since_last_write_s(now_s) >= long_s
     }
 
-    /// Whether the log shows no recent entry of a peer. Entries that are seen within half a
-    /// heartbeat interval of the start of the suspicion do not count: the peer may have written
-    /// them before it ended.
-    fn is_idle_in_log(&self, peer: &PeerState, now_s: f64) -> bool {
+    /// Whether no recent write of a peer has been seen in the store. A write that was seen before
+    /// the suspicion began, or within half a heartbeat interval after it, does not count: the peer
+    /// may have made it before it ended.
+    fn has_no_recent_write(&self, peer: &PeerState, now_s: f64) -> bool {
         let allowance_s = self.config.heartbeat_s / 2.0;
         peer.last_write_s
             .is_none_or(|at| at < peer.health_since_s + allowance_s)
@@ -148,9 +149,9 @@
         reports
     }
 
-    /// What a witness has reported about a peer since the suspicion began. `None` if the witness
-    /// has sent no recent heartbeat, does not reach the store, is not healthy, or does not
-    /// know the peer's current process.
+    /// The report of a witness about a peer, from a heartbeat that arrived since the suspicion
+    /// began. `None` if the witness has sent no recent heartbeat, does not reach the store, is not
+    /// healthy, or does not know the peer's current process.
     fn witness_report(
         &self,
         witness: &PeerState,
--- a/crates/failure-detector/src/detector/evaluation.rs
+++ b/crates/failure-detector/src/detector/evaluation.rs
@@ -96,8 +96,9 @@
             self.record_departure_of_term(&transition.member, now_s, term);
         }
         if transition.to == PeerHealth::Healthy && was_slow {
-            // A peer that was slow is damped as if it had left: it gets its work back after
-            // the same delay. The time of recovery makes the term distinct from others.
+            // A recovery from slowness counts as a departure, so that the peer gets its work back
+            // only after the flap-damping delay. The time of recovery distinguishes the term from
+            // others.
             let since = (now_s * 1000.0) as u64;
             let recovered = term.map(|term| MembershipTerm { since, ..term });
             self.record_departure_of_term(&transition.member, now_s, recovered);
--- a/crates/failure-detector/src/detector/evidence.rs
+++ b/crates/failure-detector/src/detector/evidence.rs
@@ -66,10 +66,10 @@
         match failure {
             ProbeFailure::Refused if peer.probe_timed_out => {}
             ProbeFailure::Refused => peer.consecutive_refusals += 1,
-            // The peer hangs. If it refuses connections next, it has more connections than it
-            // can accept, or no sockets left. Counting those refusals declared live
-            // controllers failed again and again while all controllers were overloaded, so
-            // refusals after a time-out are ignored.
+            // The peer hangs. If it refuses connections next, it has more connections than it can
+            // accept, or no sockets left. When such refusals counted, live controllers were
+            // declared failed again and again while all controllers were overloaded, so refusals
+            // after a time-out are ignored.
             ProbeFailure::TimedOut => {
                 peer.consecutive_refusals = 0;
                 peer.probe_timed_out = true;
@@ -79,9 +79,9 @@
         peer.responding_since_s = None;
     }
 
-    /// Records that the observer saw a new log entry written by a peer. An entry may be seen
-    /// only after the process that wrote it has ended, so it just defers a declaration of
-    /// failure.
+    /// Records that the observer saw a new write of a peer in the store: a log entry, or the peer's
+    /// member record. A write may be seen only after the process that made it has ended, so it only
+    /// defers a declaration of failure.
     pub fn record_write(&mut self, now_s: f64, member: &str) {
         if let Some(peer) = self.peers.get_mut(member) {
             peer.last_write_s = Some(now_s);
@@ -110,8 +110,8 @@
         }
     }
 
-    /// Records that, within `term`, a member gave up leadership by itself or was found to be
-    /// cut off from a shard's machines.
+    /// Records that a member relinquished leadership, or was found to be cut off from a shard's
+    /// machines. Several departures with the same `term` count once.
     pub fn record_departure(&mut self, now_s: f64, member: &str, term: MembershipTerm) {
         self.damping.record_departure(now_s, member, term);
     }
--- a/crates/failure-detector/src/detector/health.rs
+++ b/crates/failure-detector/src/detector/health.rs
@@ -10,8 +10,9 @@
     Refused,
     /// There was no response before the time-out.
     TimedOut,
-    /// An established connection broke: the peer's process has ended, or a packet filter
-    /// interrupts it.
+    /// The call failed before the time-out for another reason, usually because an established
+    /// connection broke: the peer's process has ended, or a packet filter interrupts the
+    /// connection.
     ConnectionBroken,
 }
 
@@ -60,9 +61,9 @@
 pub struct HealthTransition {
     /// The peer's name as a member.
     pub member: String,
-    /// The health before.
+    /// The health before the change.
     pub from: PeerHealth,
-    /// The health now; the same as before if only the reason has changed.
+    /// The health after the change; the same as `from` if only the reason has changed.
     pub to: PeerHealth,
     /// Why the peer is suspected or was declared failed; `None` if it is healthy.
     pub reason: Option<SuspicionReason>,
--- a/crates/failure-detector/src/detector/peer.rs
+++ b/crates/failure-detector/src/detector/peer.rs
@@ -27,18 +27,19 @@
     pub(super) membership_ended: bool,
     pub(super) arrivals: HeartbeatHistory,
     pub(super) last_heartbeat: Option<ReceivedHeartbeat>,
-    /// Heartbeats to the peer that its port refused in a row.
+    /// The number of heartbeats to the peer that its port has refused in a row.
     pub(super) consecutive_refusals: u32,
     /// Whether a heartbeat to the peer has timed out since the last one received from it.
     pub(super) probe_timed_out: bool,
-    /// When the observer last saw a new log entry written by the peer.
+    /// When the observer last saw a new write of the peer in the store: a log entry, or its member
+    /// record; `None` if it has seen none.
     pub(super) last_write_s: Option<f64>,
-    /// Since when the peer has reported event-loop lag; `None` once it is on
-    /// time again.
+    /// When the peer began to report event-loop lag; `None` once it is on time again.
     pub(super) lagging_since_s: Option<f64>,
     pub(super) health: PeerHealth,
     pub(super) reason: Option<SuspicionReason>,
-    /// Whether most witnesses have the same suspicion.
+    /// Whether, at the latest evaluation, most witnesses had the same suspicion and no recent write
+    /// of the peer contradicted it.
     pub(super) majority_agrees: bool,
     /// When the current health or the reason for it began.
     pub(super) health_since_s: f64,
@@ -46,8 +47,8 @@
     pub(super) term_at_change: Option<MembershipTerm>,
     /// The newest store revision that the observer had seen at `health_since_s`.
     pub(super) revision_at_change: u64,
-    /// Since when the peer has responded to every heartbeat again after it was declared failed;
-    /// `None` if it does not.
+    /// When the peer began to respond to every heartbeat again after it was declared failed; `None`
+    /// if it does not.
     pub(super) responding_since_s: Option<f64>,
 }
 
@@ -85,7 +86,8 @@
         self.probe_timed_out = false;
     }
 
-    /// Switches to a new process of the peer and drops the measurements of the previous one.
+    /// Switches to a new process of the peer and clears the heartbeat history and the reported lag
+    /// of the previous one.
     pub(super) fn begin_incarnation(&mut self, incarnation: u64) {
         self.incarnation = incarnation;
         self.arrivals.reset();
@@ -98,7 +100,7 @@
         self.arrivals.last_s().map(|at| now_s - at)
     }
 
-    /// How long ago a new log entry of the peer was last seen, in seconds; infinite if none was.
+    /// How long ago a new write of the peer was last seen, in seconds; infinite if none was.
     pub(super) fn since_last_write_s(&self, now_s: f64) -> f64 {
         self.last_write_s.map_or(f64::INFINITY, |at| now_s - at)
     }
--- a/crates/failure-detector/src/detector/queries.rs
+++ b/crates/failure-detector/src/detector/queries.rs
@@ -15,7 +15,7 @@
 pub struct AgedHeartbeat<'a> {
     /// How long ago it arrived, in seconds.
     pub age_s: f64,
-    /// The heartbeat.
+    /// The heartbeat as the peer sent it.
     pub heartbeat: &'a PeerHeartbeat,
 }
 
--- a/crates/failure-detector/src/detector/status.rs
+++ b/crates/failure-detector/src/detector/status.rs
@@ -23,13 +23,15 @@
     /// How long ago the peer's last heartbeat arrived; `None` if none has.
     #[serde(rename = "heard_s")]
     pub contact_age_s: Option<f64>,
-    /// Heartbeats to the peer that its port refused in a row.
+    /// The number of heartbeats to the peer that its port has refused in a row.
     #[serde(rename = "refused")]
     pub consecutive_refusals: u32,
-    /// How long ago a new log entry of the peer was last seen; `None` if none was.
+    /// How long ago a new write of the peer was last seen in the store: a log entry, or its member
+    /// record; `None` if none was.
     #[serde(rename = "wrote_s")]
     pub last_write_s: Option<f64>,
-    /// The mean event-loop lag that the peer last reported, in milliseconds.
+    /// The mean event-loop lag that the peer last reported, in milliseconds; 0 if it has sent no
+    /// heartbeat.
     #[serde(rename = "late_ms")]
     pub lag_ms: u64,
     /// The number of the peer's departures that still count in flap damping.
--- a/crates/failure-detector/src/detector/tests.rs
+++ b/crates/failure-detector/src/detector/tests.rs
@@ -88,12 +88,12 @@
         health_of_refusing(9000, true, LOCAL, false),
         PeerHealth::Failed
     );
-    // The witness has had contact with it since the suspicion began.
+    // The witness has had contact with the peer since the suspicion began.
     assert_eq!(
         health_of_refusing(10, false, LOCAL, false),
         PeerHealth::Suspected
     );
-    // It writes to the log: it runs behind a packet filter, or has no sockets left.
+    // The peer writes to the log, so it still runs, behind a packet filter or without free sockets.
     assert_eq!(
         health_of_refusing(9000, true, LOCAL, true),
         PeerHealth::Suspected
--- a/crates/failure-detector/src/lib.rs
+++ b/crates/failure-detector/src/lib.rs
@@ -1,10 +1,10 @@
 //! Failure detection between controllers: derives the health of the peers and the order of
 //! succession for leadership from recorded evidence.
 //!
-//! The crate does no I/O and has no clock: the caller passes the current time to every call,
-//! in seconds of its monotonic clock. Health decides only which controller should do a piece
-//! of work. That no two controllers do it is enforced by the consensus-backed store, where
-//! every commit is conditional. So a false positive costs time, never safety.
+//! The crate does no I/O and has no clock: the caller passes the current time to every call, in
+//! seconds of its monotonic clock. Health decides only which controller should do a piece of work.
+//! The consensus-backed store ensures that no two controllers do the same work, since every commit
+//! to it is conditional. A false positive therefore costs time, never safety.
 
 #![deny(missing_docs)]
 
--- a/crates/failure-detector/src/reachability.rs
+++ b/crates/failure-detector/src/reachability.rs
@@ -8,33 +8,33 @@
 use rushwalk_protocol::peers::MisroutedCount;
 use std::collections::BTreeMap;
 
-/// A worker's heartbeat arrives at most this many intervals after the previous one.
-const LATEST_INTERVALS: f64 = 1.25;
+/// A worker's heartbeat is overdue this many heartbeat intervals after the previous one.
+const OVERDUE_AFTER_INTERVALS: f64 = 1.25;
 
-/// A worker finds the new owner of its shard within this many heartbeat intervals.
+/// The time within which a worker finds the new owner of its shard, in heartbeat intervals.
 const DISCOVERY_INTERVALS: f64 = 0.5;
 
 /// Inbound loss is assumed only after this fraction of a heartbeat interval without any
 /// heartbeat from a shard.
 const MIN_SILENCE_INTERVALS: f64 = 1.0 / 8.0;
 
-/// The latest time at which the next heartbeat of a worker is due, in seconds of the same clock
-/// as the arguments. `last_heartbeat_s` is when the last one arrived; it counts only if that
-/// was after `owned_since_s`, when this owner got the shard. A worker without a heartbeat to
-/// this owner has half an interval more, in which it finds the owner.
+/// The time after which the next heartbeat of a worker is overdue, in seconds of the same clock as
+/// the arguments. `last_heartbeat_s` is when the last one arrived; it counts only if that was after
+/// `owned_since_s`, when this owner got the shard. A worker that has not yet sent this owner a
+/// heartbeat has half an interval more, in which it finds the owner.
 ///
-/// The time since the last heartbeat of any worker can't replace this. Workers that started
-/// together, or moved together after a crash, send their heartbeats together, and none
-/// arrives in between. With that check, owners that received all heartbeats lost a shard
-/// every three seconds.
+/// The time since the last heartbeat of any worker of the shard is not enough to detect a
+/// partition. Workers that started together, or moved together after a crash, send their heartbeats
+/// together, and none arrives in between. When only that time was checked, owners that received all
+/// heartbeats lost a shard every three seconds.
 pub fn next_heartbeat_due_s(
     last_heartbeat_s: Option<f64>,
     owned_since_s: f64,
     heartbeat_s: f64,
 ) -> f64 {
     match last_heartbeat_s.filter(|at| *at > owned_since_s) {
-        Some(at) => at + LATEST_INTERVALS * heartbeat_s,
-        None => owned_since_s + (LATEST_INTERVALS + DISCOVERY_INTERVALS) * heartbeat_s,
+        Some(at) => at + OVERDUE_AFTER_INTERVALS * heartbeat_s,
+        None => owned_since_s + (OVERDUE_AFTER_INTERVALS + DISCOVERY_INTERVALS) * heartbeat_s,
     }
 }
 
@@ -45,7 +45,8 @@
     pub machines: usize,
     /// The number of these machines whose next heartbeat is overdue.
     pub overdue: usize,
-    /// Seconds since the last heartbeat of any of these machines.
+    /// Seconds since the last heartbeat of any of these machines, or since the owner got the shard
+    /// if that was later.
     pub contact_age_s: f64,
 }
 
@@ -105,8 +106,8 @@
         }
     }
 
-    /// The number of misrouted workers of each shard within the last `window_s` seconds. Drops
-    /// older ones.
+    /// The number of misrouted workers of each shard within the last `window_s` seconds. Workers
+    /// whose latest heartbeat is older are removed.
     pub fn counts(&mut self, now_s: f64, window_s: f64) -> Vec<MisroutedCount> {
         self.shards.retain(|_, misrouted| {
             misrouted.machines.retain(|_, at| now_s - *at < window_s);
--- a/crates/failure-detector/src/succession.rs
+++ b/crates/failure-detector/src/succession.rs
@@ -63,7 +63,8 @@
 /// Tracks whether this controller has been too slow for long enough to step down.
 #[derive(Debug, Clone, Default)]
 pub struct SlownessTracker {
-    /// Since when the mean lag has reached the threshold, in seconds of the observer's clock.
+    /// When the mean lag reached the threshold, in seconds of the observer's clock; `None` while it
+    /// is below.
     slow_since_s: Option<f64>,
 }
 
@@ -81,9 +82,9 @@
     }
 }
 
-/// The best candidate to take over from a controller that lags: it is trusted and eligible,
-/// reaches the store, and has headroom. `None` if no candidate meets this, for instance if
-/// all controllers are slow, so that leadership does not circulate.
+/// The best candidate to take over from a controller that lags: it is trusted and eligible, reaches
+/// the store, and has headroom. `None` if there is no such candidate. If all controllers are slow,
+/// there is none, and leadership does not circulate.
 pub fn preferred_successor<'a>(
     others: &[LeaderCandidate<'a>],
     timing: DetectorTiming,
--- a/crates/failure-detector/src/succession/tests.rs
+++ b/crates/failure-detector/src/succession/tests.rs
@@ -36,7 +36,7 @@
     let mut tracker = SlownessTracker::default();
     assert!(
         !tracker.observe(0.0, 0.4, TIMING, 1.0),
-        "one long iteration"
+        "a single long iteration of the event loop"
     );
     assert!(!tracker.observe(0.5, 0.1, TIMING, 1.0));
     assert!(!tracker.observe(0.6, 0.8, TIMING, 1.0));
@@ -48,7 +48,7 @@
     // If all lag, as after an outage of all controllers, there is no better candidate.
     others.iter_mut().for_each(|c| c.mean_lag_s = 0.1);
     assert_eq!(preferred_successor(&others, TIMING), None);
-    // The same if all are on time but busy for half of the time.
+    // If all are on time but busy for half of the time, there is no better candidate either.
     others
         .iter_mut()
         .for_each(|c| (c.mean_lag_s, c.busy_share) = (0.0, 0.5));
--- a/crates/failure-detector/src/timing.rs
+++ b/crates/failure-detector/src/timing.rs
@@ -11,20 +11,20 @@
 }
 
 impl DetectorTiming {
-    /// The mean event-loop lag at which a controller is too slow, in seconds.
+    /// The mean event-loop lag from which on a controller counts as slow, in seconds.
     pub fn slow_threshold_s(&self) -> f64 {
         self.round_s / 8.0
     }
 
-    /// Whether a mean lag is below a quarter of the slowness threshold. A few milliseconds of
-    /// lag are usual.
+    /// Whether a mean event-loop lag is below a quarter of the slowness threshold. A few
+    /// milliseconds of lag are usual.
     pub fn is_on_time(&self, lag_s: f64) -> bool {
         lag_s < self.slow_threshold_s() / 4.0
     }
 
-    /// Whether a controller can take over another's work: it is on time, and idle for more than
-    /// two thirds of the time. Otherwise the work, if it causes the lag, would only make the
-    /// next controller lag.
+    /// Whether a controller can take over work from one that lags: its mean lag is on time, and its
+    /// thread is busy for less than a third of the time (`busy_share`, 0 to 1). If the work itself
+    /// causes the lag, a controller with less headroom would only lag next.
     pub fn has_headroom(&self, lag_s: f64, busy_share: f64) -> bool {
         self.is_on_time(lag_s) && busy_share < 1.0 / 3.0
     }
