--- a/crates/rushwalk/src/failure_detection/heartbeats.rs
+++ b/crates/rushwalk/src/failure_detection/heartbeats.rs
@@ -1,6 +1,6 @@
-//! Heartbeats between controllers. They only speed up the detection of failures. Safety does
-//! not depend on them: every commit has preconditions that the store checks, so that a
-//! controller which has lost leadership or a shard can't act.
+//! Heartbeats between controllers. They only speed up the detection of failures. Safety does not
+//! depend on them: every commit has preconditions that the store checks, so a controller that has
+//! lost leadership or a shard can't act on it.
 
 use crate::context::Context;
 use crate::leadership::Leadership;
@@ -23,18 +23,18 @@
 
 /// Builds the heartbeats that this controller sends to its peers.
 pub struct HeartbeatSource {
-    /// Settings, timing and identity of this process.
+    /// Identity, settings and timing of this process.
     pub context: Arc<Context>,
-    /// Copy of the cluster's state, with its revision and the age of the last read.
+    /// The replica of the cluster's state, with its revision and the age of the last read.
     pub replica: Arc<Replica>,
-    /// Leadership of this process, with the times of its scheduling rounds.
+    /// The leadership of this process, with the times of its scheduling rounds.
     pub leadership: Arc<Leadership>,
-    /// Failure detector with the observations of peers, the misrouted workers, and the share of
-    /// time in which this process is busy.
+    /// The failure detector with the observations of peers, the misrouted workers, and the share of
+    /// time in which this controller's thread is busy.
     pub peers: Arc<PeerMonitor>,
-    /// Worker sessions, from which unreachable shards are derived.
+    /// The worker sessions, from which unreachable shards are derived.
     pub workers: Arc<WorkerRegistry>,
-    /// Lag of this controller's event loop.
+    /// The lag of this controller's event loop.
     pub runtime_lag: Arc<RuntimeLag>,
 }
 
@@ -61,14 +61,14 @@
         }
     }
 
-    /// Time since the latest scheduling round finished, or since leadership was acquired; `None`
-    /// if this process does not lead.
+    /// Time since the latest scheduling round ended, or since this process last won an election if
+    /// that is later; `None` if it does not lead.
     fn last_round_age(&self) -> Option<Duration> {
         self.leadership.current_version()?;
         self.leadership.last_round().map(|at| at.elapsed())
     }
 
-    /// Names of the owned shards whose machines' heartbeats do not reach this process.
+    /// The names of the owned shards whose machines' heartbeats do not reach this process.
     pub fn unreachable_shards(&self) -> Vec<String> {
         let state = self.replica.state();
         let owned = self.replica.owned_shards(&state);
@@ -106,6 +106,8 @@
     let call = client.call::<_, PeerHeartbeat>(&peer.endpoint, HEARTBEAT_PATH, &heartbeat, timeout);
     let sent = Instant::now();
     let response = call.await;
+    // The kind of error does not distinguish a time-out from a broken connection, but the elapsed
+    // time does.
     let timed_out = sent.elapsed() >= timeout.mul_f64(0.9);
     let mut detector = source.peers.detector();
     let now_s = source.context.uptime_s();
--- a/crates/rushwalk/src/failure_detection/local_health.rs
+++ b/crates/rushwalk/src/failure_detection/local_health.rs
@@ -10,18 +10,19 @@
 /// Collects the health of this controller as an observer of its peers.
 #[derive(Clone)]
 pub struct LocalHealthSource {
-    /// Copy of the cluster's state, with its revision and the age of the last read.
+    /// The replica of the cluster's state, with its revision and the age of the last read.
     pub replica: Arc<Replica>,
-    /// Time of the last transfer of leadership between live controllers.
+    /// Provides the time since leadership last left a live controller.
     pub leadership: Arc<Leadership>,
-    /// Lag of this controller's event loop.
+    /// The lag of this controller's event loop.
     pub runtime_lag: Arc<RuntimeLag>,
-    /// Share of time in which this controller's thread is busy.
+    /// Provides the share of time in which this controller's thread is busy.
     pub peers: Arc<PeerMonitor>,
 }
 
 impl LocalHealthSource {
-    /// The current health.
+    /// The health at this moment: the lag, busy share and staleness of this process, the age of the
+    /// last transfer of leadership, and the newest revision that this process has read.
     pub fn now(&self) -> LocalHealth {
         let revision = self.replica.state().revision;
         let since_transfer = self.leadership.since_last_transfer();
--- a/crates/rushwalk/src/failure_detection/observation.rs
+++ b/crates/rushwalk/src/failure_detection/observation.rs
@@ -14,7 +14,8 @@
 use std::sync::Arc;
 use tokio::time::{Instant, sleep};
 
-/// Peer heartbeat intervals without a heartbeat after which a peer counts as out of contact.
+/// The number of heartbeat intervals without a heartbeat after which a peer counts as out of
+/// contact.
 const MAX_MISSED_HEARTBEATS: f64 = 4.0;
 
 /// The loop that observes and evaluates the other controllers.
@@ -156,9 +157,9 @@
         }
     }
 
-    /// Records a transfer if the previous leader is still a member but no longer leads. If there
-    /// is no new leader yet, the previous one relinquished leadership, which also counts as a
-    /// departure of it.
+    /// Records a transfer if the previous leader is still a member but no longer leads. If there is
+    /// no new leader yet, the previous one relinquished leadership, which also counts as its
+    /// departure.
     fn observe_leader(&mut self, state: &ClusterState) {
         let leader = state.leader.as_ref().map(|leader| ObservedLeader {
             version: leader.version,
@@ -181,7 +182,8 @@
         self.observed.leader = leader;
     }
 
-    /// Logs a transition and wakes the tasks that wait for a change.
+    /// Logs a transition, requests a read of the store if a peer is suspected, and wakes the tasks
+    /// that wait for a change.
     fn handle(&self, transition: &HealthTransition) {
         let controller = &transition.member;
         let reason = transition.reason;
@@ -192,8 +194,8 @@
             PeerHealth::Healthy => tracing::info!(controller, after_s, "peer healthy again"),
             PeerHealth::Suspected => {
                 // Unless its lease has expired, a suspected peer is declared failed only after a
-                // newer read of the store. The watch request may stay open without a result, so
-                // request a read.
+                // newer read of the store. The watch request may stay open without a result, so a
+                // read is requested.
                 self.replica.request_read();
                 tracing::info!(
                     controller,
@@ -219,8 +221,8 @@
         self.replica.notify_changed();
     }
 
-    /// If no peer is in contact and this controller has not written recently, rewrites its
-    /// member record, which shows the peers in the log that it is alive.
+    /// If no peer is in contact and this controller has not written recently, rewrites its member
+    /// record: the peers see the write in the store, which proves that this controller is alive.
     async fn prove_liveness(&self) {
         if self.is_known_alive() || !self.replica.shard_leases_valid() {
             return;
