--- a/crates/rushwalk/src/leadership/election.rs
+++ b/crates/rushwalk/src/leadership/election.rs
@@ -27,7 +27,7 @@
 pub struct Election {
     parts: ElectionParts,
     slowness: SlownessTracker,
-    /// Since when this process has seen leadership as vacant; `None` while it is held, and while
+    /// When this process first saw that leadership is vacant; `None` while it is held, and while
     /// this process is not registered.
     vacant_since: Option<Instant>,
 }
@@ -53,7 +53,8 @@
 /// The transaction with which this process tries to become the leader.
 struct Candidacy {
     transaction: Transaction,
-    /// This process won the latest election and only rewrites its leader key.
+    /// Whether this process wrote the current leader key in its latest election, so that the
+    /// transaction only rewrites the key.
     is_renewal: bool,
 }
 
@@ -154,9 +155,9 @@
         let rank = succession::election_rank(&candidate, &others, detector.config().timing());
         let timing = &self.parts.context.timing;
         let rank_delay = (timing.round / 4 * rank as u32).min(timing.member_lease / 2);
-        // If there are other candidates, two more rounds are left to them by a controller that
-        // is in its delay after a departure (such as losing or relinquishing leadership), or
-        // that is crash looping.
+        // A controller that is in its flap-damping delay after a departure (such as losing or
+        // relinquishing leadership) waits two more rounds if a trusted candidate ranks before it. A
+        // crash-looping controller does so if there is any other candidate.
         let defers = rank > 0 && !is_eligible
             || !others.is_empty() && self.parts.membership.is_crash_looping();
         if defers {
@@ -231,10 +232,11 @@
         }
     }
 
-    /// Called if the previous process of this controller ended soon after its start. If the leader
-    /// key still names this controller, the key is deleted, so that a more stable controller
-    /// acquires leadership. Without this, a crash-looping controller became the leader again
-    /// after each crash, for 20 s, and no controller received the heartbeats of its machines.
+    /// Called while leadership is vacant and this controller is crash looping. If the leader key
+    /// still names this controller and there are other members, deletes the key, so that a more
+    /// stable controller acquires leadership. Without this, a crash-looping controller became the
+    /// leader again after each crash, for 20 s, and no controller received the heartbeats of its
+    /// machines.
     async fn delete_stale_leader_key(&self) {
         let transaction = {
             let state = self.parts.replica.state();
@@ -260,9 +262,9 @@
         }
     }
 
-    /// Tries to acquire leadership, with the leader key attached to the member lease `lease`.
-    /// Does nothing before this process is registered: a leader that was not yet a member
-    /// assigned all shards to other controllers.
+    /// Tries to acquire leadership, with the leader key attached to the member lease `lease`. Does
+    /// nothing before this process is registered: without this check, a leader that was not yet a
+    /// member assigned all shards to other controllers.
     pub async fn campaign(&self, lease: u64) {
         if !self.parts.replica.is_registered() {
             return;
--- a/crates/rushwalk/src/leadership/leader.rs
+++ b/crates/rushwalk/src/leadership/leader.rs
@@ -38,9 +38,9 @@
     }
 }
 
-/// The term that is recorded as a departure when a leader steps down. It follows from the
-/// version of the leader key alone, so several observations of one resignation count once. The
-/// incarnation is 0, which distinguishes it from the terms of member processes.
+/// The term that is recorded as a departure when a leader steps down. It follows from the version
+/// of the leader key alone, so a departure that is observed several times counts once. The
+/// incarnation is 0, which distinguishes the term from those of member processes.
 pub(crate) fn leadership_term(version: Revision) -> MembershipTerm {
     MembershipTerm {
         incarnation: 0,
@@ -48,13 +48,16 @@
     }
 }
 
+/// What this process knows of its own elections, commits and scheduling rounds, across all of its
+/// terms as the leader. Whether it leads now depends on the leader key in the replica.
 #[derive(Default)]
-struct Term {
+struct LeadershipState {
     /// The id of the latest election that this process entered, won or not; `None` before the
     /// first.
     election_id: Option<u64>,
-    /// The store did not answer a commit of this process. It may still be carried out until the
-    /// leader key is rewritten, because it requires the key's present version.
+    /// Whether the outcome of a commit of this process is unknown, because the store did not answer
+    /// it. The commit requires the present version of the leader key, so it may still be carried
+    /// out until the key is rewritten.
     has_unresolved_commit: bool,
     /// When this process last became the leader, also if it no longer is; `None` if it never
     /// did.
@@ -69,13 +72,13 @@
     last_transfer: Option<Instant>,
 }
 
-/// Tracks whether this process is the leader, and commits on its behalf.
+/// Tracks whether this process is the leader, and makes the commits that only the leader may make.
 pub struct Leadership {
     context: Arc<Context>,
     replica: Arc<Replica>,
     committer: Arc<Committer>,
     log: Arc<LogWriter>,
-    term: Mutex<Term>,
+    own_state: Mutex<LeadershipState>,
     acquired: Notify,
 }
 
@@ -87,16 +90,16 @@
         committer: Arc<Committer>,
         log: Arc<LogWriter>,
     ) -> Leadership {
-        let term = Term {
+        let own_state = LeadershipState {
             round_interval: context.timing.round,
-            ..Term::default()
+            ..LeadershipState::default()
         };
         Leadership {
             context,
             replica,
             committer,
             log,
-            term: Mutex::new(term),
+            own_state: Mutex::new(own_state),
             acquired: Notify::new(),
         }
     }
@@ -134,73 +137,74 @@
     /// The id of the latest election that this process entered, won or not; `None` before the
     /// first.
     pub fn election_id(&self) -> Option<u64> {
-        self.term.lock().election_id
+        self.own_state.lock().election_id
     }
 
     /// Whether a commit of this leader has an unknown outcome and may still be carried out.
     pub fn has_unresolved_commit(&self) -> bool {
-        self.term.lock().has_unresolved_commit
+        self.own_state.lock().has_unresolved_commit
     }
 
     /// Records that the store did not answer a commit of this leader. The leader key must then be
     /// rewritten before any new decision.
     pub fn mark_unresolved_commit(&self) {
-        self.term.lock().has_unresolved_commit = true;
+        self.own_state.lock().has_unresolved_commit = true;
     }
 
     /// Time since this process last became the leader, also if it no longer is; `None` if it
     /// never did.
     pub fn leading_for(&self) -> Option<Duration> {
-        self.term.lock().since.map(|since| since.elapsed())
+        self.own_state.lock().since.map(|since| since.elapsed())
     }
 
     /// When the latest scheduling round ended, or this process last won an election, whichever
     /// is later; `None` before both.
     pub fn last_round(&self) -> Option<Instant> {
-        self.term.lock().last_round
+        self.own_state.lock().last_round
     }
 
     /// The mean time between the ends of scheduling rounds; each new gap has a weight of 1/8.
     pub fn round_interval(&self) -> Duration {
-        self.term.lock().round_interval
+        self.own_state.lock().round_interval
     }
 
     /// Time since leadership was last seen to leave a controller that was still a member, which
     /// stepped down or was deposed; `None` if never.
     pub fn since_last_transfer(&self) -> Option<Duration> {
-        self.term.lock().last_transfer.map(|at| at.elapsed())
+        self.own_state.lock().last_transfer.map(|at| at.elapsed())
     }
 
     /// Records that leadership left a controller that is still a member.
     pub fn record_transfer(&self) {
-        self.term.lock().last_transfer = Some(Instant::now());
+        self.own_state.lock().last_transfer = Some(Instant::now());
     }
 
-    /// Records the end of a scheduling round.
+    /// Records the end of a scheduling round. In the mean interval, a gap since the previous round
+    /// counts for at most the length of a member lease.
     pub fn record_round(&self) {
-        let mut term = self.term.lock();
-        let previous = term.last_round.replace(Instant::now());
+        let mut own_state = self.own_state.lock();
+        let previous = own_state.last_round.replace(Instant::now());
         if let Some(previous) = previous {
             let gap = previous.elapsed().min(self.context.timing.member_lease);
-            term.round_interval = (term.round_interval * 7 + gap) / 8;
+            own_state.round_interval = (own_state.round_interval * 7 + gap) / 8;
         }
     }
 
     /// Records the id of the election that this process is about to enter.
     pub(crate) fn begin_election(&self, election_id: u64) {
-        self.term.lock().election_id = Some(election_id);
+        self.own_state.lock().election_id = Some(election_id);
     }
 
     /// Records that this process won an election. `is_new` is false if it was the leader already
     /// and only rewrote the leader key.
     pub(super) fn record_election(&self, is_new: bool) {
-        let mut term = self.term.lock();
-        term.has_unresolved_commit = false;
+        let mut own_state = self.own_state.lock();
+        own_state.has_unresolved_commit = false;
         if is_new {
-            term.since = Some(Instant::now());
+            own_state.since = Some(Instant::now());
         }
-        term.last_round = Some(Instant::now());
-        term.round_interval = self.context.timing.round;
+        own_state.last_round = Some(Instant::now());
+        own_state.round_interval = self.context.timing.round;
     }
 
     /// Wakes the scheduling loop, so that a new leader starts its first round without delay.
@@ -218,7 +222,7 @@
     /// it was carried out.
     pub async fn commit(&self, transaction: Transaction, priority: WritePriority) -> bool {
         let outcome = self.committer.commit(transaction, priority).await;
-        self.is_committed(&outcome)
+        self.record_outcome(&outcome)
     }
 
     /// Appends mutations to the log on condition that the leader key still has the given version.
@@ -234,12 +238,13 @@
         }
         let preconditions = [version.precondition()];
         let outcome = self.log.append(&preconditions, mutations, priority).await;
-        self.is_committed(&outcome)
+        self.record_outcome(&outcome)
     }
 
-    /// Whether a commit of this leader was carried out. If the outcome is unknown, it blocks new
-    /// decisions until the leader key has been rewritten (see [`Leadership::version_to_act`]).
-    pub(super) fn is_committed(&self, outcome: &CommitOutcome) -> bool {
+    /// Records the outcome of a commit of this leader; returns whether the commit was carried out.
+    /// After an unknown outcome, no new decisions are made until the leader key has been rewritten
+    /// (see [`Leadership::version_to_act`]).
+    pub(super) fn record_outcome(&self, outcome: &CommitOutcome) -> bool {
         match outcome {
             CommitOutcome::Committed(_) => true,
             CommitOutcome::Unanswered(_) => {
--- a/crates/rushwalk/src/leadership/snapshot_writer.rs
+++ b/crates/rushwalk/src/leadership/snapshot_writer.rs
@@ -20,7 +20,7 @@
 /// seconds.
 const LOG_GROWTH_S: f64 = 12.0;
 
-/// Mutations that are packed before other tasks of the event loop may run.
+/// The number of mutations that are packed before other tasks of the event loop may run.
 const MUTATIONS_PER_SLICE: usize = 256;
 
 /// Upper limit of the chunks in one transaction, in bytes. A chunk that is larger by itself is
@@ -39,7 +39,7 @@
     pub log: Arc<LogWriter>,
     /// Whether this process is the leader; only the leader writes snapshots.
     pub leadership: Arc<Leadership>,
-    /// Measures the time spent on snapshots.
+    /// Records the time spent on snapshots.
     pub work_profile: Arc<WorkProfile>,
 }
 
@@ -162,7 +162,7 @@
                 .committer
                 .commit(transaction.clone(), WritePriority::Maintenance);
             let outcome = commit.await;
-            if self.leadership.is_committed(&outcome) {
+            if self.leadership.record_outcome(&outcome) {
                 return ChunkOutcome::Written;
             }
             match outcome {
@@ -199,8 +199,9 @@
             ?outcome,
             "snapshot manifest commit finished"
         );
-        // If the outcome is unknown, this fences the commit: carried out late, the manifest must
-        // not refer to chunks that have been overwritten since.
-        self.leadership.is_committed(&outcome);
+        // If the outcome is unknown, the leader key is rewritten, so that the commit can no longer
+        // be carried out. Otherwise the manifest could be written late, and refer to chunks that
+        // have been overwritten since.
+        self.leadership.record_outcome(&outcome);
     }
 }
