--- a/crates/rushwalk/src/store/committer.rs
+++ b/crates/rushwalk/src/store/committer.rs
@@ -30,11 +30,12 @@
 pub enum WritePriority {
     /// Membership, leadership and shard leases: without them the cluster makes no progress.
     Coordination,
-    /// A user's request.
+    /// A user's request. The user waits for the response, so such a write is rejected after a
+    /// shorter wait for the budget.
     UserRequest,
     /// Placement of tasks, and state changes of tasks and machines.
     Scheduling,
-    /// Writes that can be delayed.
+    /// Writes that can be delayed, such as the chunks of snapshots.
     Maintenance,
 }
 
--- a/crates/rushwalk/src/store/log_writer.rs
+++ b/crates/rushwalk/src/store/log_writer.rs
@@ -28,7 +28,7 @@
 /// A condition of a transaction: the version that a key must have.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Precondition {
-    /// The key.
+    /// The key whose version is checked.
     pub key: String,
     /// The version that the key must have.
     pub version: Revision,
@@ -95,7 +95,8 @@
     ///
     /// Mutations that exceed one transaction are committed in several, in order, up to the first
     /// that is not committed; the outcome is that of the last one. It is
-    /// [`CommitOutcome::Unanswered`] also if the replica does not apply a commit in time.
+    /// [`CommitOutcome::Unanswered`] also if the replica does not apply a commit in time, and
+    /// `Committed(0)` if there are no mutations.
     pub async fn append(
         &self,
         preconditions: &[Precondition],
@@ -167,7 +168,7 @@
         }
     }
 
-    /// Returns keys to which nothing was written.
+    /// Makes keys available again to which nothing was written.
     fn release(&self, entry_numbers: Vec<u64>) {
         let mut entry_keys = self.entry_keys.lock();
         for number in entry_numbers {
--- a/crates/rushwalk/src/store/membership.rs
+++ b/crates/rushwalk/src/store/membership.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// HTTP 404: the lease has expired.
+/// HTTP 404: the response of the store to a renewal if the lease has expired.
 const NOT_FOUND: u16 = 404;
 
 /// Keeps the member lease and record of this process.
@@ -27,8 +27,8 @@
     committer: Arc<Committer>,
     /// The id of the member lease; `None` before it is granted, and after it was found expired.
     lease: Mutex<Option<u64>>,
-    /// The previous process of this controller registered less than a member lease before this
-    /// one, so it ended soon after its start, and this one may, too.
+    /// Whether the previous process of this controller registered less than a member lease before
+    /// this one: it ended soon after its start, so this one may, too.
     crash_looping: AtomicBool,
 }
 
--- a/crates/rushwalk/src/store/replica.rs
+++ b/crates/rushwalk/src/store/replica.rs
@@ -26,8 +26,8 @@
     context: Arc<Context>,
     client: StoreClient,
     state: Mutex<ClusterState>,
-    /// Incremented whenever the state has changed, or another reason for waiting tasks to check
-    /// it again has come up.
+    /// Incremented whenever the state has changed, and whenever waiting tasks should check it again
+    /// for another reason, such as a change of a peer's health.
     changes: Observable<u64>,
     /// When the newest successful read of the store was sent; `None` before the first.
     last_read_sent: Observable<Option<Instant>>,
@@ -41,6 +41,7 @@
 impl Replica {
     /// An empty replica, which [`watch_loop`] fills.
     pub fn new(context: Arc<Context>, client: StoreClient) -> Replica {
+        // The predicted start-up overhead of a task until one has been observed.
         let start_overhead_s = 0.25 * context.settings.site.workers.heartbeat_s;
         let durations = DurationEstimator::new(DURATION_SAMPLES, start_overhead_s);
         Replica {
@@ -119,7 +120,7 @@
         timeout(max_wait, read).await.is_ok()
     }
 
-    /// Waits until a revision is applied; returns false if it is not within `max_wait`.
+    /// Waits until the state contains a revision; returns false if it does not within `max_wait`.
     pub async fn wait_for_revision(&self, revision: Revision, max_wait: Duration) -> bool {
         let deadline = Instant::now() + max_wait;
         loop {
@@ -141,20 +142,21 @@
     }
 
     /// Whether the replica is fresh enough for this process to act on the shard leases that it
-    /// owns: younger than `Timing::lease_validity`.
+    /// owns: its staleness is below
+    /// [`Timing::lease_validity`](crate::timing::Timing::lease_validity).
     pub fn shard_leases_valid(&self) -> bool {
         self.staleness() < self.context.timing.lease_validity
     }
 
-    /// Whether `state` contains everything that this process has read or committed: it lacks no
-    /// change, all records could be read, and this process's newest commit is applied.
+    /// Whether `state` contains everything that this process has read or committed: no change was
+    /// missed, all records could be read, and this process's newest commit is applied.
     pub fn is_complete(&self, state: &ClusterState) -> bool {
         is_intact(state) && state.revision >= self.last_commit.load(Ordering::Relaxed)
     }
 
-    /// The fencing token under which this process owns a shard, which is the version of the
-    /// shard's lease. `None` if this process does not own the shard, if `state` lacks a change or
-    /// has an unreadable record, or if the replica is too stale to act on the lease.
+    /// The fencing token under which this process owns a shard, which is the version of the shard's
+    /// lease. `None` if this process does not own the shard, if `state` has missed a change or has
+    /// an unreadable record, or if the replica is too stale to act on the lease.
     pub fn fencing_token(&self, state: &ClusterState, shard: &str) -> Option<Revision> {
         let lease = state.shard_leases.get(shard)?;
         let is_ours = lease.value.owner == self.context.member()
@@ -177,9 +179,9 @@
         member.is_some_and(|member| member.incarnation == self.context.incarnation)
     }
 
-    /// Waits until this process is registered and no shard is leased to an earlier process of
-    /// this controller. The shards of other controllers are not waited for: if all controllers
-    /// did that, workers would be redirected to closed ports and retry every second.
+    /// Waits until this process is registered and no shard is leased to an earlier process of this
+    /// controller. It does not wait for the shards of other controllers: if all controllers did,
+    /// workers would be redirected to closed ports and retry every second.
     pub async fn wait_until_registered(&self) {
         loop {
             let seen = self.change_count();
@@ -197,7 +199,7 @@
     }
 }
 
-/// Whether the state lacks no change and all of its records could be read.
+/// Whether the state has missed no change and all of its records could be read.
 fn is_intact(state: &ClusterState) -> bool {
     state.unreadable.is_none() && !state.has_gap
 }
--- a/crates/rushwalk/src/store/replica/follow.rs
+++ b/crates/rushwalk/src/store/replica/follow.rs
@@ -41,7 +41,7 @@
             (state.revision, state.has_gap)
         };
         if has_gap {
-            tracing::warn!("watch gap: relisting");
+            tracing::warn!("watch missed changes; listing the store again");
             listed = false;
             continue;
         }
@@ -161,8 +161,8 @@
         state.apply_watch(since, response, now_ms()).is_ok() && !state.has_gap
     };
     drop(timer);
-    // No request may be served from a state that lacks a change. The read then does not count
-    // as successful, and the watch loop lists the store again.
+    // No request may be served from a state that has missed a change. Such a read does not count as
+    // successful, and the watch loop lists the store again.
     if is_complete {
         replica.record_read(sent);
     } else {
--- a/crates/rushwalk/src/store/user_writes.rs
+++ b/crates/rushwalk/src/store/user_writes.rs
@@ -16,8 +16,8 @@
 /// The capacity of the queue; further writes are rejected.
 const MAX_WAITING: usize = 1024;
 
-/// How often a commit is retried after a conflict, which means that the key of its log entry
-/// was written in the meantime.
+/// How often a commit is retried after a conflict, which means that the key of its log entry no
+/// longer has the expected version.
 const CONFLICT_RETRIES: usize = 3;
 
 /// A user's write, and the channel that receives its outcome.
@@ -72,6 +72,8 @@
     /// dropped.
     pub async fn run(mut self, context: Arc<Context>, replica: Arc<Replica>, log: Arc<LogWriter>) {
         let write_rps = context.settings.site.store.write_rps;
+        // Half of the mean time between this controller's writes at an equal share of the store's
+        // write limit.
         let batching_delay =
             Duration::from_secs_f64(0.5 * context.controllers() as f64 / write_rps);
         let mut left_over: Option<PendingWrite> = None;
@@ -85,12 +87,12 @@
             };
             sleep(batching_delay).await;
             let writes = self.take_batch(first, &mut left_over);
-            let (mutations, waiting): (Vec<_>, Vec<_>) = writes
+            let (mutations, outcome_senders): (Vec<_>, Vec<_>) = writes
                 .into_iter()
                 .map(|write| (write.mutation, write.outcome_sender))
                 .unzip();
             let outcome = commit(&context, &replica, &log, &mutations).await;
-            for outcome_sender in waiting {
+            for outcome_sender in outcome_senders {
                 // Sending fails only if the user's request is no longer being handled.
                 let _ = outcome_sender.send(outcome.clone());
             }
