--- a/crates/rushwalk/src/admin_cli.rs
+++ b/crates/rushwalk/src/admin_cli.rs
@@ -46,9 +46,9 @@
     /// The controller did not respond with JSON and status 200.
     #[error("{address}: {source}")]
     Request {
-        /// The controller's address.
+        /// The address from the command line.
         address: String,
-        /// What went wrong.
+        /// Why no such response was received.
         source: rushwalk_clients::Error,
     },
     /// The response could not be formatted.
--- a/crates/rushwalk/src/clock.rs
+++ b/crates/rushwalk/src/clock.rs
@@ -13,8 +13,8 @@
     static VIRTUAL_SINCE: Cell<Option<Instant>> = const { Cell::new(None) };
 }
 
-/// Switches this thread to virtual time for the rest of its life: its time of day follows the
-/// clock of its runtime, which may be paused. Also seeds its random numbers.
+/// Switches this thread to virtual time for the rest of its life: its time of day follows the clock
+/// of its runtime, which may be paused. Also seeds the thread's random numbers with `seed`.
 pub fn use_virtual_time(seed: u64) {
     VIRTUAL_SINCE.set(Some(Instant::now()));
     rushwalk_random::seed(seed);
--- a/crates/rushwalk/src/context.rs
+++ b/crates/rushwalk/src/context.rs
@@ -1,4 +1,4 @@
-//! What does not change while a controller's process runs: identity, settings and timing.
+//! The identity, settings and timing of a controller's process, which do not change while it runs.
 
 use crate::clock;
 use crate::timing::Timing;
@@ -39,7 +39,7 @@
         }
     }
 
-    /// This controller's name.
+    /// This controller's name as a member, from the settings.
     pub fn member(&self) -> &str {
         &self.settings.member
     }
--- a/crates/rushwalk/src/controller.rs
+++ b/crates/rushwalk/src/controller.rs
@@ -136,7 +136,7 @@
         Ok((controller, loops))
     }
 
-    /// This controller's own health, which its failure detector takes into account.
+    /// The source of this controller's own health, which its failure detector takes into account.
     pub fn local_health(&self) -> LocalHealthSource {
         LocalHealthSource {
             replica: self.replica.clone(),
--- a/crates/rushwalk/src/main.rs
+++ b/crates/rushwalk/src/main.rs
@@ -173,15 +173,14 @@
         .await
 }
 
-/// Serves users and workers. The port stays closed until this process is registered and owns
-/// the shards leased to this controller, but at most for the duration of a member lease.
+/// Serves users and workers. The port stays closed until this process is registered and no shard is
+/// leased to an earlier process of this controller, but at most for the duration of a member lease.
 ///
-/// No request can be served before the cluster's state is listed. Workers retry every second;
-/// their attempts cost nothing at a closed port, but with an open port those of a whole fleet
-/// delayed the listing of a restarted controller by 7 s. Workers can't be served either while
-/// their shards are leased to the previous process: after a restart of all controllers,
-/// rejecting two thousand workers a second delayed the election and the assignment of shards
-/// by up to 14 s.
+/// No request can be served before the cluster's state is listed. Workers retry every second; their
+/// attempts cost nothing at a closed port, but with an open port those of a whole fleet delayed the
+/// listing of a restarted controller by 7 s. Workers can't be served while their shards are leased
+/// to the previous process, either: after a restart of all controllers, rejecting two thousand
+/// workers a second delayed the election and the assignment of shards by up to 14 s.
 async fn serve_public(controller: &Arc<Controller>, address: String) -> io::Result<()> {
     let registered = controller.replica.wait_until_registered();
     let _ = tokio::time::timeout(controller.context.timing.member_lease, registered).await;
--- a/crates/rushwalk/src/observable.rs
+++ b/crates/rushwalk/src/observable.rs
@@ -15,7 +15,7 @@
 }
 
 impl<T: Copy> Observable<T> {
-    /// The current value.
+    /// A copy of the current value, without waiting.
     pub fn get(&self) -> T {
         *self.value.lock()
     }
--- a/crates/rushwalk/src/peers.rs
+++ b/crates/rushwalk/src/peers.rs
@@ -1,4 +1,4 @@
-//! What this controller has observed of the other controllers.
+//! This controller's observations of the other controllers.
 
 use crate::clock::now_ms;
 use crate::context::Context;
@@ -100,8 +100,9 @@
     }
 
     /// Records as a departure that the owner of a shard is cut off from the shard's machines, so
-    /// that it is assigned shards again only after a delay. All of its shards that are found cut
-    /// off within the same period of the length of a member lease count as one departure.
+    /// that it is assigned shards again only after a delay. Time is divided into periods of the
+    /// length of a member lease; if several of the owner's shards are found cut off in one period,
+    /// they count as one departure.
     pub fn record_owner_cut_off(&self, lease: &ShardLease) {
         let span_ms = self.context.timing.member_lease.as_millis() as u64;
         let term = MembershipTerm {
@@ -112,9 +113,9 @@
             .record_departure(self.context.uptime_s(), &lease.owner, term);
     }
 
-    /// The controller to which a worker is redirected because it owns the worker's shard. `None`
-    /// if that controller has lost its shards by a failure, or recently reported that it receives
-    /// nothing from the shard: the worker would only return after a time-out.
+    /// The controller to which a worker is redirected because it owns the worker's shard. `None` if
+    /// that controller has lost its shards by a failure, or recently reported that it receives no
+    /// heartbeats from the shard: the worker would only return here after a time-out.
     pub fn redirect_target(&self, shard: &str, lease: &ShardLease) -> Option<String> {
         let detector = self.detector();
         if detector.has_lost_shards(&lease.owner, lease.incarnation) {
--- a/crates/rushwalk/src/timing.rs
+++ b/crates/rushwalk/src/timing.rs
@@ -6,10 +6,11 @@
 /// Intervals and time-outs of one controller.
 #[derive(Debug, Clone)]
 pub struct Timing {
-    /// How long after its last successful read of the store an owner may act on its shard
-    /// leases. A cancellation that another controller confirms must end every task within
-    /// `cancel_s`. An owner that has not read the cancellation may renew worker leases for
-    /// this long, and the workers end the tasks when their leases expire after that.
+    /// How long after its last successful read of the store an owner may act on its shard leases. A
+    /// cancellation that another controller confirms must end every task within `workers.cancel_s`.
+    /// An owner that has not read the cancellation may go on renewing worker leases for the
+    /// duration of `lease_validity`; the last of these leases expires a worker lease later, and the
+    /// worker then ends its tasks.
     pub lease_validity: Duration,
     /// The duration of the member lease. Its expiry removes the member's record, which shows
     /// the other controllers that the member is gone.
@@ -25,7 +26,8 @@
     pub worker_lease: Duration,
     /// A machine without contact for longer than this counts as unreachable.
     pub unreachable_after: Duration,
-    /// The length of the time spans within which predicted finish times count as equal.
+    /// The scheduler sorts predicted finish times into time spans of this length; times in the same
+    /// span count as equal.
     pub tie: Duration,
 }
 
