--- a/crates/rushwalk/src/main.rs
+++ b/crates/rushwalk/src/main.rs
@@ -182,8 +182,8 @@
 /// to the previous process, either: after a restart of all controllers, rejecting two thousand
 /// workers a second delayed the election and the assignment of shards by up to 14 s.
 async fn serve_public(controller: &Arc<Controller>, address: String) -> io::Result<()> {
-    let registered = controller.replica.wait_until_registered();
-    let _ = tokio::time::timeout(controller.context.timing.member_lease, registered).await;
+    let ready = controller.replica.wait_until_ready();
+    let _ = tokio::time::timeout(controller.context.timing.member_lease, ready).await;
     let listener = AdmissionListener::new(
         TcpListener::bind(address),
         controller.connections.clone(),
--- a/crates/rushwalk/src/store/replica.rs
+++ b/crates/rushwalk/src/store/replica.rs
@@ -182,7 +182,7 @@
     /// Waits until this process is registered and no shard is leased to an earlier process of this
     /// controller. It does not wait for the shards of other controllers: if all controllers did,
     /// workers would be redirected to closed ports and retry every second.
-    pub async fn wait_until_registered(&self) {
+    pub async fn wait_until_ready(&self) {
         loop {
             let seen = self.change_count();
             if self.is_registered() && !self.has_stale_lease() {
--- a/crates/simulator/tests/cluster/restart.rs
+++ b/crates/simulator/tests/cluster/restart.rs
@@ -59,7 +59,7 @@
     for process in cluster.processes.iter().flatten() {
         let opens = tokio::time::timeout(
             Duration::from_secs(8),
-            process.controller.replica.wait_until_registered(),
+            process.controller.replica.wait_until_ready(),
         );
         opens.await.unwrap();
         let controller = &process.controller;
