--- a/crates/failure-detector/src/timing.rs
+++ b/crates/failure-detector/src/timing.rs
@@ -22,9 +22,9 @@
         lag_s < self.slow_threshold_s() / 4.0
     }
 
-    /// Whether a controller can take over work from one that lags: its mean lag is on time, and its
-    /// thread is busy for less than a third of the time (`busy_share`, 0 to 1). If the work itself
-    /// causes the lag, a controller with less headroom would only lag next.
+    /// Whether a controller can take over another's work: its mean lag is on time, and its thread
+    /// is busy for less than a third of the time (`busy_share`, 0 to 1). If the work itself causes
+    /// the lag, a controller with less headroom would only lag next.
     pub fn has_headroom(&self, lag_s: f64, busy_share: f64) -> bool {
         self.is_on_time(lag_s) && busy_share < 1.0 / 3.0
     }
