--- a/crates/scheduler/src/pending_job.rs
+++ b/crates/scheduler/src/pending_job.rs
@@ -41,16 +41,17 @@
     pub avoided_machines: Vec<Arc<str>>,
     /// Factors on the prices of on-demand and spot machines (in this order) of each machine
     /// type; empty for factors of 1. The caller raises the price of a type that the cloud has
-    /// run out of and that other jobs profit from more.
+    /// run out of if replacing it would cost other jobs more than this one.
     pub price_bias: Vec<[f64; 2]>,
-    /// Whether the job failed on every machine on which it ran. Then it is placed only on
-    /// machines where it can start now, and no machine is rented or reserved for it.
+    /// Whether the job is retried as a
+    /// [single probe](crate::retry::RetryDecision::SingleProbe): it is placed only on machines
+    /// where it can start now, and no machine is rented or reserved for it.
     pub single_probe: bool,
 }
 
 impl PendingJob {
-    /// Whether the job may use a machine, by the machine's type, by whether it is a spot
-    /// instance, and by whether it is cordoned.
+    /// Whether the job may use a machine: it is not cordoned, the job allows its type, and, if
+    /// it is a spot instance, the job may run on these.
     pub(crate) fn allows_machine(&self, machine: &MachineTimeline) -> bool {
         let estimate = self.estimates.get(machine.group);
         !machine.cordoned
@@ -58,8 +59,8 @@
             && estimate.is_some_and(|estimate| estimate.allowed)
     }
 
-    /// Whether the job's next task may be placed in a zone, by the requested zone and by the
-    /// tasks placed so far.
+    /// Whether the job's next task may be placed in a zone: neither the zone that the job
+    /// requests nor the tasks placed so far exclude it.
     pub(crate) fn allows_zone(&self, zone: &str) -> bool {
         self.requests_zone(zone) && self.tasks_per_zone.allows(&self.spec, zone)
     }
--- a/crates/scheduler/src/round.rs
+++ b/crates/scheduler/src/round.rs
@@ -32,8 +32,8 @@
 /// The state of a scheduling round: the machines with the tasks planned on them, and the
 /// machines that may be rented. Times are in seconds since the Unix epoch.
 pub struct SchedulingRound<'a> {
-    /// The earliest time at which the planned tasks may start. Later than
-    /// [`Self::current_time_s`] while the caller plans jobs that it expects to arrive.
+    /// The earliest time at which the planned tasks may start: [`Self::current_time_s`] for
+    /// pending jobs, a later time while the caller plans jobs that it expects to arrive.
     pub planned_time_s: f64,
     /// The time at which a machine rented in this round begins to boot.
     pub current_time_s: f64,
--- a/crates/scheduler/src/round/candidates.rs
+++ b/crates/scheduler/src/round/candidates.rs
@@ -125,8 +125,8 @@
     }
 }
 
-/// The score of an idle on-demand machine is worse by this many [`SchedulingRound::tie_s`]
-/// for a job that may run on spot instances.
+/// For a job that may run on spot instances, the score of an idle on-demand machine is raised
+/// by this many times [`SchedulingRound::tie_s`].
 const IDLE_ON_DEMAND_PENALTY_TIES: f64 = 8.0;
 
 impl SchedulingRound<'_> {
@@ -181,8 +181,8 @@
         CandidateQueue::new(bounds)
     }
 
-    /// The best machine for the next task; it stays in the queue. Evaluates machines until
-    /// no bound shows that a better one may remain. `None` if no machine can take the task.
+    /// The best machine for the next task; it stays in the queue. Evaluates machines until the
+    /// bounds of all others rule out a better one. `None` if no machine can take the task.
     pub(super) fn peek_best(
         &self,
         queue: &mut CandidateQueue,
@@ -212,7 +212,7 @@
 
     /// Removes evaluated machines from the top of the queue while their zones allow no
     /// further task of the job. Such a zone stays closed while the job is planned, because
-    /// the number of its tasks there only grows.
+    /// the number of the job's tasks there only grows.
     fn pop_closed_zones(&self, queue: &mut CandidateQueue, job: &PendingJob) {
         while queue
             .peek_evaluated()
--- a/crates/scheduler/src/round/decisions.rs
+++ b/crates/scheduler/src/round/decisions.rs
@@ -23,9 +23,11 @@
     NoCapacity,
     /// The job's team has reached its resource limit.
     TeamLimitReached,
-    /// The job, a gang, failed on every machine on which it ran, and can't be probed now.
+    /// The job is a gang that is retried as a
+    /// [single probe](crate::retry::RetryDecision::SingleProbe), and not all of its tasks can
+    /// start now.
     FailsEverywhere,
-    /// Not all tasks of the job, a gang, can start at the same time yet.
+    /// The job is a gang, and not all of its tasks can start at the same time yet.
     GangNotReady,
 }
 
--- a/crates/scheduler/src/round/gang.rs
+++ b/crates/scheduler/src/round/gang.rs
@@ -31,9 +31,9 @@
 }
 
 impl SchedulingRound<'_> {
-    /// Places all tasks of a gang on machines that are free now, or none of them; then it
-    /// reserves capacity for a later start. Returns why none was placed, or `None` if all
-    /// were.
+    /// Places all tasks of a gang on machines that are free now. If they can't all start now,
+    /// none is placed, and capacity is reserved for a later start unless the gang is a single
+    /// probe. Returns why none was placed, or `None` if all were.
     pub(super) fn schedule_gang(
         &mut self,
         job: &PendingJob,
@@ -70,7 +70,7 @@
 
     /// The scope in which all tasks would run earliest, and of equally early ones the
     /// cheapest; `None` if no scope has room for all tasks. For a gang that must be in one
-    /// zone each zone is tried, otherwise only the scope of all zones.
+    /// zone, each zone is a scope; otherwise the only scope is that of all zones.
     fn earliest_scope(&mut self, job: &PendingJob, free_now: bool) -> Option<PlanScope> {
         let zones: Vec<Option<usize>> = if job.spec.one_zone {
             (0..self.zones.len()).map(Some).collect()
--- a/crates/scheduler/src/round/immediate.rs
+++ b/crates/scheduler/src/round/immediate.rs
@@ -7,7 +7,7 @@
 /// A task and the machine on which it starts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TaskAssignment {
-    /// Index of the task.
+    /// Index of the task in the job.
     pub task: u32,
     /// Index of the machine in the round.
     pub machine: usize,
@@ -17,8 +17,8 @@
     /// Places the tasks of a job that can start now, on the machines of one shard.
     ///
     /// `hints` holds for each task the name of the machine that the preceding scheduling
-    /// round over all shards chose by the same rule, or `None`. If a task can't start on
-    /// the machine of its hint, or has no hint, the best machine is searched for.
+    /// round over all shards selected by the same rule, or `None`. A task that has no hint, or
+    /// can't start on the machine of its hint now, goes to the best machine on which it can.
     pub fn start_now(
         &mut self,
         job: &PendingJob,
--- a/crates/scheduler/src/round/rentals.rs
+++ b/crates/scheduler/src/round/rentals.rs
@@ -30,7 +30,7 @@
 
 /// A kind of machine that could be rented for a task.
 struct RentalOption {
-    /// Index in [`SchedulingRound::rentable`].
+    /// Index of the kind in [`SchedulingRound::rentable`].
     index: usize,
     /// Price per hour divided by the number of tasks that fit on a machine, weighted with the
     /// job's price bias.
--- a/crates/scheduler/src/round/trial.rs
+++ b/crates/scheduler/src/round/trial.rs
@@ -29,7 +29,8 @@
     /// Copies of the machines from before each change, in the order of the changes; empty
     /// if they were not requested.
     snapshots: Vec<MachineSnapshot>,
-    /// Number of machines before the plan; the machines after these are its rentals.
+    /// Number of machines in the round before the plan. Machines from this index on are
+    /// rentals of the plan.
     machines_before: usize,
 }
 
@@ -80,7 +81,7 @@
     }
 
     /// Places up to `count` tasks, and takes a snapshot of each machine before it changes if
-    /// `keep_snapshots` is set.
+    /// `keep_snapshots` is set. Tasks that must run concurrently get reservations without end.
     fn place_tasks(
         &mut self,
         job: &PendingJob,
@@ -118,7 +119,7 @@
     }
 
     /// Removes the best machine for the next task from the queue or, if a rental is better,
-    /// adds that to the plan. `None` if neither is possible.
+    /// adds the rented machine to the round. `None` if neither is possible.
     fn take_best_machine(
         &mut self,
         queue: &mut CandidateQueue,
@@ -144,8 +145,8 @@
     }
 
     /// Replaces the unlimited reservations that [`Self::place_tasks`] made for a gang by
-    /// limited ones. Each machine is reserved from the start of its task until that task has
-    /// finished, where all tasks begin to run when the last one of them does.
+    /// limited ones. Each machine is reserved from the start of its task until the task would
+    /// finish if all tasks began to run when the last of them does.
     fn reserve_until_finished(&mut self, job: &PendingJob, plan: TaskPlan) -> Vec<MachineChoice> {
         let running_s = last_running_s(&plan.choices);
         self.restore_snapshots(plan.snapshots);
