--- a/crates/scheduler/src/timeline.rs
+++ b/crates/scheduler/src/timeline.rs
@@ -36,9 +36,9 @@
     pub capacity: Resources,
     /// Images that the machine has or is fetching, each with the time at which it is
     /// available. If a fetch in progress counted as finished, tasks would be assigned to
-    /// machines that are still booting and wait for them.
+    /// machines that are still booting, and would wait for these boots.
     pub images: Vec<MachineImage>,
-    /// Price per hour.
+    /// Price per hour; the spot price for a spot instance if its type has one.
     pub price: f64,
     /// Run time of the latest completed task minus its predicted run time, in seconds;
     /// negative if the task finished early.
@@ -88,7 +88,7 @@
     /// End of the interval, in seconds since the Unix epoch; infinite if no later change is
     /// planned.
     pub(crate) until_s: f64,
-    /// The free resources.
+    /// The resources that are free throughout the interval.
     pub(crate) free: Resources,
 }
 
@@ -108,8 +108,9 @@
 const MAX_UNCERTAINTY_BOOT_TIMES: f64 = 1.0;
 
 /// When a task is predicted to start on a machine that is up and has room for it from
-/// `start_s` on. The machine's `prediction_error_s` counts only if the task has to wait for
-/// others.
+/// `start_s` on. The machine's `prediction_error_s` counts only if `start_s` is after `now_s`,
+/// so that the task has to wait for others. A negative error can't make the wait shorter than
+/// the start-up overhead.
 ///
 /// A wait for other tasks to finish is less certain than a fetch: tasks that finish early
 /// shorten the wait little, while delays add up. So the wait is extended by its own length, at
@@ -259,7 +260,8 @@
     /// Predicts when a task of the job would start and finish on this machine if it is planned
     /// at `now_s`. The time until it finishes is the sum of the start-up overhead, the image
     /// fetch, the wait for other tasks with its prediction error, and the run time (§4.3.5-6
-    /// of the paper that the design follows). `None` if the task can't run on this machine.
+    /// of the paper that the design follows). `None` if the job has no estimate for the
+    /// machine's type, or the machine never has room for the task.
     pub fn predict(&self, job: &PendingJob, now_s: f64) -> Option<PredictedFinish> {
         if !job.resources.fits_in(&self.capacity) {
             return None;
--- a/crates/scheduler/src/timeline_index.rs
+++ b/crates/scheduler/src/timeline_index.rs
@@ -44,8 +44,8 @@
     }
 }
 
-/// Machines that share the properties by which a job's requirements exclude machines, so that
-/// either all or none of them are excluded.
+/// Machines with the same type, zone, kind of rental (spot or on demand) and boot status. A
+/// job's requirements on these properties exclude either all machines of a class or none.
 #[derive(Debug, Clone)]
 struct MachineClass {
     group: usize,
@@ -77,7 +77,7 @@
 /// Position of a machine's summary.
 #[derive(Debug, Clone, Copy)]
 struct SummaryPosition {
-    /// Index of the class.
+    /// Index in [`TimelineIndex::classes`].
     class: u32,
     /// Index in [`MachineClass::summaries`].
     index: u32,
@@ -117,14 +117,14 @@
     pub finish: PredictedFinish,
 }
 
-/// The job for which bounds are computed.
+/// The job and the planned time for which bounds are computed.
 struct BoundQuery<'a> {
     job: &'a PendingJob,
     machines_with_image: MachineSet<'a>,
     /// The time at which the tasks are planned, in seconds since the Unix epoch. May be later
     /// than [`TimelineIndex::now_s`].
     now_s: f64,
-    /// Only machines on which a task may start at `now_s` get a bound.
+    /// Leaves out machines on which no task of the job can start at `now_s`.
     free_now: bool,
 }
 
