--- a/crates/scheduler/src/arrivals.rs
+++ b/crates/scheduler/src/arrivals.rs
@@ -12,12 +12,12 @@
 /// Estimates the arrivals per second from the numbers of arrivals in time buckets of
 /// `bucket_s` seconds each, the latest bucket first.
 ///
-/// The estimate is the mean of all buckets but the largest, which may be a burst, for
-/// instance at the start. With a single bucket it is therefore 0. Two corrections depend on
-/// the latest buckets. If there are more than two buckets, the estimate is at least four
+/// The estimate is the mean rate of all buckets but the one with the most arrivals, which may
+/// be a burst, for instance at the start. A single bucket therefore gives 0. Two bounds depend
+/// on the latest buckets. If there are more than two buckets, the estimate is at least four
 /// fifths of the rate in the latest one, so that most of a new burst counts immediately. It is
-/// at most one and a half times the mean rate of the latest two, so that no capacity is kept
-/// for arrivals that have nearly stopped.
+/// never more than one and a half times the mean rate of the latest two, so that no capacity
+/// is kept for arrivals that have nearly stopped.
 pub fn arrival_rate(buckets: &[u32], bucket_s: f64) -> f64 {
     let Some(largest) = buckets.iter().max() else {
         return 0.0;
--- a/crates/scheduler/src/boot_times.rs
+++ b/crates/scheduler/src/boot_times.rs
@@ -3,8 +3,8 @@
 //! Usually most machines take 0.6 to 1.5 times the nominal boot time, some take several times
 //! as long, and a few never boot. There are also periods in which all machines are late, or
 //! all boot within a second. The estimate is the median of a survival curve (Kaplan-Meier, in
-//! `survival`) of the observed machines, weighted with the usual distribution where few
-//! machines were observed.
+//! `survival`) of the observed machines. The curve is combined with the usual distribution,
+//! which has little weight unless few machines were observed.
 
 mod survival;
 #[cfg(test)]
@@ -79,12 +79,13 @@
     remaining_cache: RefCell<BTreeMap<RentalKey, f64>>,
 }
 
-/// Usual expected boot time as a multiple of the nominal one; slightly more than the median.
+/// Usual expected boot time as a multiple of the nominal one; slightly more than the median of
+/// the usual distribution.
 const EXPECTED_RATIO: f64 = 1.1;
 /// Lower bound on the remaining time of a machine that is not late yet, as a multiple of the
 /// nominal boot time.
 const MIN_REMAINING_RATIO: f64 = 0.2;
-/// Number of machines, rented at about the same time, from which an estimate is made.
+/// Maximum number of machines, rented at about the same time, from which an estimate is made.
 const COHORT: usize = 16;
 /// A sample that was rented longer ago than this multiple of the nominal boot time is not
 /// used to estimate the boot time of machines that are rented now.
@@ -102,9 +103,9 @@
 pub enum BootLateness {
     /// The machine is not late yet.
     OnTime,
-    /// The machine is late, but a new one is not expected to boot so much sooner that
-    /// replacing it is worthwhile. Out of many such machines the caller may replace one as a
-    /// trial.
+    /// The machine is late, but a new one is not expected to boot so much sooner that it
+    /// should be replaced. Of many such machines the caller may replace some, to find out
+    /// whether new ones boot faster.
     LateLikeOthers,
     /// The machine is late, and a new one is expected to boot much sooner.
     ReplaceNow,
@@ -158,8 +159,8 @@
         }
     }
 
-    /// Expected seconds until a machine that was rented at `rented_s` and has not booted yet
-    /// is up.
+    /// Expected remaining boot time, in seconds, of a machine that was rented at `rented_s` and
+    /// has not booted yet.
     pub fn remaining_s(&self, group: BootGroup, nominal_s: f64, rented_s: f64) -> f64 {
         let key = RentalKey {
             group,
@@ -204,7 +205,7 @@
 
 impl BootHistory {
     /// Expected boot time, in seconds, of a machine that is rented at `now_s`, from the latest
-    /// samples.
+    /// samples that are not stale.
     fn estimate_s(&self, now_s: f64) -> f64 {
         let latest = self.samples.len().saturating_sub(COHORT);
         let oldest_s = now_s - STALE_RATIO * self.nominal_s;
--- a/crates/scheduler/src/boot_times/survival.rs
+++ b/crates/scheduler/src/boot_times/survival.rs
@@ -14,8 +14,9 @@
 pub(super) const MOST_BOOTED_BY: f64 = 1.5;
 /// Share of machines that usually have not booted at [`MOST_BOOTED_BY`].
 const LATE_SHARE: f64 = 0.04;
-/// After [`MOST_BOOTED_BY`] the usual curve falls with this power of the time, so that a late
-/// machine is expected to take nearly as long again as it has taken so far.
+/// After [`MOST_BOOTED_BY`] the usual curve is inversely proportional to this power of the
+/// time, so that a late machine is expected to take nearly as long again as it has taken so
+/// far.
 const LATE_EXPONENT: f64 = 1.1;
 /// Weight of the usual curve, as a number of machines that is added to the observed ones.
 const PRIOR_MACHINES: f64 = 2.0;
--- a/crates/scheduler/src/capacity.rs
+++ b/crates/scheduler/src/capacity.rs
@@ -48,7 +48,8 @@
     observed_s: f64,
     /// Time from which a call beyond the limit may be made.
     next_probe_s: f64,
-    /// Number of consecutive refusals; calls refused before `next_probe_s` don't add to it.
+    /// Number of refusals since the kind became exhausted. Calls refused before `next_probe_s`
+    /// don't add to it.
     refusals: u32,
 }
 
@@ -64,7 +65,8 @@
 
 impl CapacityEstimator {
     /// Records the response to a rental call at `now_s`. The call requested `requested`
-    /// machines of the kind and the cloud granted `granted`; `owned` were rented before.
+    /// machines of the kind and the cloud granted `granted`; `owned` is the number of machines of
+    /// the kind that were rented before.
     /// `first_pause_s` is the time between the first refusal and the first probe.
     pub fn record_response(
         &mut self,
@@ -159,7 +161,7 @@
     }
 }
 
-/// One rental call.
+/// A call that requests machines of one kind from the cloud.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RentalCall {
     /// Kind of the machines to rent.
--- a/crates/scheduler/src/deadlines.rs
+++ b/crates/scheduler/src/deadlines.rs
@@ -28,15 +28,17 @@
 const DEFAULT_RUN_TIMES: f64 = 4.0;
 /// Upper bound in seconds on the run time that is multiplied by [`DEFAULT_RUN_TIMES`].
 const LONGEST_DEFAULT_RUN_S: f64 = 3600.0;
-/// A job that can no longer meet any of its objectives is ordered as if it had to start this
-/// many times the longest of their time limits after its submission.
+/// For a job that can no longer meet any of its objectives, the longest of their time limits is
+/// multiplied by this. The result, added to the time of its submission, is the latest start by
+/// which the job is ordered.
 const MISSED_OBJECTIVE_FACTOR: f64 = 4.0;
 
 /// The time by which the job should start. Jobs with an earlier time are placed first.
 ///
-/// For each objective of the job this is the latest start that meets it; of those that are
-/// not past, the earliest counts. For a job without objectives it is the deadline from its
-/// submission or, without one, a multiple of the run time after the submission.
+/// Each objective of the job has a latest start that meets it. The result is the earliest of
+/// these that is not past or, if all are past, a multiple of the longest time limit after the
+/// submission. For a job without objectives it is the deadline from its submission or, without
+/// one, a multiple of the run time after the submission.
 ///
 /// `submitted_s`, `now_s` and the result are in seconds since the Unix epoch.
 pub fn latest_useful_start(
@@ -74,6 +76,7 @@
     durations: TaskDurations,
     objective: &Objective,
 ) -> Option<f64> {
+    // A task counts as started when it begins to run, after the fetch of its image.
     let latest_fetch_start_s = submitted_s + objective.within_s - durations.fetch_s;
     match objective.kind {
         ObjectiveKind::QueueTime if objective.class == spec.class => Some(latest_fetch_start_s),
--- a/crates/scheduler/src/quota.rs
+++ b/crates/scheduler/src/quota.rs
@@ -36,8 +36,9 @@
             .fold(count, usize::min)
     }
 
-    /// Whether the team stays within its guarantee if it uses `amount` more. False if the
-    /// team has no guarantee.
+    /// Whether the team stays within its guarantee if it uses `amount` more. If only one of
+    /// CPUs and GPUs has a guarantee, the other is not checked; without any the result is
+    /// false.
     pub fn is_within_guarantee(&self, team: &Team, amount: Resources) -> bool {
         let used = self.of_team(&team.name) + amount;
         (team.cpus > 0.0 || team.gpus > 0.0) && is_within(used, team.cpus, team.gpus)
--- a/crates/scheduler/src/retry.rs
+++ b/crates/scheduler/src/retry.rs
@@ -23,20 +23,23 @@
 pub enum RetryDecision {
     /// The job is planned as any other.
     Normal,
-    /// Only one task, or the whole job if it is a gang, is planned, and only where it can
-    /// start now. No machine is rented and no capacity is reserved for it.
+    /// A single task is planned, or the whole job if it is a gang, and only where it can start
+    /// now. No machine is rented and no capacity is reserved for it.
     SingleProbe,
     /// The job is not planned until its back-off has elapsed.
     BackOff,
 }
 
-/// Failures on up to this many machines may be due to faulty machines instead of the job.
-const COINCIDENTAL_MACHINES: usize = 2;
+/// Failures on up to this many machines may be due to faulty machines instead of the job, so
+/// the job is not limited to a single probe.
+const MAX_FAULTY_MACHINES: usize = 2;
 /// The back-off doubles with each machine on which the job failed, at most this many times.
 const MAX_DOUBLINGS: u32 = 6;
 
-/// Decides how to plan a job with `failures`. The back-off is `backoff_unit_s` seconds, doubled
-/// for each machine on which the job failed.
+/// Decides how to plan a job with `failures`. A job that failed on one machine only, or has a
+/// task that finished or runs, has no back-off. For others the back-off after the latest
+/// failure is `backoff_unit_s` seconds, doubled for each machine on which the job failed, at
+/// most six times.
 pub fn retry_decision(failures: FailureSummary, backoff_unit_s: f64) -> RetryDecision {
     if failures.succeeded_somewhere || failures.machines <= 1 {
         return RetryDecision::Normal;
@@ -45,7 +48,7 @@
     if failures.since_s < backoff_unit_s * f64::from(1u32 << doublings) {
         return RetryDecision::BackOff;
     }
-    if failures.machines > COINCIDENTAL_MACHINES {
+    if failures.machines > MAX_FAULTY_MACHINES {
         RetryDecision::SingleProbe
     } else {
         RetryDecision::Normal
