--- a/crates/scheduler/src/shard_assignment.rs
+++ b/crates/scheduler/src/shard_assignment.rs
@@ -46,8 +46,8 @@
     /// is not a candidate.
     pub owner: Option<usize>,
     /// Whether some of the machines are unreachable for the owner. Such a shard is not moved
-    /// only for better balance, because the new owner would have to wait for the leases of
-    /// those machines to expire once more.
+    /// only for better balance, because the new owner would have to wait again for the leases
+    /// of those machines to expire.
     pub has_unreachable: bool,
     /// Whether the owner is cut off from the machines and another controller may reach them:
     /// either they sent heartbeats to other controllers, or most of them are unreachable for
@@ -100,7 +100,6 @@
     load: Vec<usize>,
     /// Mean load of the candidates if every shard had an owner, in machines.
     mean_load: f64,
-    /// Whether at least one candidate is trusted.
     any_trusted: bool,
     /// Indices of the shards, those with the most machines first, so that small shards are
     /// assigned last and even out the loads.
@@ -158,7 +157,8 @@
             .or_else(|| self.least_loaded(is_other))
     }
 
-    /// The new owner of a shard without an owner, preferably a candidate in the shard's zone.
+    /// The new owner of a shard without an owner: the least loaded candidate with room for it
+    /// in the shard's zone, else in any zone, else the least loaded of all, trusted or not.
     fn new_owner(&self, shard: &ShardStatus) -> Option<usize> {
         // In a small cluster a zone has a single shard, which may exceed the load limit. It is
         // still assigned to a controller of its zone if that has no other load.
--- a/crates/scheduler/src/shard_assignment/rebalance.rs
+++ b/crates/scheduler/src/shard_assignment/rebalance.rs
@@ -29,8 +29,8 @@
         })
     }
 
-    /// Plans to move a shard away from the most loaded of the overloaded controllers. Of its
-    /// shards one of another zone is preferred.
+    /// Plans to move a shard away from the most loaded of the overloaded controllers. Shards
+    /// whose machines are in another zone than that controller are preferred.
     fn move_from_overloaded(&self) -> Option<ShardMove> {
         let moves = self.largest_first.iter().filter_map(|&shard| {
             let from = self.shards[shard].owner?;
@@ -62,7 +62,8 @@
         (load + shard.machines / 2 < self.load[from]).then_some(to)
     }
 
-    /// Plans to move a shard to a controller in the shard's zone, if one has room for it.
+    /// Plans to move a shard to a controller in the shard's zone, if one has room for it or
+    /// owns no shards.
     fn return_to_zone(&self) -> Option<ShardMove> {
         self.largest_first.iter().find_map(|&index| {
             let shard = &self.shards[index];
