--- a/crates/rushwalk/src/shards/assignment/assignable.rs
+++ b/crates/rushwalk/src/shards/assignment/assignable.rs
@@ -6,8 +6,8 @@
 use rushwalk_state::records::ShardLease;
 use std::collections::BTreeSet;
 
-/// The controllers have headroom for the shards of one that ended, for the few seconds until it
-/// returns, if their mean busy share is below 1 divided by this.
+/// If the process of a controller ended, the others have headroom to own its shards for the few
+/// seconds until it returns if their mean busy share is below 1 divided by this.
 const BUSY_SHARE_DIVISOR: u32 = 3;
 
 impl InputGatherer<'_> {
@@ -22,8 +22,8 @@
         assignable.collect()
     }
 
-    /// Shards that keep their owner for now, although its lease has expired or it was declared
-    /// failed.
+    /// Shards that keep their owner for now, although its member lease has expired or it was
+    /// declared failed.
     fn shards_awaiting_owner(&self, shards: &BTreeSet<ShardId>) -> BTreeSet<ShardId> {
         let detector = self.parts.peers.detector();
         let grace_s = self.parts.context.timing.member_lease.as_secs_f64() / 2.0;
@@ -31,7 +31,8 @@
         let awaits_owner = |lease: &ShardLease| {
             if self.state.is_owner_registered(lease) {
                 // The owner's port refuses connections, so its process ended. It usually
-                // returns before its member lease expires.
+                // returns before its member lease expires, and its shards wait for it if the
+                // other controllers have no headroom.
                 !has_headroom && detector.failed_by_refusal(&lease.owner, lease.incarnation)
             } else {
                 // An owner whose member lease has expired may still run, and act on its shard
@@ -50,10 +51,11 @@
         waiting.cloned().collect()
     }
 
-    /// Whether the controllers have headroom for the shards of one that ended: the mean busy
-    /// share of this controller and of those with a heartbeat in the last `max_age_s` seconds
-    /// is below a third. Without headroom the workers wait until it returns: moving a thousand
-    /// of them to other controllers and back took more capacity than all controllers had.
+    /// Whether the controllers have headroom for the shards of a controller that ended: the
+    /// mean busy share of this controller and of those with a heartbeat in the last `max_age_s`
+    /// seconds is below a third. Without headroom the workers wait until their controller
+    /// returns: moving a thousand of them to other controllers and back took more capacity than
+    /// all controllers had.
     fn controllers_have_headroom(&self, detector: &FailureDetector, max_age_s: f64) -> bool {
         let heartbeats = detector.last_heartbeats(self.parts.context.uptime_s());
         let recent = heartbeats.filter(|last| last.age_s < max_age_s);
--- a/crates/rushwalk/src/shards/assignment/candidates.rs
+++ b/crates/rushwalk/src/shards/assignment/candidates.rs
@@ -1,4 +1,5 @@
-//! Selection of the controllers that may own shards, with the load and health of each.
+//! Selection of the controllers that may own shards, with the load and health of each. A
+//! controller that is registered in the cluster's state is called a member.
 
 use super::inputs::InputGatherer;
 use crate::clock::now_ms;
@@ -6,8 +7,9 @@
 use rushwalk_scheduler::shard_assignment::OwnerCandidate;
 use rushwalk_state::records::MemberRecord;
 
-/// Recent departures up to which a controller is not considered flapping. A flapping one gets
-/// no shards if fewer than half of the controllers are flapping.
+/// A member that left, was declared failed or stepped down at most this many times recently is
+/// not considered flapping. A flapping member gets no shards if fewer than half of the members
+/// are flapping.
 const MAX_DEPARTURES: usize = 2;
 
 impl<'a> InputGatherer<'a> {
@@ -86,8 +88,8 @@
     /// Whether a member may get shards that have a working owner, which are moved for balance.
     /// A member that has just registered must wait for the damping delay, which grows with its
     /// recent departures. A member that departed more than once, or was recently cut off from
-    /// its machines, then gets at most one shard per interval, so that it shows that it serves
-    /// one before it gets the next.
+    /// its machines, then gets at most one shard per interval: it must serve one shard before it
+    /// gets the next.
     fn is_eligible_for_moves(
         &self,
         detector: &FailureDetector,
--- a/crates/rushwalk/src/shards/assignment/history.rs
+++ b/crates/rushwalk/src/shards/assignment/history.rs
@@ -11,18 +11,19 @@
 /// leader starts with an empty history.
 #[derive(Default)]
 pub(super) struct MoveHistory {
-    /// When a shard was last moved because its owner could no longer own shards, or was cut off
-    /// from machines that reached no other controller either.
+    /// When a shard was last moved because its owner could no longer own shards, or because its
+    /// machines reached neither the owner nor another controller.
     moved_from_unusable_owner: HashMap<ShardId, Instant>,
-    /// When moves were last committed while a shard's machines reached other controllers, but not
-    /// its owner. The shard need not be among the moved ones.
+    /// When moves were last committed in a pass that found that a shard's machines reached other
+    /// controllers, but not its owner. The shard itself need not be among those moved.
     moved_to_reachable: HashMap<ShardId, Instant>,
     /// When a controller was last found cut off from machines that others reached.
     owner_cut_off: HashMap<String, Instant>,
     /// When a controller was last planned to get a shard that had a working owner.
     last_gain: HashMap<String, Instant>,
-    /// When moves were last committed that were all for balance, or first assignments of a
-    /// shard.
+    /// When moves were last committed in a pass that moved no shard from an unusable owner and
+    /// found no shard whose machines reach other controllers instead of the owner. Such moves
+    /// are for balance, away from a slow owner, or first assignments.
     last_rebalance: Option<Instant>,
 }
 
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Records committed moves.
+    /// Records the times of moves after their commit.
     pub(super) fn record_committed(&mut self, moves: Moves) {
         let now = Instant::now();
         if moves.from_unusable_owner.is_empty() && moves.reachable_elsewhere.is_empty() {
@@ -56,7 +57,8 @@
         self.moved_to_reachable.extend(reachable);
     }
 
-    /// Whether a shard was moved for balance within the last `span`.
+    /// Whether moves for balance, as [`Self::last_rebalance`] defines them, were committed
+    /// within the last `span`.
     pub(super) fn rebalanced_within(&self, span: Duration) -> bool {
         is_recent(self.last_rebalance, span)
     }
@@ -72,11 +74,12 @@
         is_recent(self.last_gain.get(controller).copied(), span)
     }
 
-    /// Whether a shard was moved from an unusable or unreached owner so recently that the worker
-    /// leases of its machines may still be running. During that time no further owner of the
-    /// shard is considered cut off for receiving nothing from most of its machines: if the next
-    /// owner receives nothing either, the machines themselves are cut off, and each new owner
-    /// would have to wait again for their leases to expire.
+    /// Whether a shard was moved from an owner that was unusable, or that its machines did not
+    /// reach, so recently that the worker leases of its machines may still be running. During
+    /// that time an owner that receives nothing from most of the machines is not considered cut
+    /// off from them: if it receives nothing after the previous owner received nothing, the
+    /// machines themselves are cut off, and each new owner would have to wait again for their
+    /// leases to expire.
     pub(super) fn moved_recently(&self, shard: &ShardId, timing: &Timing) -> bool {
         let moved = self.moved_from_unusable_owner.get(shard).copied();
         let moved_to_reachable = self.moved_to_reachable.get(shard).copied();
--- a/crates/rushwalk/src/shards/assignment/moves.rs
+++ b/crates/rushwalk/src/shards/assignment/moves.rs
@@ -29,8 +29,8 @@
 }
 
 impl Moves {
-    /// Puts planned moves into a transaction of at most `max_writes` writes; `None` if there
-    /// are none.
+    /// Puts planned moves into a transaction of at most `max_writes` writes; `None` if it would
+    /// have no writes.
     pub(super) fn new(
         state: &ClusterState,
         version: LeaderVersion,
