--- a/crates/rushwalk/src/shards/dispatch.rs
+++ b/crates/rushwalk/src/shards/dispatch.rs
@@ -23,7 +23,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Number of workers that one tick may always probe, whatever the number of owned machines.
+/// Number of workers that a tick may always probe, whatever the number of owned machines. While
+/// the event loop lags, a tick probes at most this many of the workers without any contact.
 const MIN_PROBES: f64 = 8.0;
 
 /// Ticks of the reconciler in a scheduling round.
@@ -54,9 +55,9 @@
 
 impl ProbeBudget {
     /// The budget of a tick. While the event loop lags, few workers without any contact are
-    /// probed: they send heartbeats by themselves, unless the event loop is too late to answer
-    /// them. Workers whose heartbeats stopped are probed regardless: when their probes were
-    /// limited too, the failure of a third of the fleet was detected later.
+    /// probed: they send heartbeats by themselves, which the event loop handles late. Workers
+    /// whose heartbeats stopped are probed regardless: when their probes were limited too, the
+    /// failure of a third of the fleet was detected later.
     fn new(total: usize, is_lagging: bool) -> ProbeBudget {
         let never_contacted = if is_lagging {
             MIN_PROBES as usize
@@ -86,7 +87,7 @@
     address: String,
 }
 
-/// What a tick does about a machine.
+/// The call that a tick makes to a machine's worker, if any.
 enum Action {
     Nothing,
     /// A call is due but not allowed yet; the next tick examines the machine again.
@@ -248,8 +249,8 @@
     session
 }
 
-/// The call to a machine: at the address in its latest heartbeat, or in the state if this
-/// process has none.
+/// The target of a call to a machine's worker. Its address is the one in the worker's latest
+/// heartbeat or, if no heartbeat has named one to this process, the one in the state.
 fn worker_call(session: &WorkerSession, id: &MachineId, machine: &MachineState) -> WorkerCall {
     let address = if session.address.is_empty() {
         machine.record.address.to_string()
--- a/crates/rushwalk/src/shards/fencing.rs
+++ b/crates/rushwalk/src/shards/fencing.rs
@@ -1,4 +1,5 @@
-//! Fencing of start commands that were not answered.
+//! Fencing of unresolved starts: start commands that were not answered and that a worker may
+//! still execute.
 
 use crate::context::Context;
 use crate::store::{Committer, Replica, WritePriority};
--- a/crates/rushwalk/src/shards/outcomes.rs
+++ b/crates/rushwalk/src/shards/outcomes.rs
@@ -84,10 +84,11 @@
         }
     }
 
-    /// Adds a finding if the machine became reachable or unreachable. A machine is
-    /// unreachable only after [`Timing::unreachable_after`] without contact, counted from the
-    /// start of this ownership at the earliest, and after a probe that it did not answer: a
-    /// worker needs time to find a new owner, and a single heartbeat may be lost.
+    /// Adds a finding if the machine became reachable or unreachable. Unless messages are lost
+    /// in one direction, a machine is unreachable only after [`Timing::unreachable_after`]
+    /// without contact, counted from the start of this ownership at the earliest, and after a
+    /// probe that it did not answer: a worker needs time to find a new owner, and a single
+    /// heartbeat may be lost.
     fn observe_reachability(&self, session: &mut WorkerSession, findings: &mut HeartbeatFindings) {
         let owned_since = session.owned.map(|owned| owned.since);
         let Some(last) = session.last_contact.max(owned_since) else {
@@ -98,7 +99,8 @@
         let is_silent = last.elapsed() > self.timing.unreachable_after;
         if is_silent || has_loss {
             // A machine whose messages are lost in one direction is unreachable without a
-            // probe: it receives no commands, or its heartbeats do not renew its lease.
+            // probe: it receives no commands, or its heartbeats do not arrive and so do not
+            // renew its lease.
             let is_confirmed = has_loss || session.last_probe.is_some_and(|at| at > last);
             let is_recorded = self.machine.record.unreachable_since_ms.is_some();
             if !is_recorded && is_confirmed && session.call_in_flight.is_none() {
--- a/crates/rushwalk/src/shards/placement.rs
+++ b/crates/rushwalk/src/shards/placement.rs
@@ -76,8 +76,9 @@
         let Some(AssignedTask { job, task }) = state.task(id) else {
             continue;
         };
-        let is_whole = job.spec.shape != Shape::Gang || job.tasks.len() == job.spec.tasks as usize;
-        if is_whole && owned.contains_key(&task.record.shard) {
+        let may_be_placed =
+            job.spec.shape != Shape::Gang || job.tasks.len() == job.spec.tasks as usize;
+        if may_be_placed && owned.contains_key(&task.record.shard) {
             let waiting = WaitingTask {
                 priority: job.spec.priority,
                 accepted_ms: job.accepted_ms,
--- a/crates/rushwalk/src/shards/reconciler.rs
+++ b/crates/rushwalk/src/shards/reconciler.rs
@@ -17,7 +17,7 @@
 use std::sync::Arc;
 use tokio::time::{Instant, sleep};
 
-/// An owned shard.
+/// A shard that this process owns.
 struct OwnedShard {
     shard: ShardId,
     /// Fencing token: the version of its lease.
@@ -43,11 +43,11 @@
 /// State that is kept between ticks.
 #[derive(Default)]
 struct TickState {
-    /// When the last regular check of all owned machines was made; `None` if the next tick must
-    /// make one.
+    /// When the last regular scan for owned machines that are due was made; `None` if the next
+    /// tick must make one.
     last_full_scan: Option<Instant>,
-    /// The shards owned at the last check of all machines, with their fencing tokens.
-    scanned: BTreeMap<ShardId, Revision>,
+    /// The shards owned at the last scan, with their fencing tokens.
+    scanned_shards: BTreeMap<ShardId, Revision>,
     /// Machines that the next tick examines.
     changed: BTreeSet<MachineId>,
 }
@@ -78,8 +78,8 @@
 
     /// Collects the machines to examine in this tick, and returns the owned shards. Every tick
     /// examines the machines whose tasks or sessions changed. Once per scheduling round, and
-    /// when the owned shards change, it also examines those with an overdue heartbeat or a
-    /// session under another token.
+    /// when the owned shards change, it scans the owned machines and also examines those that
+    /// are due: with an overdue heartbeat, a session under another token, or no session.
     fn collect_changed(&self, tick: &mut TickState) -> Vec<OwnedShard> {
         let is_full = tick
             .last_full_scan
@@ -93,10 +93,10 @@
         tick.changed.append(&mut state.changed_machines);
         tick.changed.append(&mut sessions.changed);
         let owned = self.replica.owned_shards(&state);
-        if is_full || tick.scanned != owned {
+        if is_full || tick.scanned_shards != owned {
             sessions.retain_known(&state);
             self.add_due_machines(&state, &sessions, &owned, &mut tick.changed);
-            tick.scanned.clone_from(&owned);
+            tick.scanned_shards.clone_from(&owned);
         }
         timer.add_items(tick.changed.len());
         let owned = owned.into_iter();
@@ -127,7 +127,7 @@
 
     /// Commits outcomes and placements of the owned shards; false if any commit failed. All
     /// shards share one log entry, unless the preconditions on their leases exceed the limit
-    /// of a transaction: a single controller may have to own the shards of nine.
+    /// of a transaction: a single controller may have to own the shards of nine controllers.
     async fn commit(&self, owned: Vec<OwnedShard>, changed: &BTreeSet<MachineId>) -> bool {
         let max_shards = 2 * self.context.settings.site.store.txn_ops;
         let mut committed = true;
