--- a/crates/rushwalk/src/workers/commands.rs
+++ b/crates/rushwalk/src/workers/commands.rs
@@ -7,7 +7,7 @@
 use rushwalk_state::records::JobPhase;
 use rushwalk_state::{AssignedTask, ClusterState, JobState, Revision, TaskState};
 
-/// Seconds added to a task's checkpoint time before it is killed.
+/// Seconds added to the time in which a task may save a checkpoint before it is killed.
 const CHECKPOINT_MARGIN_S: f64 = 1.0;
 
 /// The commands for a machine whose shard this process owns under the fencing token `token`.
@@ -115,7 +115,7 @@
         });
     }
     // A worker that has forgotten an attempt would start it again on a start command that
-    // arrives late, so no attempt is forgotten while one may.
+    // arrives late, so no attempt is forgotten while such a command may still arrive.
     let is_resolved = session.unresolved_start.is_none() && session.call_in_flight.is_none();
     (is_resolved && session.token <= token).then_some(Command::Forget { task, attempt })
 }
--- a/crates/rushwalk/src/workers/heartbeats.rs
+++ b/crates/rushwalk/src/workers/heartbeats.rs
@@ -1,4 +1,5 @@
-//! Answers workers' heartbeats.
+//! Handling of workers' heartbeats: the owner of a worker's shard answers with commands, other
+//! controllers redirect the worker to the owner.
 
 use super::commands::{commands, start_of};
 use super::registry::WorkerRegistry;
@@ -14,17 +15,17 @@
 /// The answer to a worker's heartbeat.
 #[derive(Debug)]
 pub(crate) enum HeartbeatReply {
-    /// This controller owns the worker's shard: its response.
+    /// The response of this controller, which owns the worker's shard.
     Accepted(HeartbeatResponse),
-    /// Another controller owns the worker's shard. Holds its name; `None` if the name is not
-    /// known yet, or if that controller has failed or reports the shard unreachable.
+    /// Another controller owns the worker's shard. Holds the owner's name; `None` if it is not
+    /// known yet, or if the owner has failed or reports the shard unreachable.
     Redirected(Option<String>),
     /// The machine is unknown, or its shard has no other owner and this controller may not
     /// act as the owner.
     Unavailable,
 }
 
-/// Answers workers' heartbeats.
+/// Updates the worker sessions from heartbeats, and answers these.
 #[derive(Clone)]
 pub(crate) struct HeartbeatHandler {
     /// Settings, timing and identity of this process.
--- a/crates/rushwalk/src/workers/registry.rs
+++ b/crates/rushwalk/src/workers/registry.rs
@@ -44,7 +44,7 @@
 }
 
 impl Sessions {
-    /// A machine's session, created if there is none.
+    /// Returns a machine's session; creates it if there is none.
     pub fn session_mut(&mut self, machine: &MachineId) -> &mut WorkerSession {
         self.by_machine.entry(machine.clone()).or_default()
     }
@@ -65,7 +65,7 @@
     }
 }
 
-/// The worker sessions, shared by the handler of heartbeats, the reconciler and the dispatcher.
+/// The worker sessions behind a lock, shared by all components that use them.
 pub struct WorkerRegistry {
     timing: Timing,
     sessions: Mutex<Sessions>,
@@ -86,7 +86,8 @@
     }
 
     /// Names of the owned shards whose heartbeats do not reach this process: enough of their
-    /// machines are overdue, and none has been in contact for a fraction of an interval.
+    /// machines are overdue, and none has been in contact for an eighth of a heartbeat interval
+    /// (see [`ShardReception::has_inbound_loss`]).
     pub fn unreachable_shards(
         &self,
         state: &ClusterState,
@@ -147,7 +148,8 @@
         reception.has_inbound_loss(heartbeat_s)
     }
 
-    /// Whether the heartbeat of a machine is overdue whose shard is owned since `since`.
+    /// Whether the heartbeat of a machine is overdue. `since` is when this process came to own
+    /// the machine's shard.
     fn is_overdue(&self, sessions: &Sessions, machine: &MachineId, since: Instant) -> bool {
         let session = sessions.by_machine.get(machine);
         let last_contact = session.and_then(|session| session.last_contact);
--- a/crates/rushwalk/src/workers/session.rs
+++ b/crates/rushwalk/src/workers/session.rs
@@ -83,11 +83,12 @@
     Call,
 }
 
-/// What the owner of a shard knows of one of the shard's workers.
+/// State of one worker, as far as this process knows it from heartbeats and calls. It is kept
+/// when the worker begins a new session (epoch), see [`Self::session`].
 #[derive(Debug, Default)]
 pub struct WorkerSession {
-    /// Session (epoch) in the newest heartbeat; 0 before the first one. It increases when
-    /// the worker starts or its lease expires.
+    /// The worker's own session (epoch) in the newest heartbeat; 0 before the first one. It
+    /// increases when the worker starts or its lease expires.
     pub session: u64,
     /// Sequence number of the newest heartbeat.
     sequence: u64,
@@ -110,8 +111,8 @@
     pub unresolved_start: Option<UnresolvedStart>,
     /// The call to the worker's own address that has not ended yet.
     pub call_in_flight: Option<CallInFlight>,
-    /// Attempts whose end this controller has tried to commit. It never starts them again:
-    /// a commit that was not answered may take effect late, and a task that was started
+    /// Attempts whose end this controller has submitted to be committed. It never starts them
+    /// again: a commit that was not answered may take effect late, and a task that was started
     /// again before its end was committed ran twice.
     pub ended_attempts: BTreeSet<AttemptId>,
     /// Whether the log already says that the machine is unreachable; reset by the next
@@ -120,15 +121,15 @@
     /// Sequence number of the latest heartbeat whose response carried starts; `None` once a
     /// later heartbeat shows their effect. A heartbeat up to this number was sent before the
     /// response and does not show it.
-    starts_sent_at: Option<u64>,
+    last_sequence_with_starts: Option<u64>,
     /// When a response that may have renewed the worker's lease was last sent. The lease
-    /// counts from when the answered heartbeat was sent. A response that the next heartbeat
-    /// shows to be lost is not included.
+    /// counts from when the answered heartbeat was sent. Not included are the response in
+    /// `unconfirmed` and those that the next heartbeat showed to be lost.
     lease_renewed: Option<Instant>,
     /// The latest response, until a newer heartbeat shows whether it was received.
     unconfirmed: Option<UnconfirmedResponse>,
-    /// When the first response that the worker did not receive was sent; `None` if none was
-    /// lost since messages were last known to reach it.
+    /// When the first lost response was sent, of those since messages were last known to reach
+    /// the worker; `None` if none was lost since then.
     undelivered_since: Option<Instant>,
     /// Whether starts were left out of the latest response, see
     /// [`WorkerSession::withhold_starts`].
@@ -146,8 +147,8 @@
 }
 
 impl WorkerSession {
-    /// Applies a heartbeat and returns true if it is newer than all before it; ignores any
-    /// other.
+    /// Applies a heartbeat and returns true if it is newer than all before it; otherwise
+    /// ignores it and returns false.
     pub fn apply_heartbeat(&mut self, heartbeat: &Heartbeat, origin: HeartbeatOrigin) -> bool {
         if (heartbeat.session, heartbeat.sequence) <= (self.session, self.sequence) {
             return false;
@@ -157,7 +158,7 @@
                 self.last_heartbeat = Some(Instant::now());
                 self.check_unconfirmed(heartbeat);
                 if self.shows_effect_of_starts(heartbeat) {
-                    self.starts_sent_at = None;
+                    self.last_sequence_with_starts = None;
                 }
             }
             HeartbeatOrigin::Call => self.undelivered_since = None,
@@ -190,8 +191,8 @@
     }
 
     fn shows_effect_of_starts(&self, heartbeat: &Heartbeat) -> bool {
-        let is_later = |sent_at: u64| heartbeat.sequence > sent_at;
-        heartbeat.session > self.session || self.starts_sent_at.is_some_and(is_later)
+        let is_later = |answered: u64| heartbeat.sequence > answered;
+        heartbeat.session > self.session || self.last_sequence_with_starts.is_some_and(is_later)
     }
 
     /// Derives from a new heartbeat whether the worker received the response to the one
@@ -217,21 +218,22 @@
         }
     }
 
-    /// Whether messages to the worker are lost: its heartbeats arrive, but it has received
-    /// no response for longer than [`Timing::unreachable_after`].
+    /// Whether messages to the worker, inbound from its point of view, are lost: its heartbeats
+    /// arrive, but responses to it have been lost for longer than
+    /// [`Timing::unreachable_after`].
     pub fn has_inbound_loss(&self, timing: &Timing) -> bool {
         self.undelivered_since
             .is_some_and(|since| since.elapsed() > timing.unreachable_after)
     }
 
-    /// Whether messages from the worker are lost: it answers calls to its own address, but
-    /// no heartbeat that it sent has arrived for a worker lease. Its lease has then expired
-    /// or is about to, because only responses to such heartbeats renew it; tasks started by
-    /// commands would end with the lease.
+    /// Whether messages from the worker, outbound from its point of view, are lost: it answers
+    /// calls to its own address, but no heartbeat that it sent has arrived for the duration of
+    /// a worker lease. Its lease has then expired or is about to, because only responses to
+    /// such heartbeats renew it; tasks started by commands would end with the lease.
     ///
-    /// Only the time since the shard came under `token` counts. When heartbeats of an
-    /// earlier ownership counted too, an owner that got a shard back took all of its
-    /// machines to be in that state, and lost the shard again.
+    /// Only the time since the shard came under `token` counts. When heartbeats of an earlier
+    /// ownership counted too, an owner that got a shard back saw such a loss for all of its
+    /// machines, and lost the shard again.
     pub fn has_outbound_loss(&self, token: Revision, timing: &Timing) -> bool {
         let Some(since) = self.owned_under(token) else {
             return false;
@@ -292,7 +294,7 @@
         start: Option<SentStart>,
     ) {
         if start.is_some() {
-            self.starts_sent_at = Some(heartbeat.sequence);
+            self.last_sequence_with_starts = Some(heartbeat.sequence);
         }
         let sent = Instant::now();
         if !is_newer {
@@ -310,13 +312,14 @@
     /// Notices that the worker's lease has expired although its heartbeats arrive. Must be
     /// called after a new heartbeat is applied and before it is answered.
     ///
-    /// A worker that received a response under `token` carries that token in its heartbeats.
-    /// If it carries a lower one, the latest possible renewal came from a previous owner,
-    /// whose shard lease is valid for at most [`Timing::lease_validity`] after this process
-    /// came to own the shard, or from the response of `lease_renewed`. Once the lease has
-    /// expired since, so has the session to which a previous owner can have sent
-    /// commands. No task that runs now was started by a previous owner, and none by this one
-    /// unless a call to the worker's own address is unresolved.
+    /// A worker that received a response under `token` sends that token in its heartbeats. If
+    /// it sends a lower one, its lease was last renewed either by the response of
+    /// `lease_renewed` or by a previous owner, whose shard lease is valid for at most
+    /// [`Timing::lease_validity`] after this process came to own the shard. Once the lease has
+    /// expired after the later of these times, the worker's session to which a previous owner
+    /// can have sent commands has ended too. Then no task that runs now was started by a
+    /// previous owner, and none by this one unless a call to the worker's own address is
+    /// unresolved.
     fn check_lease_expiry(&mut self, token: Revision, timing: &Timing) {
         let Some(since) = self.owned_under(token) else {
             return;
@@ -331,12 +334,14 @@
     }
 
     /// Whether the worker's lease expired under `token` although its heartbeats arrive: all
-    /// tasks that were on the machine before have ended.
+    /// tasks that were on the machine before have ended. For workers without contact see
+    /// [`Self::lease_surely_expired`].
     pub fn lease_expired(&self, token: Revision) -> bool {
         self.expired_under_token == Some(token)
     }
 
-    /// Whether the worker's lease has surely expired, which ends all tasks on the machine.
+    /// Whether the worker's lease has surely expired, given the time since the latest contact.
+    /// The expiry ends all tasks on the machine.
     ///
     /// The latest possible renewal is the latest contact or response of this process, or the
     /// end of the validity of the previous owner's shard lease, as that owner may not know
@@ -380,7 +385,7 @@
         self.last_contact.is_some()
             && self.token == token
             && !self.command_in_flight()
-            && self.starts_sent_at.is_none()
+            && self.last_sequence_with_starts.is_none()
             && self.unresolved_start.is_none()
     }
 
