--- a/crates/rushwalk/src/reporting/incidents.rs
+++ b/crates/rushwalk/src/reporting/incidents.rs
@@ -13,12 +13,12 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Scheduling rounds without a cause after which an incident is over. An incident is logged
-/// only if it lasted longer than this: a single late timer is not worth a log entry.
+/// An incident is over after this many scheduling rounds without a cause. It is logged only if
+/// it lasted longer than this: a single late timer is not worth a log entry.
 const RESOLVE_ROUNDS: u32 = 3;
 
-/// Scheduling rounds without a successful read of the store after which
-/// [`IncidentCause::StoreUnreachable`] is present.
+/// [`IncidentCause::StoreUnreachable`] is present after this many scheduling rounds without a
+/// successful read of the store.
 const STALE_ROUNDS: u32 = 4;
 
 /// [`IncidentCause::WorkersUnreachable`] is present if more than one worker in this many is
@@ -91,7 +91,7 @@
     }
 
     /// Whether too many workers of the owned shards are without contact. Machines that the state
-    /// already shows as unreachable do not count: they are no fault of this controller.
+    /// already shows as unreachable do not count: this controller did not cause their silence.
     fn has_missing_heartbeats(&self, state: &ClusterState) -> bool {
         let sessions = self.workers.sessions();
         let limit = self.context.timing.unreachable_after;
--- a/crates/rushwalk/src/reporting/usage.rs
+++ b/crates/rushwalk/src/reporting/usage.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use tokio::time::sleep;
 
-/// Writes its log entries once per worker lease.
+/// Writes its log entries at intervals of the duration of a worker lease.
 pub(crate) struct UsageReport {
     /// Settings, timing and identity of this process.
     pub context: Arc<Context>,
