--- a/crates/random/src/lib.rs
+++ b/crates/random/src/lib.rs
@@ -1,5 +1,6 @@
-//! Random numbers. They come from the operating system or, on a thread that was seeded, from
-//! a deterministic generator: a simulation with virtual time then reproduces every commit.
+//! Random numbers. On a thread that was seeded they come from a deterministic generator, so
+//! that a simulation in virtual time makes the same commits to the store each time it is run
+//! with the same seed. On other threads the generator is seeded by the operating system.
 
 #![deny(missing_docs)]
 
@@ -18,7 +19,7 @@
     static SEEDED_GENERATOR: RefCell<Option<SmallRng>> = const { RefCell::new(None) };
 }
 
-/// Makes all further random numbers of this thread deterministic, determined by `seed`.
+/// Seeds the generator of this thread: `seed` determines all its further random numbers.
 pub fn seed(seed: u64) {
     SEEDED_GENERATOR.set(Some(SmallRng::seed_from_u64(seed)));
 }
@@ -31,8 +32,8 @@
     })
 }
 
-/// A random identifier of 52 bits for a process or an election. Two identifiers are equal
-/// with negligible probability.
+/// A random identifier of 52 bits for a process or an election. The probability that two
+/// identifiers are equal is negligible.
 pub fn random_id() -> u64 {
     random_u64() >> ID_SHIFT
 }
