--- a/crates/state/src/codec.rs
+++ b/crates/state/src/codec.rs
@@ -26,14 +26,15 @@
     }
 
     /// Appends mutations to those that are already packed. A mutation that exceeds the size
-    /// limit on its own is logged and dropped.
+    /// limit on its own is dropped with a log message; one that can't be serialized is
+    /// dropped without.
     pub fn extend(&mut self, mutations: &[Mutation]) {
         for mutation in mutations {
             let Ok(text) = serde_json::to_string(mutation) else {
                 continue;
             };
             if text.len() > self.max_bytes {
-                // Not expected: callers split long lists and reject large submissions.
+                // This should not happen: callers split long lists and reject large submissions.
                 tracing::error!(
                     bytes = text.len(),
                     "mutation dropped: it exceeds the size limit of a value"
@@ -67,7 +68,8 @@
     packer.finish()
 }
 
-/// The size of a packed mutation in bytes.
+/// The size of a packed mutation in bytes, without the comma that separates it from the
+/// next; 0 if it can't be serialized.
 pub fn packed_size(mutation: &Mutation) -> usize {
     serde_json::to_string(mutation).map_or(0, |text| text.len())
 }
@@ -78,7 +80,7 @@
     RawValue::from_string(format!(r#"{{"p":{previous_version},"o":[{packed}]}}"#)).ok()
 }
 
-/// Parses a value that [`frame`] made; `None` if this version can't read it.
+/// Parses a value that [`frame`] made; `None` if this version of rushwalk can't read it.
 pub fn unframe(value: &RawValue) -> Option<records::LogEntry> {
     serde_json::from_str(value.get()).ok()
 }
--- a/crates/state/src/keys.rs
+++ b/crates/state/src/keys.rs
@@ -14,7 +14,7 @@
 /// The key of the [`SnapshotManifest`](crate::records::SnapshotManifest).
 pub const SNAPSHOT_MANIFEST: &str = "w/base";
 
-/// The kind of record that a key holds.
+/// The kind of record that a key holds, as determined by the key alone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyKind<'a> {
     /// The record of the leader.
@@ -34,7 +34,7 @@
     },
     /// A chunk of a snapshot.
     SnapshotChunk,
-    /// A record that is unknown to this version.
+    /// A kind of record that this version of rushwalk does not know.
     Unknown,
 }
 
@@ -78,8 +78,8 @@
     format!("w/l/{member}/")
 }
 
-/// The key of a chunk of a snapshot. Two sets of keys alternate between generations, so
-/// that a snapshot that is being written never overwrites chunks of the current one.
+/// The key of a chunk of a snapshot. Even and odd generations have different keys, so that a
+/// snapshot that is being written never overwrites chunks of the current one.
 pub fn snapshot_chunk(generation: Revision, index: usize) -> String {
     format!("w/s/{}/{index:05}", generation % 2)
 }
--- a/crates/state/src/mutation.rs
+++ b/crates/state/src/mutation.rs
@@ -67,32 +67,35 @@
     /// Records the cloud's notice that it will reclaim a spot instance, and drains it.
     #[serde(rename = "T")]
     ReclaimNotice(ReclaimNotice),
-    /// Records that the owner of the machines' shard no longer receives their heartbeats.
+    /// Records that messages from or to machines are lost, as detected by the owner of their
+    /// shard.
     #[serde(rename = "Q")]
     MachinesUnreachable(MachinesUnreachable),
-    /// Records that the owner of the machines' shard receives their heartbeats again.
+    /// Records that the owner of the machines' shard exchanges messages with them again.
     #[serde(rename = "H")]
     MachinesReachable(Vec<MachineId>),
-    /// In snapshots: finished jobs of which no task may still run.
+    /// Restores finished jobs without assigned tasks. This kind and the following ones occur
+    /// only in snapshots.
     #[serde(rename = "O")]
     RestoreFinished(RestoreFinished),
-    /// In snapshots: a finished job of which some tasks still terminate; the mutation
+    /// Restores the phase of a finished job of which some tasks still terminate. The mutation
     /// follows the job's [`Mutation::Submit`].
     #[serde(rename = "L")]
     RestoreTerminating(RestoreTerminating),
-    /// In snapshots: completed tasks of a job.
+    /// Restores the completed tasks of a job.
     #[serde(rename = "D")]
     RestoreCompleted(RestoreCompleted),
-    /// In snapshots: assigned tasks of a job.
+    /// Restores assigned tasks of a job.
     #[serde(rename = "V")]
     RestoreTasks(RestoreTasks),
-    /// In snapshots: the failed attempts of a job.
+    /// Restores the failed attempts of a job's tasks.
     #[serde(rename = "W")]
     RestoreFailures(RestoreFailures),
 }
 
-/// The maximum length of a list in one mutation, so that every mutation fits in one value
-/// of the store. A longer list is split into several mutations (see [`in_batches`]).
+/// The maximum length of a list in one mutation, so that the mutation fits in one value of
+/// the store. A longer list is split into several mutations (see [`in_batches`]), except the
+/// tasks of a gang, which are assigned by a single mutation.
 pub const MAX_BATCH: usize = 100;
 
 /// Splits a list into mutations of at most [`MAX_BATCH`] items each.
@@ -105,7 +108,7 @@
         .map(move |batch| mutation(batch.to_vec()))
 }
 
-/// See [`Mutation::Submit`].
+/// A job that a user has submitted; see [`Mutation::Submit`].
 #[derive(Debug, Clone, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct SubmitJob {
     /// The job as submitted by its user.
@@ -114,10 +117,10 @@
     pub accepted_ms: UnixMillis,
 }
 
-/// See [`Mutation::Assign`].
+/// Tasks of one job that the leader assigns to shards; see [`Mutation::Assign`].
 #[derive(Debug, Clone, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct AssignTasks {
-    /// The job.
+    /// The job to which all the tasks belong.
     pub job: JobId,
     /// When the leader assigned the tasks.
     pub assigned_ms: UnixMillis,
@@ -128,39 +131,39 @@
 /// Tasks of one job that are assigned to one shard.
 #[derive(Debug, Clone, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct ShardTasks {
-    /// The shard.
+    /// The shard to which the tasks are assigned.
     pub shard: ShardId,
-    /// The tasks, each with the machine for which the leader planned it; the machine's name
-    /// is empty if the leader planned none.
+    /// The tasks, each with the machine for which the leader planned it; the machine's ID is
+    /// empty if the leader planned none.
     pub tasks: Vec<TaskOnMachine>,
 }
 
-/// A task with a machine.
+/// A task with the machine on which it is placed or for which it is planned.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
 pub struct TaskOnMachine {
     /// The task's index in its job.
     pub task: u32,
-    /// The machine.
+    /// The ID of the machine; empty in an [`AssignTasks`] if no machine is planned.
     pub machine: MachineId,
 }
 
-/// See [`Mutation::Place`].
+/// Tasks of one attempt that are placed on machines; see [`Mutation::Place`].
 #[derive(Debug, Clone, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct PlaceTasks {
-    /// The job.
+    /// The job to which the tasks belong.
     pub job: JobId,
     /// The attempt; tasks whose current attempt is another one are skipped.
     pub attempt: Revision,
     /// When the shard's owner placed the tasks.
     pub placed_ms: UnixMillis,
-    /// The tasks with their machines.
+    /// The tasks, each with the machine on which it is placed.
     pub tasks: Vec<TaskOnMachine>,
 }
 
-/// See [`Mutation::Started`].
+/// Tasks of one attempt that were observed running; see [`Mutation::Started`].
 #[derive(Debug, Clone, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct TasksStarted {
-    /// The job.
+    /// The job to which the tasks belong.
     pub job: JobId,
     /// The attempt; tasks whose current attempt is another one are skipped.
     pub attempt: Revision,
@@ -170,14 +173,14 @@
     pub tasks: Vec<u32>,
 }
 
-/// See [`Mutation::Ended`].
+/// Tasks of one attempt that have ended with the same outcome; see [`Mutation::Ended`].
 #[derive(Debug, Clone, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct TasksEnded {
-    /// The job.
+    /// The job to which the tasks belong.
     pub job: JobId,
     /// The attempt; tasks whose current attempt is another one are skipped.
     pub attempt: Revision,
-    /// When the end of the tasks was detected.
+    /// When the owner of the shard detected the end of the tasks.
     pub ended_ms: UnixMillis,
     /// The outcome, the same for all tasks of the list.
     pub outcome: AttemptOutcome,
@@ -185,10 +188,10 @@
     pub tasks: Vec<u32>,
 }
 
-/// See [`Mutation::Stop`].
+/// Tasks of one attempt that are to be stopped; see [`Mutation::Stop`].
 #[derive(Debug, Clone, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct StopTasks {
-    /// The job.
+    /// The job to which the tasks belong.
     pub job: JobId,
     /// The attempt; tasks whose current attempt is another one are skipped.
     pub attempt: Revision,
@@ -198,10 +201,10 @@
     pub tasks: Vec<u32>,
 }
 
-/// See [`Mutation::Unassign`].
+/// Tasks of one attempt that were not placed; see [`Mutation::Unassign`].
 #[derive(Debug, Clone, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct UnassignTasks {
-    /// The job.
+    /// The job to which the tasks belong.
     pub job: JobId,
     /// The attempt; tasks whose current attempt is another one are skipped.
     pub attempt: Revision,
@@ -209,7 +212,7 @@
     pub tasks: Vec<u32>,
 }
 
-/// See [`Mutation::RequestRental`].
+/// A rental that the leader has decided; see [`Mutation::RequestRental`].
 #[derive(Debug, Clone, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct RequestRental {
     /// The idempotency key of the request to the cloud.
@@ -218,7 +221,7 @@
     pub request: RentalRequest,
 }
 
-/// See [`Mutation::RentalFulfilled`].
+/// The machines that the cloud provided for a rental; see [`Mutation::RentalFulfilled`].
 #[derive(Debug, Clone, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct RentalFulfilled {
     /// The rental; it must be open.
@@ -227,37 +230,38 @@
     pub machines: Vec<RentedMachine>,
 }
 
-/// A rented machine with its shard.
+/// A rented machine with the shard that it joins.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
 pub struct RentedMachine {
-    /// The machine.
+    /// The ID of the machine, as assigned by the cloud.
     pub machine: MachineId,
-    /// The shard that it joins.
+    /// The shard that the machine joins for its whole life.
     pub shard: ShardId,
 }
 
-/// See [`Mutation::MachineAdopted`].
+/// A machine with its record; see [`Mutation::MachineAdopted`].
 #[derive(Debug, Clone, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct MachineAdopted {
-    /// The machine.
+    /// The ID of the machine, as assigned by the cloud.
     pub machine: MachineId,
     /// The record that the machine starts with.
     pub record: MachineRecord,
 }
 
-/// See [`Mutation::SetLifecycle`].
+/// Machines that enter a lifecycle stage; see [`Mutation::SetLifecycle`].
 #[derive(Debug, Clone, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct SetLifecycle {
     /// The new lifecycle stage; machines at a later stage keep theirs.
     pub lifecycle: MachineLifecycle,
-    /// The machines.
+    /// The machines that enter the stage.
     pub machines: Vec<MachineId>,
 }
 
-/// See [`Mutation::MachinesReady`].
+/// Machines whose workers have sent a heartbeat; see [`Mutation::MachinesReady`].
 #[derive(Debug, Clone, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct MachinesReady {
-    /// When the heartbeats were received.
+    /// When the shard's owner recorded the heartbeats; ignored for machines that are ready
+    /// already.
     pub ready_ms: UnixMillis,
     /// The machines with their current addresses.
     pub machines: Vec<MachineAddress>,
@@ -266,91 +270,93 @@
 /// A machine with the address at which its worker accepts commands.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
 pub struct MachineAddress {
-    /// The machine.
+    /// The ID of the machine.
     pub machine: MachineId,
     /// The address, as `IP:port`.
     pub address: Arc<str>,
 }
 
-/// See [`Mutation::ReclaimNotice`].
+/// The cloud's notice for one spot instance; see [`Mutation::ReclaimNotice`].
 #[derive(Debug, Clone, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct ReclaimNotice {
-    /// The machine.
+    /// The ID of the spot instance.
     pub machine: MachineId,
     /// When the cloud reclaims the machine.
     pub reclaim_ms: UnixMillis,
 }
 
-/// See [`Mutation::MachinesUnreachable`].
+/// Machines that became unreachable for the owner of their shard; see
+/// [`Mutation::MachinesUnreachable`].
 #[derive(Debug, Clone, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct MachinesUnreachable {
-    /// When the loss of the heartbeats was detected.
+    /// When the loss of messages was detected; ignored for machines that are unreachable
+    /// already.
     pub since_ms: UnixMillis,
-    /// The machines.
+    /// The machines that became unreachable.
     pub machines: Vec<MachineId>,
 }
 
-/// See [`Mutation::RestoreFinished`].
+/// Finished jobs that ended in the same phase; see [`Mutation::RestoreFinished`].
 #[derive(Debug, Clone, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct RestoreFinished {
-    /// Whether the jobs are done or cancelled.
+    /// Whether the jobs are all done or all cancelled.
     pub phase: JobPhase,
-    /// The jobs.
+    /// The jobs, each with its number of tasks.
     pub jobs: Vec<FinishedJob>,
 }
 
 /// A finished job with its number of tasks.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
 pub struct FinishedJob {
-    /// The job.
+    /// The ID of the job.
     pub job: JobId,
     /// The job's number of tasks.
     pub tasks: u32,
 }
 
-/// See [`Mutation::RestoreTerminating`].
+/// A finished job with tasks that still terminate; see [`Mutation::RestoreTerminating`].
 #[derive(Debug, Clone, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct RestoreTerminating {
-    /// The job.
+    /// The ID of the finished job.
     pub job: JobId,
     /// Whether the job is done or cancelled.
     pub phase: JobPhase,
 }
 
-/// See [`Mutation::RestoreCompleted`].
+/// Completed tasks of a job, as a part of its bitmap; see [`Mutation::RestoreCompleted`].
 #[derive(Debug, Clone, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct RestoreCompleted {
-    /// The job.
+    /// The job to which the tasks belong.
     pub job: JobId,
     /// Index of the first task that the digits describe.
     pub first_task: u32,
-    /// Hexadecimal digits that stand for four tasks each, as written by
+    /// Two hexadecimal digits for every eight tasks, as written by
     /// [`TaskBitmap::to_hex_parts`](crate::TaskBitmap::to_hex_parts).
     pub bitmap_hex: String,
 }
 
-/// See [`Mutation::RestoreTasks`].
+/// Assigned tasks of a job; see [`Mutation::RestoreTasks`].
 #[derive(Debug, Clone, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct RestoreTasks {
-    /// The job.
+    /// The job to which the tasks belong.
     pub job: JobId,
     /// The assigned tasks with their records.
     pub tasks: Vec<RestoredTask>,
 }
 
-/// A task with its record.
+/// An assigned task with its record.
 #[derive(Debug, Clone, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct RestoredTask {
     /// The task's index in its job.
     pub task: u32,
-    /// The task's record.
+    /// The replicated record of the task, without its placement hint.
     pub record: TaskRecord,
 }
 
-/// See [`Mutation::RestoreFailures`].
+/// The failed attempts of a job's tasks; see [`Mutation::RestoreFailures`].
 #[derive(Debug, Clone, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct RestoreFailures {
-    /// The job.
+    /// The job to which the attempts belong.
     pub job: JobId,
     /// The failed attempts of the job's tasks.
     pub failures: FailureHistory,
--- a/crates/state/src/records.rs
+++ b/crates/state/src/records.rs
@@ -9,26 +9,27 @@
 use serde_tuple::{Deserialize_tuple, Serialize_tuple};
 use std::sync::Arc;
 
-/// The record of the leader. Its key is attached to the leader's member lease and disappears
-/// when that lease expires.
+/// The record of the leader. Its key is attached to the same lease of the store as the
+/// leader's [`MemberRecord`] and disappears when that lease expires.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderRecord {
     /// The name of the member that leads.
     pub member: String,
-    /// Random number of the election. A leader with commits of unknown outcome writes the
-    /// record again with a new number: commits conditioned on the old version then fail.
+    /// A random number that identifies the election. A leader with commits of unknown
+    /// outcome writes the record again with a new number: commits conditioned on the old
+    /// version of the key then fail.
     #[serde(rename = "nonce")]
     pub election_id: u64,
 }
 
-/// The record of a running controller. Its key is attached to the controller's member lease
-/// and disappears when that lease expires.
+/// The record of a running controller. Its key is attached to the controller's member lease,
+/// which the controller renews in the store, and disappears when that lease expires.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
     /// The zone in which the controller runs.
     pub zone: String,
-    /// Random number of the process, so that a restart is detected even if the lease of the
-    /// previous process has not expired.
+    /// A random number that identifies the process, so that a restart is detected even if the
+    /// member lease of the previous process has not expired.
     #[serde(rename = "nonce")]
     pub incarnation: u64,
     /// When the process registered.
@@ -96,13 +97,13 @@
 /// The phase of an accepted job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobPhase {
-    /// Neither done nor cancelled.
+    /// The job is neither done nor cancelled.
     #[serde(rename = "a")]
     Active,
-    /// All tasks of the job have completed. A gang is done when its first task completes.
+    /// All tasks of the job have completed or, for a gang, one of them has.
     #[serde(rename = "d")]
     Done,
-    /// Cancelled by the user.
+    /// The user has cancelled the job before it was done.
     #[serde(rename = "c")]
     Cancelled,
 }
@@ -110,17 +111,18 @@
 /// Why a task is to be stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum StopReason {
-    /// Another task of its gang has ended or is being stopped.
+    /// Another task of the same gang has ended or is being stopped.
     #[serde(rename = "g")]
     GangBroken,
-    /// Its resources go to a job that may preempt it. This version never writes the reason,
-    /// but stored data may contain it.
+    /// The task's resources go to a job that may preempt it. This version of rushwalk never
+    /// writes the reason, but stored data may contain it.
     #[serde(rename = "p")]
     Preempted,
-    /// Its machine is being drained.
+    /// The task's machine is being drained.
     #[serde(rename = "d")]
     Evicted,
-    /// It runs much longer than predicted and would finish sooner on another machine.
+    /// The task runs much longer than predicted, and another machine has room to start it
+    /// again at once.
     #[serde(rename = "o")]
     Straggler,
 }
@@ -128,14 +130,17 @@
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum AttemptOutcome {
-    /// The task completed.
+    /// The task completed: it is never assigned again.
     #[serde(rename = "d")]
     Completed,
-    /// The attempt was stopped, never started, or was lost: its task lease expired or its
-    /// worker no longer has it. It does not count as a failure of the task.
+    /// The attempt neither completed nor counts as a failure of the task. It was stopped,
+    /// ended with its gang or never started, its worker's lease expired, or its worker no
+    /// longer has it. An exit cause that this version of rushwalk does not know counts as
+    /// this outcome, too.
     #[serde(rename = "g")]
     Lost,
-    /// The task exited with an error or an unknown cause, or its machine had no room for it.
+    /// The task exited with an error, or its worker refused to start it because the machine
+    /// had no room for it or there is no such job or task.
     #[serde(rename = "f")]
     Failed,
 }
@@ -143,13 +148,13 @@
 /// The lifecycle of a machine, which only moves forward.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MachineLifecycle {
-    /// Accepts tasks, once the machine is ready.
+    /// The machine accepts tasks once it is ready.
     #[serde(rename = "u")]
     Active,
-    /// Accepts no new tasks.
+    /// The machine accepts no new tasks.
     #[serde(rename = "d")]
     Draining,
-    /// Is to be deleted; this stage is final.
+    /// The machine is to be deleted; this stage is final.
     #[serde(rename = "x")]
     Deleting,
 }
@@ -160,7 +165,7 @@
     /// The name of the machine type.
     #[serde(rename = "k")]
     pub machine_type: String,
-    /// The zone.
+    /// The name of the zone in which the machines are requested.
     #[serde(rename = "z")]
     pub zone: String,
     /// Whether spot instances are requested.
@@ -177,9 +182,9 @@
 /// An image in a machine's cache.
 #[derive(Debug, Clone, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct CachedImage {
-    /// The image's name.
+    /// The name of the image, which identifies it.
     pub name: Arc<str>,
-    /// Its size in GB.
+    /// The size of the image in GB.
     pub size_gb: f64,
 }
 
@@ -208,17 +213,19 @@
     /// When the first heartbeat was received; `None` while the machine boots.
     #[serde(rename = "u", default, skip_serializing_if = "Option::is_none")]
     pub ready_ms: Option<UnixMillis>,
-    /// The address at which its worker accepts commands, as `IP:port`; empty until known.
+    /// The address at which the machine's worker accepts commands, as `IP:port`; empty until
+    /// it is known.
     #[serde(rename = "a", default, skip_serializing_if = "str::is_empty")]
     pub address: Arc<str>,
-    /// The images that the machine's cache should hold, the most recently used one last.
+    /// The images that the machine's cache is expected to hold, as derived from the tasks that
+    /// have run there; the most recently used one is last.
     #[serde(rename = "i", default, skip_serializing_if = "Vec::is_empty")]
     pub images: Vec<CachedImage>,
     /// When the cloud reclaims the machine; `None` unless it sent a reclaim notice.
     #[serde(rename = "t", default, skip_serializing_if = "Option::is_none")]
     pub reclaim_ms: Option<UnixMillis>,
-    /// When the owner of the shard detected that the machine's heartbeats do not arrive;
-    /// `None` while they do.
+    /// When the owner of the shard detected that messages from or to the machine are lost;
+    /// `None` while the machine counts as reachable.
     #[serde(rename = "q", default, skip_serializing_if = "Option::is_none")]
     pub unreachable_since_ms: Option<UnixMillis>,
 }
@@ -273,8 +280,8 @@
     #[serde(rename = "x", default, skip_serializing_if = "Option::is_none")]
     pub stop_reason: Option<StopReason>,
     /// The machine for which the leader planned the task; the shard's owner may place it on
-    /// another one. An empty name if the leader planned none, `None` if the record was read
-    /// from a snapshot.
+    /// another one. The name is empty if the leader planned no machine; the field is `None` if
+    /// the record was read from a snapshot.
     #[serde(skip)]
     pub placement_hint: Option<MachineId>,
 }
--- a/crates/state/src/service_counts.rs
+++ b/crates/state/src/service_counts.rs
@@ -1,6 +1,6 @@
-//! Counts of accepted, started, completed and cancelled jobs by class and by team. They show
-//! how well each class and team is served, and cover what this process has applied to its
-//! replica.
+//! Counts of accepted, started, completed and cancelled jobs by class and by team, which show
+//! how well each class and team is served. They are local to this process; for the jobs that
+//! they cover see [`ClusterState::service_counts`](crate::ClusterState::service_counts).
 
 use rushwalk_protocol::jobs::JobSpec;
 use serde::Serialize;
@@ -9,9 +9,10 @@
 /// The counts of one class or team. The administration API returns them.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct JobCounts {
-    /// Accepted jobs.
+    /// Jobs that were accepted, also if they are finished by now.
     pub accepted: u32,
-    /// Accepted jobs of which a task was observed running, or that completed before one was.
+    /// Accepted jobs of which a task was observed running, and jobs that completed although
+    /// none was.
     pub started: u32,
     /// Started jobs that are done.
     #[serde(rename = "done")]
@@ -24,8 +25,8 @@
 }
 
 impl JobCounts {
-    /// The fraction of started jobs among the accepted jobs that were not withdrawn, from 0
-    /// to 1; 1 if there are none.
+    /// The started jobs divided by the accepted jobs that were not withdrawn, from 0 to 1; 1
+    /// if there are no such accepted jobs.
     pub fn started_share(&self) -> f64 {
         match self.accepted.saturating_sub(self.withdrawn) {
             0 => 1.0,
--- a/crates/state/src/task_bitmap.rs
+++ b/crates/state/src/task_bitmap.rs
@@ -1,9 +1,9 @@
-//! A set of tasks of one job, with one bit per task.
+//! [`TaskBitmap`], a set of tasks with a compact text form for snapshots.
 
 #[cfg(test)]
 mod tests;
 
-/// A set of task indexes of one job.
+/// A set of tasks of one job, with one bit for each task index.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct TaskBitmap {
     bytes: Vec<u8>,
@@ -15,11 +15,11 @@
 pub struct HexPart {
     /// The index of the part's first task.
     pub first_task: u32,
-    /// Two digits per eight tasks; the first of these tasks is the lowest bit.
+    /// Two digits for every eight tasks, one byte whose lowest bit is the first of them.
     pub digits: String,
 }
 
-/// A text does not have the form that [`TaskBitmap::to_hex_parts`] writes.
+/// The error for a text that does not have the form that [`TaskBitmap::to_hex_parts`] writes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct InvalidHex;
 
@@ -69,7 +69,7 @@
     /// # Errors
     ///
     /// `InvalidHex` if the text has an odd length or contains anything but hexadecimal
-    /// digits. The tasks of the digits before the error have been added.
+    /// digits. The tasks of the digits before the invalid one have been added then.
     pub fn insert_hex(&mut self, first_task: u32, digits: &str) -> Result<(), InvalidHex> {
         for (pair_index, pair) in digits.as_bytes().chunks(2).enumerate() {
             let &[high, low] = pair else {
