--- a/crates/state/src/cluster_state.rs
+++ b/crates/state/src/cluster_state.rs
@@ -41,7 +41,7 @@
 pub struct Versioned<T> {
     /// The revision at which the key was last written.
     pub version: Revision,
-    /// The record.
+    /// The record that was written at that revision.
     pub value: T,
 }
 
@@ -68,14 +68,15 @@
     first_unassigned: u32,
 }
 
-/// An assigned task.
+/// An assigned task: its replicated record, and what this process knows of its start.
 #[derive(Debug)]
 pub struct TaskState {
     /// The replicated record of the task.
     pub record: TaskRecord,
-    /// Whether the task had to wait for its image to be fetched. `None` if the time to its
-    /// start is not usable as a measurement: another task on the machine may have been
-    /// fetching at the same time, or the placement was read from a snapshot.
+    /// Whether the task had to wait for its image to be fetched. `None` if fetch rate and
+    /// start overhead can't be learnt from the time until the task started: another task on
+    /// the machine may have been fetching at the same time, or the placement was read from a
+    /// snapshot. `None` also before the placement.
     cold_start: Option<bool>,
 }
 
@@ -84,7 +85,7 @@
 pub struct MachineState {
     /// The replicated record of the machine.
     pub record: MachineRecord,
-    /// The tasks placed on the machine that may still run there.
+    /// The tasks placed on the machine whose end is not confirmed.
     pub tasks: BTreeSet<TaskId>,
     /// Actual minus predicted run time of the machine's latest completed task, in seconds;
     /// 0 before the first.
@@ -100,9 +101,9 @@
 /// Numbers of machines of a shard.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ShardCounts {
-    /// Machines that have sent their first heartbeat.
+    /// Machines that have sent their first heartbeat, reachable or not.
     pub ready: usize,
-    /// Ready machines whose heartbeats do not reach the shard's owner.
+    /// Ready machines from or to which the messages of the shard's owner are lost.
     pub unreachable: usize,
 }
 
@@ -119,7 +120,7 @@
 /// acceptance.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueueKey {
-    /// The job's priority; the highest orders first.
+    /// The job's priority; the highest priority comes first.
     pub priority: Priority,
     /// When the job was accepted.
     pub accepted_ms: UnixMillis,
@@ -136,7 +137,7 @@
     pub spec: Arc<JobSpec>,
 }
 
-/// A finished job of which no task may still run.
+/// A finished job without assigned tasks: what a status query needs of it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct FinishedJobState {
     phase: JobPhase,
@@ -153,13 +154,14 @@
     /// Whether a log entry was missed: the state is incomplete and must be replaced by a
     /// new listing of the store.
     pub has_gap: bool,
-    /// The first key whose record this version can't read. No decisions are made from an
-    /// incomplete state, since neither guessing nor deleting the record would be safe.
+    /// The first key whose record this version of rushwalk can't read; `None` if it has read
+    /// all. No decisions are made from an incomplete state, since neither guessing nor
+    /// deleting the record would be safe.
     pub unreadable: Option<String>,
     /// The number of log entries after the current snapshot.
     pub entries_since_snapshot: usize,
-    /// Estimates of run times, fetch rates and start overhead, which this process learns
-    /// from the log entries that it applies.
+    /// Estimates of run times, image fetch rates and the overhead of task starts, which this
+    /// process learns from the log entries that it applies.
     pub durations: DurationEstimator,
     /// The leader; the version of its key fences the leader's commits. `None` while no
     /// leader is elected.
@@ -168,8 +170,8 @@
     pub members: BTreeMap<String, MemberRecord>,
     /// The shard leases; a lease's version is its fencing token.
     pub shard_leases: BTreeMap<ShardId, Versioned<ShardLease>>,
-    /// By member name, the revision of the last write of the member: a log entry received
-    /// by a watch, or its member record.
+    /// The revision at which each member last wrote its member record or a log entry, by
+    /// member name. Log entries count only if a watch returned them, not a listing.
     pub last_writes: BTreeMap<String, Revision>,
     /// Versions of all keys outside the log, except snapshot chunks.
     key_versions: HashMap<String, Revision>,
@@ -194,15 +196,17 @@
     pub jobs_with_tasks: BTreeSet<JobId>,
     /// Tasks that are assigned to a shard but not yet placed by its owner.
     pub unplaced: BTreeSet<TaskId>,
-    /// Machines whose tasks have changed and that the reader of this set has not yet taken
-    /// out of it.
+    /// Machines on which a task was added, removed or requested to stop since the process
+    /// last took the machines out of this set to examine them; after a listing, all machines.
     pub changed_machines: BTreeSet<MachineId>,
     /// The latest arrivals of each class, ordered by time of acceptance.
     pub arrivals: SeededMap<String, VecDeque<Arrival>>,
-    /// IDs of images by name. Each process numbers them on its own.
+    /// IDs of images by name. Each process numbers the images on its own.
     image_ids: HashMap<Arc<str>, ImageId>,
-    /// Counts of accepted, started and finished jobs since this process first listed the
-    /// store.
+    /// Counts of accepted, started and finished jobs, from the mutations that this process has
+    /// applied. From its first listing of the store it counts the jobs that the snapshot
+    /// contains as active or terminating, and the changes in the log entries after the
+    /// snapshot.
     pub service_counts: ServiceCounts,
 }
 
--- a/crates/state/src/cluster_state/jobs.rs
+++ b/crates/state/src/cluster_state/jobs.rs
@@ -13,8 +13,8 @@
 /// The maximum number of arrivals that are kept per class.
 const MAX_ARRIVALS_PER_CLASS: usize = 512;
 
-/// Arrivals that are older than this when they are applied are not recorded: they do not
-/// help to predict future arrivals.
+/// Arrivals that are older than this when their mutation is applied are not recorded: they do
+/// not help to predict future arrivals.
 const MAX_ARRIVAL_AGE_MS: UnixMillis = 600_000;
 
 impl JobState {
@@ -27,8 +27,8 @@
         }
     }
 
-    /// Records that a task of the job was observed running, and counts the job as started
-    /// the first time.
+    /// Records that a task of the job was observed running. The first such task counts the job
+    /// as started.
     pub(super) fn mark_started(&mut self, counts: &mut ServiceCounts) {
         if !std::mem::replace(&mut self.started, true) {
             counts.update(&self.spec, |counts| counts.started += 1);
--- a/crates/state/src/cluster_state/queries.rs
+++ b/crates/state/src/cluster_state/queries.rs
@@ -23,14 +23,14 @@
 }
 
 impl MachineState {
-    /// Whether the machine's cache should hold an image, judging by the tasks that have run
-    /// there.
+    /// Whether the machine's cache is expected to hold an image, as derived from the tasks that
+    /// have run there.
     pub fn has_image(&self, name: &str) -> bool {
         self.record.images.iter().any(|image| *image.name == *name)
     }
 
-    /// The mean ratio of actual to predicted run time of the machine's latest tasks, if the
-    /// machine is slow; otherwise 1. Predictions are per machine type.
+    /// The mean ratio of actual to predicted run time of the machine's latest completed tasks,
+    /// if the machine is slow; otherwise 1. Run times are predicted for the machine's type.
     pub fn slowdown(&self) -> f64 {
         match self.run_time_ratios.mean() {
             Some(ratio) if ratio > SLOW_MACHINE_RATIO => ratio,
@@ -40,9 +40,9 @@
 }
 
 impl ClusterState {
-    /// The ID of an image. All images of jobs and machines have one. For an unknown image,
-    /// the next free ID is returned but not assigned; IDs are used as table indexes, so they
-    /// have no gaps.
+    /// The ID of an image. Every image of a job that was applied or of a machine has one. For
+    /// any other image this returns the next free ID without assigning it. IDs have no gaps,
+    /// since they are used as table indexes.
     pub fn image_id(&self, name: &str) -> ImageId {
         let next_id = self.image_ids.len() as ImageId;
         self.image_ids.get(name).copied().unwrap_or(next_id)
@@ -75,7 +75,7 @@
         Some(AssignedTask { job, task })
     }
 
-    /// An assigned task, if `attempt` is its current attempt.
+    /// An assigned task; `None` unless `attempt` is its current attempt.
     pub(super) fn current_attempt(
         &self,
         job: &str,
@@ -86,7 +86,7 @@
         (task.record.attempt == attempt).then_some(task)
     }
 
-    /// The number of machines of each kind: type, zone, and spot or not.
+    /// The number of machines of each kind, in all stages of their lifecycle.
     pub fn machines_by_kind(&self) -> BTreeMap<InstanceKind, u32> {
         let mut counts = BTreeMap::new();
         for machine in self.machines.values() {
@@ -101,7 +101,7 @@
         counts
     }
 
-    /// The number of machines of one kind.
+    /// The number of machines of one kind, in all stages of their lifecycle.
     pub fn count_of_kind(&self, kind: &InstanceKind) -> u32 {
         let records = self.machines.values().map(|machine| &machine.record);
         let matching = records.filter(|record| {
@@ -123,7 +123,7 @@
         self.finished.contains_key(job) || self.jobs.get(job).is_some_and(is_finished)
     }
 
-    /// Whether a job was accepted, also if it is finished.
+    /// Whether a job was accepted, be it active or finished.
     pub fn knows_job(&self, job: &str) -> bool {
         self.finished.contains_key(job) || self.jobs.contains_key(job)
     }
@@ -131,7 +131,7 @@
     /// The status of a job as reported to users; `None` if the job was never accepted.
     pub fn job_status(&self, id: &str) -> Option<JobStatus> {
         if let Some(job) = self.jobs.get(id) {
-            return Some(active_status(id, job));
+            return Some(status_of_job(id, job));
         }
         let finished = self.finished.get(id)?;
         Some(finished_status(id, finished.phase, finished.tasks))
@@ -163,7 +163,7 @@
     }
 }
 
-fn active_status(id: &str, job: &JobState) -> JobStatus {
+fn status_of_job(id: &str, job: &JobState) -> JobStatus {
     if job.phase != JobPhase::Active {
         return finished_status(id, job.phase, job.spec.tasks);
     }
--- a/crates/state/src/cluster_state/replication.rs
+++ b/crates/state/src/cluster_state/replication.rs
@@ -36,7 +36,8 @@
     ///
     /// # Errors
     ///
-    /// `SnapshotReplaced`: the store must be listed again.
+    /// `SnapshotReplaced` if a newer snapshot overwrote chunks during the listing: the store
+    /// must be listed again.
     pub fn from_listing(
         entries: Vec<KeyValue>,
         revision: Revision,
@@ -106,8 +107,8 @@
     ///
     /// # Errors
     ///
-    /// Returns `listed` unchanged if it is older than this state. A read in flight may have
-    /// been sent from this state's revision and returns only later changes, so the changes
+    /// Returns `listed` unchanged if it is older than this state. A watch that was sent from
+    /// this state's revision may be in flight. It returns only later changes, so the changes
     /// between `listed` and this state would be lost.
     pub fn replace_with(&mut self, mut listed: ClusterState) -> Result<(), Box<ClusterState>> {
         if listed.revision < self.revision {
@@ -115,7 +116,7 @@
         }
         std::mem::swap(&mut self.durations, &mut listed.durations);
         if !self.service_counts.classes.is_empty() {
-            // The existing counts are kept; they lack the changes that were not watched.
+            // The existing counts are kept, although they lack the changes that no watch returned.
             std::mem::swap(&mut self.service_counts, &mut listed.service_counts);
         }
         listed.changed_machines = listed.machines.keys().cloned().collect();
@@ -142,7 +143,7 @@
         let mut events: Vec<WatchEvent> = response.events;
         events.sort_by(|a, b| (a.version, a.key()).cmp(&(b.version, b.key())));
         for event in events {
-            // Responses of concurrent reads may overlap: a change is applied only once.
+            // Responses of concurrent watches may overlap; each change is applied only once.
             if event.version > reached {
                 self.apply_event(event, now_ms);
             }
--- a/crates/state/src/cluster_state/restore.rs
+++ b/crates/state/src/cluster_state/restore.rs
@@ -12,8 +12,8 @@
 impl ClusterState {
     /// The state as mutations for a snapshot. Applied in order to an empty state, they
     /// restore jobs, tasks, machines and rentals. They contain neither the records that are
-    /// stored under keys of their own nor what only this process has learnt, such as
-    /// durations and prediction errors.
+    /// stored under keys of their own nor what only this process has learnt, such as durations
+    /// and prediction errors of machines.
     pub fn to_mutations(&self) -> Vec<Mutation> {
         let mut mutations = Vec::new();
         for phase in [JobPhase::Done, JobPhase::Cancelled] {
--- a/crates/state/src/cluster_state/tasks.rs
+++ b/crates/state/src/cluster_state/tasks.rs
@@ -79,7 +79,8 @@
         self.jobs_with_tasks.insert(id);
     }
 
-    /// Removes an assigned task that certainly does not run any more, or was never placed.
+    /// Removes an assigned task whose end is confirmed, or that was never placed. Returns its
+    /// record.
     pub(super) fn remove_task(&mut self, id: &JobId, index: u32) -> Option<TaskRecord> {
         let job = self.jobs.get_mut(id)?;
         let state = job.tasks.remove(&index)?;
@@ -156,8 +157,8 @@
         self.link_task(task, Some(&machine));
     }
 
-    /// The machine of a placement, if the attempt is current, neither placed nor being
-    /// stopped, and the machine is active and belongs to the task's shard.
+    /// The machine of a placement, if the attempt is current, neither placed nor being stopped,
+    /// and the machine is active and belongs to the shard to which the task is assigned.
     fn usable_machine(
         &self,
         id: &JobId,
@@ -172,10 +173,10 @@
         (awaits_placement && is_usable).then(|| machine_id.clone())
     }
 
-    /// Whether a task of a job that is now placed on a machine must wait for its image to be
-    /// fetched. `None` if another task on the machine may still be fetching its image:
-    /// concurrent fetches share the machine's bandwidth, so the time to the start would not
-    /// measure the fetch rate.
+    /// Whether a task that is about to be placed on a machine must wait there for the image of
+    /// its job to be fetched. `None` if another task on the machine may still be fetching its
+    /// image: concurrent fetches share the machine's bandwidth, so the time to the start would
+    /// not measure the fetch rate.
     fn expected_cold_start(&self, id: &JobId, machine: &MachineId) -> Option<bool> {
         let image = &self.jobs.get(id)?.spec.image;
         let has_image = self.machines.get(machine)?.has_image(image);
@@ -186,8 +187,8 @@
         self.jobs.get_mut(job)?.tasks.get_mut(&index)
     }
 
-    /// Whether all tasks on a machine were observed running, so that none of them may still
-    /// be fetching its image.
+    /// Whether all tasks on a machine were observed running, so that none of them can still be
+    /// fetching its image.
     fn all_tasks_started(&self, machine: &MachineId) -> bool {
         let Some(machine) = self.machines.get(machine) else {
             return true;
@@ -341,8 +342,8 @@
     }
 }
 
-/// Adds a job's image to the cache contents that are assumed for a machine. The least
-/// recently used images are evicted when the cache's capacity is exceeded.
+/// Adds a job's image to the images that a machine's cache is expected to hold. Evicts the
+/// least recently used images while the cache's capacity is exceeded, but never the new one.
 fn cache_image(machine: &mut MachineState, spec: &JobSpec, types: Option<&MachineTypes>) {
     let types = types.iter().flat_map(|types| &types.types);
     let capacity_gb = types
--- a/crates/state/src/cluster_state/tests.rs
+++ b/crates/state/src/cluster_state/tests.rs
@@ -175,9 +175,9 @@
     );
 }
 
-/// Guards against jobs that are counted twice when mutations are repeated. No other counts
-/// per team exist, and a day on which less than half of a team's jobs are served is judged as
-/// failed.
+/// Guards against jobs that are counted twice when mutations are repeated. No other counts per
+/// team exist, and they show whether at least half of a team's jobs start, which the service
+/// levels demand for each day.
 #[test]
 fn jobs_are_counted_once_per_class_and_team() {
     let mut repeated = sample_history();
@@ -216,7 +216,7 @@
         // The attempt is not the current one; the task is already placed.
         place("j-1", 3, 600, &[(2, "m-1")]),
         place("j-1", 4, 600, &[(1, "m-1")]),
-        // The machine does not exist; the machine was never marked for deletion.
+        // The machine does not exist; an existing machine was never marked for deletion.
         place("j-1", 4, 600, &[(2, "m-9")]),
         Mutation::MachinesDeleted(vec!["m-1".into()]),
         // The task has already ended; the attempt is not the current one.
@@ -263,8 +263,8 @@
     serde_json::from_str(&text).unwrap()
 }
 
-/// Keys of the log are reused. A replica that has missed an entry under a key must detect
-/// this from the entry that follows, or it would continue with an incomplete state.
+/// Keys of the log are reused. A replica that has missed an entry must detect this from the
+/// next entry under the same key, or it would continue with an incomplete state.
 #[test]
 fn missed_entries_are_detected_and_overlapping_responses_are_applied_once() {
     let mut state = empty();
@@ -302,8 +302,8 @@
 }
 
 /// While the store is listed, watches may advance the current state beyond the listing. If
-/// the older listing then replaced the state, the next watch response would begin after it,
-/// and the changes in between would be lost.
+/// the older listing then replaced the state, the next watch response would begin after the
+/// listing, and the changes in between would be lost.
 #[test]
 fn older_listings_and_watches_with_a_gap_are_rejected() {
     let key = |n| keys::log_entry("node-0", n);
--- a/crates/state/src/log_keys.rs
+++ b/crates/state/src/log_keys.rs
@@ -26,10 +26,11 @@
     free: VecDeque<u64>,
     /// The number that is allocated next if no key is free.
     next_number: u64,
-    /// Keys of commits in flight or of unknown outcome, with the version they had when
-    /// they were allocated.
+    /// Numbers of the keys of commits in flight or of unknown outcome, with the version that
+    /// each key had when it was allocated.
     in_use: HashMap<u64, Revision>,
-    /// The revision of the snapshot from which `free` was computed; `None` at first.
+    /// The revision of the snapshot for which `free` was computed; `None` before the first
+    /// allocation.
     snapshot_revision: Option<Revision>,
 }
 
@@ -37,7 +38,7 @@
     /// Allocates a key of `member`'s series that is free according to `state`.
     pub fn allocate(&mut self, state: &ClusterState, member: &str) -> EntryKey {
         if self.snapshot_revision != Some(state.snapshot.revision) {
-            self.reclaim(state, member);
+            self.free_covered_keys(state, member);
         }
         loop {
             let number = self.free.pop_front().unwrap_or_else(|| {
@@ -46,7 +47,7 @@
             });
             let key = keys::log_entry(member, number);
             let version = state.log_versions.get(&key).copied().unwrap_or(0);
-            // A late commit of the previous process wrote this key after the snapshot.
+            // A late commit of an earlier process of this member wrote the key after the snapshot.
             // Reusing the key would overwrite that entry, and a replica that lists the
             // store afterwards would miss it.
             if version > state.snapshot.revision {
@@ -59,7 +60,7 @@
 
     /// Frees the keys whose entries a new snapshot covers, except keys of commits that may
     /// still arrive.
-    fn reclaim(&mut self, state: &ClusterState, member: &str) {
+    fn free_covered_keys(&mut self, state: &ClusterState, member: &str) {
         self.snapshot_revision = Some(state.snapshot.revision);
         let prefix = keys::log_entries(member);
         let mut written: Vec<EntryKey> = state
@@ -89,7 +90,7 @@
         self.free = covered.map(|key| key.number).collect();
     }
 
-    /// Returns an allocated key that was certainly not written.
+    /// Makes an allocated key free again, because its commit certainly did not write it.
     pub fn release(&mut self, number: u64) {
         if self.in_use.remove(&number).is_some() {
             self.free.push_back(number);
--- a/crates/state/src/log_keys/tests.rs
+++ b/crates/state/src/log_keys/tests.rs
@@ -22,7 +22,7 @@
     assert_eq!(allocate(&mut allocator, &state), (2, 0));
     allocator.release(2);
     assert_eq!(allocate(&mut allocator, &state), (2, 0));
-    // A late commit of the previous process has written the free key 2 and the unallocated
+    // A late commit of an earlier process has written the free key 2 and the unallocated
     // key 3. If one of them were allocated, the entry would be overwritten, and a replica
     // that lists the store afterwards would miss a job that was accepted in it.
     allocator.release(2);
--- a/crates/state/tests/memory.rs
+++ b/crates/state/tests/memory.rs
@@ -1,4 +1,4 @@
-//! Memory that the replicated state takes at full fleet size, by counted allocations.
+//! The memory that the replicated state takes at full fleet size, from counted allocations.
 
 use rushwalk_protocol::ids::{JobId, MachineId};
 use rushwalk_protocol::jobs::JobSpec;
