--- a/crates/rushwalk/src/scheduler_inputs.rs
+++ b/crates/rushwalk/src/scheduler_inputs.rs
@@ -18,11 +18,12 @@
 /// How long a task takes to stop in addition to saving its checkpoint, in seconds.
 const STOP_MARGIN_S: f64 = 1.0;
 
-/// The shortest predicted remaining time of a task, as a share of its predicted run time. Applies
-/// also to a task that has run for longer than predicted.
-const OVERRUN_SHARE: f64 = 0.25;
+/// The predicted remaining time of a task is at least this share of its predicted run time, also
+/// if the task has run for longer than predicted.
+const MIN_REMAINING_SHARE: f64 = 0.25;
 
-/// Converts a time to seconds since the Unix epoch, the unit of the scheduler.
+/// Converts a point in time or a difference of two from milliseconds to seconds, the unit of the
+/// scheduler.
 pub(crate) fn seconds(time_ms: UnixMillis) -> f64 {
     time_ms as f64 / 1000.0
 }
@@ -96,7 +97,7 @@
 
 /// The inputs from which the timelines of machines are built.
 pub(crate) struct TimelineInputs<'a> {
-    /// The cluster state.
+    /// The cluster state, with the machines and the tasks placed on them.
     pub state: &'a ClusterState,
     /// The machine types that the cloud offers.
     pub types: &'a MachineTypes,
@@ -107,8 +108,9 @@
 }
 
 impl TimelineInputs<'_> {
-    /// The timeline of a machine with its tasks. The machine is ready, or boots until `ready_s`.
-    /// `None` if its type or zone is unknown.
+    /// The timeline of a machine with its tasks; `None` if its type or zone is unknown. `ready_s`
+    /// is when a booting machine is expected to be ready, or the current time for a ready one, in
+    /// seconds since the Unix epoch.
     pub(crate) fn timeline(
         &self,
         id: &MachineId,
@@ -170,7 +172,7 @@
 }
 
 /// When a placed task is predicted to leave its machine, in seconds since the Unix epoch;
-/// infinite if its run time is.
+/// infinite for a service that is not being stopped.
 pub(crate) fn predicted_end(
     state: &ClusterState,
     job: &JobState,
@@ -197,7 +199,7 @@
         }
     };
     if run_s.is_finite() {
-        end_s.max(now_s + OVERRUN_SHARE * run_s)
+        end_s.max(now_s + MIN_REMAINING_SHARE * run_s)
     } else {
         end_s
     }
--- a/crates/rushwalk/src/scheduling/assignment.rs
+++ b/crates/rushwalk/src/scheduling/assignment.rs
@@ -14,10 +14,11 @@
 use rushwalk_state::{AssignedTask, ClusterState, Mutation, UnixMillis};
 use std::collections::BTreeMap;
 
-/// The largest gang that is assigned with placement hints, the machines for which its tasks are
-/// planned. A gang is assigned by a single mutation. With the hints of more tasks it would
-/// not fit into the smallest value size of a store, so a larger gang is assigned without
-/// hints, and the owners of its shards choose the machines.
+/// The largest number of tasks of a gang that is assigned with placement hints. The hint of a
+/// task is the machine for which it is planned. A gang is assigned by a single mutation, which
+/// with the hints of more tasks would exceed the smallest size limit of a store's values. A
+/// larger gang is therefore assigned without hints, and the owners of its shards choose the
+/// machines.
 const MAX_GANG_WITH_HINTS: usize = 8 * MAX_BATCH;
 
 /// Adds assigned tasks to the usage of their teams, and reserves places for those that the owner
@@ -70,8 +71,8 @@
 /// Reserves a place for a task on the machine in its placement hint, if that machine is in the
 /// round.
 fn reserve_hinted_machine(round: &mut SchedulingRound, pending: &PendingJob, hint: &MachineId) {
-    // The machines of the state come first, in the order of their names. Planned rentals follow
-    // and have no name.
+    // The machines of the state come first, in the order of their names. Machines that are not
+    // rented yet follow and have no name.
     let index = round
         .machines
         .partition_point(|machine| !machine.name.is_empty() && *machine.name < **hint);
@@ -88,8 +89,8 @@
 
 /// Assigns tasks that can start now to the shards of their machines. Leaves out tasks of shards
 /// that accept no more work, for instance because the owner has failed or is suspected; a
-/// gang with such a task is left out as a whole. Their places stay reserved in this round,
-/// since renting others would cost more.
+/// gang with such a task is left out as a whole. The places of the tasks that are left out stay
+/// reserved in this round, since it would cost more to rent other machines for them.
 pub(super) fn assign(
     state: &ClusterState,
     round: &SchedulingRound,
@@ -142,9 +143,9 @@
 }
 
 /// The mutations that assign a job's tasks to shards. Only a gang is assigned by a single
-/// mutation; other jobs are split into batches. Without that, an array with 900 free places
-/// needed a mutation too large for a value of the store, so none of its tasks started in
-/// any round while that many places were free.
+/// mutation; the tasks of other jobs are split into batches. Without batches, an array job with
+/// free places for 900 tasks needed a mutation too large for a value of the store, so none of
+/// its tasks started in any round while that many places were free.
 fn assignments(
     id: &JobId,
     shape: Shape,
@@ -173,7 +174,8 @@
     mutations
 }
 
-/// The tasks of a gang by shard, without placement hints if there are too many tasks.
+/// The tasks of a gang by shard, without placement hints if there are more than
+/// [`MAX_GANG_WITH_HINTS`].
 fn gang_shards(by_shard: TasksByShard) -> Vec<ShardTasks> {
     let tasks: usize = by_shard.values().map(Vec::len).sum();
     let shards = by_shard.into_iter().map(|(shard, mut tasks_of_shard)| {
--- a/crates/rushwalk/src/scheduling/assignment/tests.rs
+++ b/crates/rushwalk/src/scheduling/assignment/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// The value size of the most restrictive store so far (16 KiB), less the frame of a value.
+/// The smallest known size limit of a value in a store (16 KiB), less the frame of the value.
 const MIN_VALUE_BYTES: usize = (16 << 10) - 64;
 
 fn tasks_by_shard(tasks_per_shard: u32) -> TasksByShard {
--- a/crates/rushwalk/src/scheduling/expected_demand.rs
+++ b/crates/rushwalk/src/scheduling/expected_demand.rs
@@ -19,8 +19,8 @@
 /// The number of latest buckets from which the arrival rate is estimated.
 const MAX_BUCKETS: u64 = 5;
 
-/// How early a place is planned for the restart of a service, before the worker lease of its
-/// machine expires, as a multiple of the longest boot time.
+/// A place for the restart of a service is planned before the worker lease of its machine expires,
+/// earlier by this many times the longest boot time.
 const RESTART_LEAD_BOOT_TIMES: f64 = 1.5;
 
 /// A job whose tasks are expected to become pending.
@@ -41,16 +41,16 @@
 
 /// Tasks of a service that may have to restart.
 struct ExpectedRestart {
-    /// When the worker lease of the first of the tasks' machines, in the order of their names,
-    /// expires, in seconds from now; 0 if it has expired.
+    /// When the worker lease of the tasks' machine expires, in seconds from now; 0 if it has
+    /// expired. If the tasks are on several machines, the one whose name is first counts.
     due_in_s: f64,
-    /// The indices of the tasks.
+    /// The indexes of the tasks in the job.
     tasks: Vec<u32>,
 }
 
 /// Jobs that are expected to arrive within the boot time of a machine, and services that may have
-/// to restart, in the order of their times. They are planned like pending jobs, so that a
-/// machine is ready when they come.
+/// to restart, in the order in which they are expected. They are planned like pending jobs, so
+/// that a machine is ready when they come.
 pub(super) fn expected_jobs(
     context: &Context,
     state: &ClusterState,
@@ -86,7 +86,7 @@
     classes
 }
 
-/// The estimated number of arrivals per second.
+/// The estimated arrival rate of a class, in jobs per second.
 fn recent_arrival_rate(arrivals: &VecDeque<Arrival>, now_ms: UnixMillis) -> f64 {
     let first_ms = arrivals.front().map_or(now_ms, |first| first.accepted_ms);
     let known = now_ms.saturating_sub(first_ms) / BUCKET_MS + 1;
@@ -124,8 +124,8 @@
     }
 }
 
-/// Services on unreachable machines that may have to restart when the worker leases have expired.
-/// They are planned early enough for a machine to boot.
+/// Services on unreachable machines that may have to restart when the worker leases of these have
+/// expired. They are planned early enough for a new machine to boot.
 fn expected_restarts(
     context: &Context,
     state: &ClusterState,
@@ -153,6 +153,8 @@
     now_ms: UnixMillis,
 ) -> BTreeMap<&'a JobId, ExpectedRestart> {
     let timing = &context.timing;
+    // The last contact was `unreachable_after` before the machine counted as unreachable, and a
+    // previous owner of its shard may have renewed the worker lease for `lease_validity` longer.
     let lease_expiry_s = (timing.worker_lease + timing.lease_validity)
         .saturating_sub(timing.unreachable_after)
         .as_secs_f64();
--- a/crates/rushwalk/src/scheduling/maintenance.rs
+++ b/crates/rushwalk/src/scheduling/maintenance.rs
@@ -22,7 +22,8 @@
 /// its shard has not placed it.
 const STUCK_ROUNDS: f64 = 4.0;
 
-/// For this many scheduling rounds after the announced time a reclaimed machine may still exist.
+/// The number of scheduling rounds after the announced time for which a reclaimed machine is kept,
+/// since it may still exist.
 const RECLAIM_ROUNDS: u64 = 3;
 
 /// Why a machine is deleted without waiting for the tasks on it.
@@ -46,9 +47,9 @@
 /// The changes that one round of maintenance makes.
 #[derive(Default)]
 struct Changes {
-    /// The indices of the tasks to unassign.
+    /// The indexes of the tasks to unassign.
     unassigned: BTreeMap<JobAttempt, Vec<u32>>,
-    /// The indices of the tasks to stop.
+    /// The indexes of the tasks to stop.
     stopped: BTreeMap<StoppedAttempt, Vec<u32>>,
     quarantined: Vec<MachineId>,
     deleted: Vec<MachineId>,
@@ -192,11 +193,11 @@
         return Some(DeletionReason::Reclaimed);
     }
     let unreachable_since_ms = machine.unreachable_since_ms?;
-    // A spot instance whose heartbeats stop was mostly reclaimed without notice, so it is
-    // deleted without delay. On-demand machines rarely fail, and most machines of a shard
-    // rarely fail together. In both cases a network partition is more likely, behind which
-    // the tasks continue, so the machine is kept until the worker leases have expired. It is
-    // kept for one more lease, since it may return without tasks but with its cached images.
+    // A single spot instance that becomes unreachable was mostly reclaimed without notice, so it
+    // is deleted without delay. An on-demand machine rarely fails, and most machines of a shard
+    // rarely fail together: then a network partition is more likely, behind which the tasks
+    // continue, so the machine is kept until its worker lease has expired. It is kept for one
+    // more lease, since it may return without tasks but with its cached images.
     let is_partitioned = state.shard_counts(&machine.shard).mostly_unreachable();
     let grace = if machine.spot && !is_partitioned {
         Duration::ZERO
--- a/crates/rushwalk/src/scheduling/queue.rs
+++ b/crates/rushwalk/src/scheduling/queue.rs
@@ -16,9 +16,9 @@
 use rushwalk_state::{ClusterState, JobState, UnixMillis};
 use std::sync::Arc;
 
-/// The limit on the tasks of one job planned in a round, if there are no more machines than
-/// this; otherwise the limit is the number of machines. The remaining tasks are planned in
-/// later rounds. Does not apply to gangs, which are planned as a whole.
+/// A round plans at most as many tasks of one job as there are machines, or this many if there
+/// are fewer machines. The remaining tasks are planned in later rounds. Gangs have no such
+/// limit, as they are planned as a whole.
 pub(super) const MIN_TASK_LIMIT: usize = 160;
 
 /// A job avoids the machines on which it failed, unless there are more than this: then the
@@ -139,8 +139,9 @@
     }
 }
 
-/// A job with its tasks to plan in this round. `None` if it has none, is backing off after
-/// failures, or is a gang with tasks that are still assigned.
+/// A job with its tasks to plan in this round. `None` if all its tasks are assigned or completed,
+/// if its back-off after failures has not elapsed, or if it is a gang of which tasks are
+/// still assigned.
 fn pending_job(
     context: &Context,
     state: &mut ClusterState,
@@ -171,7 +172,7 @@
         tracing::debug!(
             job = &**id,
             machines,
-            "probing failing job with a single task or gang"
+            "job failed on several machines; planning only one task or its whole gang"
         );
     }
     Some(pending)
--- a/crates/rushwalk/src/scheduling/scheduler.rs
+++ b/crates/rushwalk/src/scheduling/scheduler.rs
@@ -33,8 +33,9 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A trial with fewer machines succeeds if no more expected tasks have to wait than with all
-/// machines, plus one in this many.
+/// A trial plans the expected jobs without some machines, to find out whether these are needed.
+/// In a successful trial the expected tasks that have to wait exceed those that wait with all
+/// machines by at most the number of expected tasks divided by this.
 const WAITING_TOLERANCE_DIVISOR: usize = 50;
 
 /// Why jobs are pending, as of the latest scheduling round, for the administration API.
@@ -56,7 +57,7 @@
     pub context: Arc<Context>,
     /// The replica of the cluster state, with jobs and machines.
     pub replica: Arc<Replica>,
-    /// Whether this process leads; commits the mutations of a round.
+    /// Tells whether this process leads, and commits the mutations of a round.
     pub leadership: Arc<Leadership>,
     /// The health of the other controllers, which decides whose shards accept more work.
     pub peers: Arc<PeerMonitor>,
@@ -66,7 +67,8 @@
     pub tracker: Arc<RentalTracker>,
     /// Receives the reasons of the pending jobs in each round.
     pub pending_reasons: Arc<PendingReasons>,
-    /// The event-loop lag of this thread; yields to other tasks between time slices.
+    /// Measures the event-loop lag of this thread, and yields to its other asynchronous tasks
+    /// between time slices.
     pub runtime_lag: Arc<RuntimeLag>,
     /// Measures the time that each kind of work takes.
     pub work_profile: Arc<WorkProfile>,
@@ -82,8 +84,8 @@
     planner: TimeSlicedPlanner,
     /// When the expected jobs were last planned; `None` before the first time.
     expected_planned_at: Option<Instant>,
-    /// The number of expected tasks that would have to wait when they were last planned on
-    /// all machines.
+    /// The number of expected tasks that had to wait when the expected jobs were last planned
+    /// on all machines.
     waiting_on_full_fleet: usize,
 }
 
@@ -164,7 +166,7 @@
         maintenance(context, &state, &abandoned, now_ms)
     }
 
-    /// Machines that boot for so long that they should be replaced.
+    /// Abandons machines that boot for so long that they should be replaced, and returns them.
     fn abandon_late_machines(
         &mut self,
         context: &Context,
@@ -177,7 +179,8 @@
         let heartbeat_s = timing.heartbeat.as_secs_f64();
         self.boot_supervisor
             .update(state, types, &zones, now_ms, heartbeat_s);
-        // A new leader does not yet know what the shards' owners are about to commit.
+        // The state of a new leader may lack what the owners of shards are about to commit, for
+        // instance that a machine is ready.
         let leading_for = self.parts.leadership.leading_for();
         if leading_for.is_none_or(|leading| leading <= timing.unreachable_after) {
             return BTreeSet::new();
@@ -211,13 +214,13 @@
             mutations.extend(self.rent(context, &round, &types, basis, PlannedDemand::Pending));
             return mutations;
         }
-        // Tests whether fewer machines are enough for the pending and the expected jobs. This
-        // must come before the commit of the assignments: until then a machine with a task
-        // planned in this round has more tasks in the round than in the state, and is
-        // therefore not emptied.
+        // Begins a trial whether fewer machines are enough for the pending and the expected
+        // jobs. A machine with a task planned in this round must not be emptied. Such a machine
+        // is recognized by having more tasks in the round than in the state, so this must come
+        // before the commit of the assignments.
         let emptied = self.try_to_empty_machines(&mut round, &types, now_ms);
-        // The assignments are committed before the expected jobs are planned, since planning
-        // those took seconds on the largest fleets.
+        // The assignments are committed before the expected jobs are planned, since that
+        // planning took seconds on the largest fleets.
         let appended = self
             .parts
             .leadership
@@ -231,7 +234,8 @@
         self.scale(context, &round, &types, basis, emptied)
     }
 
-    /// Builds the round from the state. `None` until the machine types are known.
+    /// Builds the round and the list of pending jobs from the state. `None` until the machine types
+    /// are known.
     fn begin_round<'a>(
         &mut self,
         context: &'a Context,
@@ -261,7 +265,8 @@
         })
     }
 
-    /// Assigns the planned tasks and stops stragglers; stores the reasons of pending jobs.
+    /// The mutations that assign the planned tasks and stop stragglers. Also stores why jobs are
+    /// pending.
     fn assign_and_restart(
         &mut self,
         round: &mut SchedulingRound,
@@ -280,8 +285,9 @@
         mutations
     }
 
-    /// Whether to plan the expected jobs in this round. They are planned in every third round
-    /// only, since there are many of them and most plans do not change from round to round.
+    /// Whether to plan the expected jobs in this round: if more than two and a half round intervals
+    /// have passed since they were last planned, normally in every third round. There are many of
+    /// them, and most plans do not change from round to round.
     fn is_expected_demand_due(&mut self, context: &Context) -> bool {
         let pause = context.timing.round * 5 / 2;
         let is_due = self
@@ -310,8 +316,8 @@
             .rent(context, &self.parts.tracker, calls_per_s, took, basis)
     }
 
-    /// Cordons machines in the round that may not be needed, and returns them. Returns no
-    /// machines if the round has planned rentals.
+    /// Cordons machines that may not be needed, so that the round plans no tasks on them, and
+    /// returns them. Returns no machines if the round has planned rentals.
     fn try_to_empty_machines(
         &mut self,
         round: &mut SchedulingRound,
@@ -326,8 +332,8 @@
         self.scale_in.empty_machines(&state, round, types, now_ms)
     }
 
-    /// Plans the expected jobs without the emptied machines or, if that leaves too many tasks
-    /// waiting, with all machines. Returns the machines to remove.
+    /// Plans the expected jobs without the emptied machines and then, if that trial fails, with all
+    /// machines. Returns the machines to drain: the emptied ones if the trial succeeds.
     async fn plan_expected(
         &mut self,
         context: &Context,
@@ -352,7 +358,7 @@
         if is_enough {
             return emptied;
         }
-        // The machines are needed: the expected jobs are planned again with all machines.
+        // The emptied machines are needed: the expected jobs are planned again with all machines.
         round.restore(before);
         for index in 0..round.machines.len() {
             round.machines.set_cordoned(index, false);
--- a/crates/rushwalk/src/scheduling/stragglers.rs
+++ b/crates/rushwalk/src/scheduling/stragglers.rs
@@ -11,14 +11,15 @@
 use std::collections::BTreeSet;
 
 /// A task that has run for this many times its predicted run time is a straggler (§4.4 of the
-/// paper).
+/// paper that the design follows).
 const STRAGGLER_RATIO: f64 = 2.0;
 
-/// Tasks that have run for less than this, in seconds, are never stragglers. This avoids
-/// predicting the run times of most tasks.
+/// Tasks that have run for less than this, in seconds, are never stragglers, so that the run
+/// times of most tasks need not be predicted.
 const MIN_ELAPSED_S: f64 = 10.0;
 
-/// Stops stragglers. One process stops each task at most once.
+/// Stops stragglers, and no task more than once. Another process that leads later may stop a task
+/// again.
 #[derive(Default)]
 pub(super) struct Stragglers {
     /// The tasks that this process has stopped, as long as their job is active.
@@ -26,11 +27,12 @@
 }
 
 impl Stragglers {
-    /// Stops array tasks that run much longer than predicted and can start on another machine
-    /// now. While no run time of a job on a machine type is known, its tasks there are
-    /// stopped only on machines known to be slow, since the prediction may be wrong. Each
-    /// restart reserves a place in the round, so that the tasks of a slow machine, which
-    /// become stragglers together, are not all planned for the same place.
+    /// Stops tasks of array jobs that run much longer than predicted and can start on another
+    /// machine now. While no run time of the job on the type of the task's machine is known, the
+    /// prediction may be wrong; the task is then stopped only if the slowdown of the machine
+    /// exceeds [`STRAGGLER_RATIO`]. Each restart reserves a place in the round, so that the tasks
+    /// of a slow machine, which become stragglers together, are not all planned for the same
+    /// place.
     pub(super) fn stop(
         &mut self,
         state: &ClusterState,
@@ -131,8 +133,8 @@
     })
 }
 
-/// Reserves a place for the restart of a straggler on another machine; returns false if the task
-/// can't start on any other machine now.
+/// Reserves a place for the restart of a straggler on another machine. Returns false if the task
+/// can start on no other machine now.
 fn reserve_place_elsewhere(
     state: &ClusterState,
     round: &mut SchedulingRound,
--- a/crates/rushwalk/src/scheduling/time_slices.rs
+++ b/crates/rushwalk/src/scheduling/time_slices.rs
@@ -1,5 +1,5 @@
-//! Planning in time slices, because planning many jobs takes longer than the other tasks of
-//! this thread should wait.
+//! Planning in time slices, because planning many jobs takes longer than the other asynchronous
+//! tasks of this thread should wait.
 
 use super::expected_demand::ExpectedJob;
 use crate::observability::runtime_lag::RuntimeLag;
@@ -9,28 +9,29 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The most jobs planned in one slice. On a busy thread the next slice starts late, so a round
-/// must not need many slices.
+/// The maximum number of jobs planned in one slice. With fewer, a round would need more slices,
+/// and on a busy thread each of them starts late.
 const MAX_JOBS_PER_SLICE: usize = 16;
 
-/// The longest time of a slice is the round interval divided by this.
+/// The maximum duration of a slice is the round interval divided by this.
 const SLICES_PER_ROUND: u32 = 48;
 
-/// Plans jobs in time slices, between which the other tasks of this thread run.
+/// Plans jobs in time slices, between which the other asynchronous tasks of this thread run.
 pub(super) struct TimeSlicedPlanner {
     /// The interval of scheduling rounds.
     pub(super) round: Duration,
-    /// The event-loop lag of this thread; yields to other tasks between slices.
+    /// Measures the event-loop lag of this thread, and yields to its other tasks between slices.
     pub(super) runtime_lag: Arc<RuntimeLag>,
     /// Measures the time that planning takes.
     pub(super) work_profile: Arc<WorkProfile>,
 }
 
 impl TimeSlicedPlanner {
-    /// Plans the pending jobs in their order, in slices, until one round interval is over and
-    /// at least one decision was made. The limit is a time rather than a number of tasks:
-    /// 3,000 tasks were all that waited on one fleet, but only a third of those on a fleet
-    /// four times as large, where nothing was rented for the remaining ones.
+    /// Plans the pending jobs in their order, in slices. Ends when all are planned, or when one
+    /// round interval is over and at least one decision was made. The limit is a time rather than
+    /// a number of tasks: 3,000 tasks were all that waited on one fleet, but only a third of those
+    /// that waited on a fleet four times as large, where nothing was rented for the other two
+    /// thirds.
     pub(super) async fn plan_pending(
         &self,
         round: &mut SchedulingRound<'_>,
@@ -86,9 +87,9 @@
         waiting
     }
 
-    /// Whether a slice in which `done` jobs were planned continues. The time limit is for slow
-    /// controllers, where even a few jobs take long: responses to workers and users must not
-    /// wait for them.
+    /// Whether another job is planned in a slice that has planned `done` jobs. The time limit is
+    /// for slow controllers, which need long even for a few jobs: responses to workers and users
+    /// must not wait for so long.
     fn slice_continues(&self, done: usize, began: Instant) -> bool {
         let max_slice = self.round / SLICES_PER_ROUND;
         done == 0 || (done < MAX_JOBS_PER_SLICE && began.elapsed() < max_slice)
--- a/crates/rushwalk/src/scheduling/usage.rs
+++ b/crates/rushwalk/src/scheduling/usage.rs
@@ -4,10 +4,10 @@
 use rushwalk_state::records::MachineTypes;
 use std::collections::BTreeMap;
 
-/// A kind of machine. The log lines are in this order.
+/// A kind of machine. The log lines are in the order of these fields.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct MachineKind {
-    /// The index of the machine type.
+    /// The index of the machine type among the types that the cloud offers.
     group: usize,
     spot: bool,
 }
@@ -18,7 +18,8 @@
     machines: usize,
     ready: usize,
     idle: usize,
-    /// The sum of the machines' used shares, each of the resource that is used most, 0 to 1.
+    /// The sum of the used shares of the machines, from 0 to 1 each. The used share of a machine is
+    /// that of its most used resource.
     used: f64,
 }
 
