--- a/crates/protocol/src/cloud.rs
+++ b/crates/protocol/src/cloud.rs
@@ -14,14 +14,14 @@
 /// A type of machine that can be rented.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
-    /// The type's name.
+    /// The type's name, by which requests and listed machines refer to it.
     #[serde(rename = "label")]
     pub name: String,
     /// The number of CPU cores.
     pub cpus: f64,
     /// The number of GPUs.
     pub gpus: f64,
-    /// Memory in GB.
+    /// The memory of a machine, in GB.
     #[serde(rename = "memoryGb")]
     pub memory_gb: f64,
     /// Space for cached images, in GB.
@@ -88,13 +88,15 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ListedState {
-    /// Not booted yet at the time that the list describes. Some machines never boot.
+    /// The machine had not booted yet at the time that the list describes. Some machines never
+    /// boot.
     #[serde(rename = "starting")]
     Booting,
-    /// Booted. Machines that failed less than about 30 s ago are also listed in this state.
+    /// The machine has booted. Machines that failed less than about 30 s ago are also listed in
+    /// this state.
     Running,
-    /// Stopped without a deletion request. The machine stays listed, at no charge, until it is
-    /// deleted.
+    /// The machine stopped without a deletion request. It stays listed, at no charge, until it
+    /// is deleted.
     Failed,
     /// A state that this version does not know.
     #[serde(other)]
@@ -104,7 +106,7 @@
 /// A rented machine in the cloud's list.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ListedMachine {
-    /// The machine's name.
+    /// The machine's name, as in the response to the rental request.
     #[serde(rename = "uid")]
     pub name: String,
     /// The `IP:port` of the machine's worker.
@@ -113,13 +115,13 @@
     /// The name of the machine's type.
     #[serde(rename = "build")]
     pub machine_type: String,
-    /// The machine's zone.
+    /// The name of the machine's zone.
     #[serde(rename = "yard")]
     pub zone: String,
     /// Whether the machine is a spot machine.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// The machine's state.
+    /// The machine's state at the time that the list describes.
     #[serde(rename = "stance")]
     pub state: ListedState,
     /// The machine's age in seconds: the time from the rental request to the time that the
--- a/crates/protocol/src/ids.rs
+++ b/crates/protocol/src/ids.rs
@@ -139,7 +139,7 @@
 /// The id of one attempt to run a task.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
-    /// The task.
+    /// The task that the attempt runs.
     pub task: TaskId,
     /// The attempt's number: the store revision at which the task was assigned to a shard for
     /// this attempt, so that no two attempts of a task share a number.
--- a/crates/protocol/src/jobs.rs
+++ b/crates/protocol/src/jobs.rs
@@ -58,7 +58,7 @@
     pub team: String,
     /// The kind of the job.
     pub shape: Shape,
-    /// The job's priority.
+    /// The job's priority, by which jobs are ordered and may preempt tasks of other jobs.
     #[serde(rename = "rank")]
     pub priority: Priority,
     /// The number of tasks. Task indices start at 0.
@@ -133,10 +133,10 @@
 /// cancellation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobStatus {
-    /// The job's id.
+    /// The job's id, as in [`JobSpec::id`].
     #[serde(rename = "uid")]
     pub job: String,
-    /// The job's state.
+    /// The job's state, derived from its tasks and from whether it was cancelled.
     #[serde(rename = "stance")]
     pub phase: StatusPhase,
     /// The number of tasks that are complete.
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,8 +1,7 @@
 //! The message formats and the settings format that rushwalk reads or writes.
 //!
-//! The platform's protocols have their own field names. Those appear only in this
-//! crate, as serde renames; the Rust names are used everywhere else. All types are
-//! plain data, so clients of the service can use this crate too.
+//! The platform's protocols have their own field names, which serde renames map to the
+//! Rust names. All types are plain data, so clients of rushwalk can use this crate too.
 
 #![deny(missing_docs)]
 
--- a/crates/protocol/src/peers.rs
+++ b/crates/protocol/src/peers.rs
@@ -29,7 +29,8 @@
     #[serde(default)]
     #[serde(rename = "late_ms")]
     pub lag_ms: u64,
-    /// The share of recent time in which the sender's thread was busy, in thousandths.
+    /// The share of time in which the sender's thread is busy, in thousandths: a moving average,
+    /// and 1000 until the sender knows it; 0 if the field is missing.
     #[serde(default)]
     #[serde(rename = "busy")]
     pub busy_permille: u16,
@@ -47,14 +48,15 @@
     #[serde(default)]
     #[serde(rename = "sights")]
     pub observations: Vec<PeerObservation>,
-    /// Shards that are leased to the sender although it receives no heartbeats from any of
-    /// their machines, while the heartbeats of too many are overdue to be explained by chance.
+    /// The shards that are leased to the sender but whose heartbeats don't reach it: more of
+    /// their machines are overdue than chance explains, and the sender has recently received no
+    /// heartbeat from any of their machines.
     #[serde(default)]
     #[serde(rename = "deaf")]
     pub unreachable_shards: Vec<String>,
     /// For each shard that is leased to another controller, the number of its workers that
-    /// sent a heartbeat to the sender within the last heartbeat interval. Shards without such
-    /// workers are omitted.
+    /// sent a heartbeat to the sender within the last heartbeat interval. Workers whose machines
+    /// have just booted are not counted, and shards without such workers are omitted.
     #[serde(default)]
     #[serde(rename = "strays")]
     pub misrouted_workers: Vec<MisroutedCount>,
@@ -79,7 +81,8 @@
     /// `None` if it has received none.
     #[serde(rename = "heard_ms")]
     pub contact_age_ms: Option<u64>,
-    /// Whether the observed controller's port refused the latest heartbeats.
+    /// Whether the observed controller's port refused the connections for the observer's latest
+    /// heartbeats.
     pub refused: bool,
 }
 
@@ -109,7 +112,7 @@
 /// A query for a job's status, sent by a controller that can't read the store.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct JobStatusQuery {
-    /// The job's id.
+    /// The id of the job to look up.
     #[serde(rename = "uid")]
     pub job: String,
 }
--- a/crates/protocol/src/settings.rs
+++ b/crates/protocol/src/settings.rs
@@ -17,7 +17,7 @@
     /// The `IP:port` at which the controller serves the other controllers.
     #[serde(rename = "mesh_addr")]
     pub peer_addr: String,
-    /// The other controllers.
+    /// The other controllers of the cluster; empty if there are none.
     #[serde(rename = "others", default)]
     pub peers: Vec<PeerSettings>,
     /// The addresses of the services that the controller calls.
@@ -43,9 +43,9 @@
 /// The addresses of the services that controllers call, each as `IP:port`.
 #[derive(Debug, Clone, Deserialize)]
 pub struct ServiceAddresses {
-    /// The cloud's API.
+    /// The address of the cloud's API.
     pub cloud: String,
-    /// The consensus-backed key-value store.
+    /// The address of the consensus-backed key-value store.
     #[serde(rename = "state")]
     pub store: String,
 }
@@ -61,7 +61,7 @@
     /// The teams whose users may submit jobs.
     #[serde(default)]
     pub teams: Vec<Team>,
-    /// The service-level objectives.
+    /// The service-level objectives of the jobs; empty if there are none.
     #[serde(default)]
     pub objectives: Vec<Objective>,
     /// The intervals and time limits of workers and their tasks.
@@ -81,7 +81,8 @@
 /// guarantee are borrowed from other teams.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Team {
-    /// The team's name.
+    /// The team's name, which [`JobSpec::team`](crate::jobs::JobSpec::team) refers to. It is
+    /// unique among the teams.
     pub name: String,
     /// The guarantee of CPU cores.
     #[serde(default)]
@@ -195,9 +196,9 @@
 /// The resource limits of a controller's process; 0 means unlimited.
 #[derive(Debug, Clone, Deserialize)]
 pub struct ProcessLimits {
-    /// CPU time, as a share of one core.
+    /// Maximum CPU time, as a share of one core.
     pub cpu_share: f64,
-    /// Memory in MB.
+    /// Maximum memory, in MB.
     pub mem_mb: f64,
     /// Maximum number of open sockets.
     pub fd_limit: f64,
--- a/crates/protocol/src/store.rs
+++ b/crates/protocol/src/store.rs
@@ -14,9 +14,9 @@
 /// A key with its value.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct KeyValue {
-    /// The key.
+    /// The full key, including the prefix under which it was listed.
     pub key: String,
-    /// The key's value.
+    /// The key's value, as unparsed JSON.
     #[serde(rename = "v")]
     pub value: Value,
     /// The revision of the key's last change.
@@ -41,7 +41,7 @@
 /// A condition of a transaction: it holds if the key has the given version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Condition {
-    /// The key.
+    /// The key whose version is compared.
     pub key: String,
     /// The required version; 0 if the key must not exist.
     #[serde(rename = "stamp")]
@@ -139,7 +139,7 @@
 /// The response to a granted [`LeaseRequest`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct LeaseGranted {
-    /// The lease's id.
+    /// The id of the granted lease.
     #[serde(rename = "tenure")]
     pub lease: u64,
 }
--- a/crates/protocol/src/worker.rs
+++ b/crates/protocol/src/worker.rs
@@ -19,7 +19,7 @@
     /// The task has ended or was refused, for the reason in [`TaskStatus::exit_cause`].
     #[serde(rename = "ended")]
     Exited,
-    /// A state that this version does not know. The task is on the machine.
+    /// A state that this version does not know. The task counts as being on the machine.
     #[serde(other)]
     Other,
 }
@@ -64,7 +64,7 @@
     /// The number of the attempt, see [`AttemptId`](crate::ids::AttemptId).
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// The task's state.
+    /// The task's state when the worker reported it.
     #[serde(rename = "stance")]
     pub phase: TaskPhase,
     /// The reason why the task ended or was refused; `None` until it has.
@@ -82,7 +82,7 @@
 /// (`session`, `sequence`) is the newer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The machine's name.
+    /// The name of the machine that the worker runs on.
     #[serde(rename = "rig")]
     pub machine: String,
     /// The worker's `IP:port` for direct commands and status queries.
@@ -91,7 +91,7 @@
     /// The name of the machine's type.
     #[serde(rename = "build", default)]
     pub machine_type: String,
-    /// The machine's zone.
+    /// The name of the machine's zone.
     #[serde(rename = "yard", default)]
     pub zone: String,
     /// Whether the machine is a spot machine.
@@ -108,7 +108,8 @@
     /// The highest fencing token that the worker has seen.
     #[serde(rename = "baton", default)]
     pub token: u64,
-    /// Seconds until the cloud reclaims the machine; `None` unless the cloud has announced it.
+    /// Seconds until the cloud reclaims the machine; `None` if the cloud has announced no
+    /// reclaim.
     #[serde(rename = "recallS", default)]
     pub notice_s: Option<f64>,
     /// All tasks on the machine. Exited tasks are included until a [`Command::Forget`].
@@ -124,7 +125,7 @@
     /// Start a task. The command has no effect if the worker already knows the attempt, even
     /// as refused or exited.
     Run {
-        /// The task's name.
+        /// The name of the task to start, see [`TaskId`](crate::ids::TaskId).
         #[serde(rename = "piece")]
         task: String,
         /// The number of the attempt, see [`AttemptId`](crate::ids::AttemptId).
@@ -135,7 +136,7 @@
     /// checkpoints and the grace period is long enough; otherwise it exits immediately. A
     /// second stop with a grace period of 0 ends a task that is saving.
     Stop {
-        /// The task's name.
+        /// The name of the task to stop, see [`TaskId`](crate::ids::TaskId).
         #[serde(rename = "piece")]
         task: String,
         /// The number of the attempt, see [`AttemptId`](crate::ids::AttemptId).
@@ -148,7 +149,7 @@
     },
     /// Remove an exited task from the worker, and so from its heartbeats.
     Forget {
-        /// The task's name.
+        /// The name of the task to remove, see [`TaskId`](crate::ids::TaskId).
         #[serde(rename = "piece")]
         task: String,
         /// The number of the attempt, see [`AttemptId`](crate::ids::AttemptId).
