--- a/crates/clients/src/cloud.rs
+++ b/crates/clients/src/cloud.rs
@@ -80,7 +80,9 @@
         self.get("/machine_types").await
     }
 
-    /// Rents machines. Callers must await [`CloudClient::wait_for_slot`] first.
+    /// Rents machines. Unlike the other calls, this one doesn't wait for a slot: callers must
+    /// await [`CloudClient::wait_for_slot`] first, and can decide after the wait whether they
+    /// still need the machines.
     ///
     /// The cloud responds with status 503 both if it is out of capacity and during an outage;
     /// only the response body distinguishes them. An outage is an error, as the outcome of
--- a/crates/clients/src/http.rs
+++ b/crates/clients/src/http.rs
@@ -28,8 +28,10 @@
     /// it out, or may still do so.
     #[error("no answer: {0}")]
     Unanswered(String),
-    /// The server responded with this status instead of success, so the request counts as not
-    /// carried out.
+    /// The server responded with this status instead of success. The service determines whether
+    /// it may have carried out the request: the store has not committed a transaction (see
+    /// [`CommitOutcome::Rejected`](crate::store::CommitOutcome::Rejected)), but the cloud may
+    /// have rented machines (see [`CloudClient::rent`](crate::cloud::CloudClient::rent)).
     #[error("status {0}")]
     Status(u16),
     /// The body of the response exceeds the client's size limit and was dropped.
@@ -58,9 +60,9 @@
 /// A request, with the time that its caller waits for the response.
 #[derive(Debug)]
 pub struct Request<'a> {
-    /// The server's address.
+    /// The address of the server to call.
     pub address: SocketAddr,
-    /// The HTTP method.
+    /// The HTTP method, such as `GET`.
     pub method: Method,
     /// The path and query of the URL.
     pub path: &'a str,
@@ -73,7 +75,7 @@
 /// A response of any status.
 #[derive(Debug)]
 pub struct Response {
-    /// The HTTP status.
+    /// The HTTP status, which may be an error status.
     pub status: StatusCode,
     /// The complete response body.
     pub body: Bytes,
@@ -99,7 +101,7 @@
 /// A response that a [`Transport`] returns.
 #[derive(Debug)]
 pub struct TransportResponse {
-    /// The HTTP status.
+    /// The HTTP status code; the call fails if it is not from 100 to 999.
     pub status: u16,
     /// The complete response body.
     pub body: Vec<u8>,
@@ -188,7 +190,8 @@
         self.pool.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes a usable idle connection to an address from the pool. Closed ones are dropped.
+    /// Takes a usable idle connection to an address from the pool. Connections that are closed or
+    /// not ready are dropped.
     fn take_idle(&self, address: SocketAddr) -> Option<Connection> {
         let mut pool = self.pool();
         while let Some(connection) = pool.take(address) {
--- a/crates/clients/src/idle_connections.rs
+++ b/crates/clients/src/idle_connections.rs
@@ -11,12 +11,12 @@
 const MAX_QUEUE_FACTOR: usize = 4;
 
 struct IdleConnection<T> {
-    /// Distinguishes the connections that were put into the pool.
+    /// The id is assigned when the connection is put into the pool, and differs each time.
     id: u64,
     connection: T,
 }
 
-/// Identifies a connection that was put into the pool.
+/// An entry of the eviction queue, which identifies a connection in the pool by its id.
 struct QueueEntry {
     address: SocketAddr,
     id: u64,
--- a/crates/clients/src/rate_limiter.rs
+++ b/crates/clients/src/rate_limiter.rs
@@ -76,8 +76,8 @@
         (amount.min(1.0) + reserve).min(self.burst())
     }
 
-    /// Takes `amount` tokens, if the bucket holds at least one token (or `amount`, if less) in
-    /// addition to `reserve`. Returns whether it took them.
+    /// Takes `amount` tokens if the bucket is full, or if it holds at least one token (or
+    /// `amount`, if less) in addition to `reserve`. Returns whether it took them.
     pub fn try_acquire(&mut self, amount: f64, reserve: f64, now: Instant) -> bool {
         self.refill(now);
         let available = self.tokens >= self.required_tokens(amount, reserve);
--- a/crates/clients/src/rate_limiter/tests.rs
+++ b/crates/clients/src/rate_limiter/tests.rs
@@ -33,7 +33,7 @@
         }
     }
     assert!(large.is_some_and(|step| step < 100), "{large:?}");
-    // The tokens that the rate gives in 10 s, and those of the full bucket at the start.
+    // The rate yields 40 tokens in 10 s, and the full bucket holds 4 more at the start.
     assert!((40..=44).contains(&(small + 14)), "{small}");
 }
 
--- a/crates/clients/src/workers.rs
+++ b/crates/clients/src/workers.rs
@@ -38,9 +38,9 @@
 }
 
 impl WorkerClient {
-    /// Creates a client that has at most `max_in_flight` command calls in flight (two if it is
-    /// less), and half as many status queries. Further calls would only occupy sockets that
-    /// other clients need.
+    /// Creates a client that limits the calls in flight: to `max_in_flight` command calls, but
+    /// at least two, and to half as many status queries, but at least one. Further calls would
+    /// only occupy sockets that other clients need.
     pub fn new(http: HttpClient, max_in_flight: usize) -> Self {
         WorkerClient {
             http,
@@ -53,8 +53,8 @@
     ///
     /// # Errors
     ///
-    /// [`Error::NotSent`] if `to` is not a valid address, or if too many calls stay in flight
-    /// until the timeout; [`Error::Status`] for any status other than 200 and 409; otherwise
+    /// [`Error::NotSent`] if `to` is not a valid address, or if the limit on command calls in
+    /// flight allows no call within the timeout; [`Error::Status`] for any status other than 200 and 409; otherwise
     /// the errors of [`HttpClient::call`].
     pub async fn command(
         &self,
@@ -89,8 +89,8 @@
     ///
     /// # Errors
     ///
-    /// [`Error::NotSent`] if `to` is not a valid address, or if too many calls stay in flight
-    /// until the timeout; otherwise the errors of [`HttpClient::json`].
+    /// [`Error::NotSent`] if `to` is not a valid address, or if the limit on status queries in
+    /// flight allows no call within the timeout; otherwise the errors of [`HttpClient::json`].
     pub async fn heartbeat(&self, to: &str, timeout: Duration) -> Result<Heartbeat, Error> {
         let address = parse_address(to)?;
         let permit = acquire_permit(&self.status_permits, timeout).await?;
