--- a/crates/rushwalk/src/capacity/boot_supervision.rs
+++ b/crates/rushwalk/src/capacity/boot_supervision.rs
@@ -13,7 +13,7 @@
 use tokio::time::Instant;
 
 /// Of the machines in a group that are all late alike, one in this many is abandoned per nominal
-/// boot time, as a trial whether a new machine boots faster.
+/// boot time, as a trial of whether a new machine boots faster.
 const LATE_PER_TRIAL: usize = 8;
 
 /// How long an abandoned machine counts as a sample, in nominal boot times since it was rented.
@@ -26,7 +26,7 @@
     sample: BootSample,
 }
 
-/// A machine that was abandoned only as a trial whether a new one boots faster.
+/// A machine that was abandoned only as a trial of whether a new one boots faster.
 struct Trial {
     group: BootGroup,
     /// When the machine was abandoned.
@@ -58,7 +58,7 @@
     trials: Vec<Trial>,
 }
 
-/// What the boot time of a machine depends on.
+/// The properties of a machine that determine its expected boot time.
 struct BootClass<'a> {
     /// The machines that should boot alike: those of the same type in the same zone.
     group: BootGroup,
@@ -102,9 +102,9 @@
         now_s + remaining_s.max(1.0)
     }
 
-    /// Computes the estimates anew from the machines in the cluster state and from those that
-    /// were abandoned. `heartbeat_s` is for how long a machine may be ready before a heartbeat
-    /// shows that.
+    /// Replaces the estimates with new ones, from the machines in the cluster state and from those
+    /// that were abandoned. `heartbeat_s` is the interval of worker heartbeats: a machine may have
+    /// been ready for that long before a heartbeat shows it.
     pub(crate) fn update(
         &mut self,
         state: &ClusterState,
@@ -180,7 +180,7 @@
     }
 
     /// Abandons some of the machines that are all late alike, the oldest rentals first. While
-    /// jobs wait, it is worth trying from time to time whether a new machine boots faster.
+    /// jobs wait, such trials show whether new machines boot faster by now.
     fn start_trials(&mut self, mut late: Vec<BootingMachine>, abandoned: &mut BTreeSet<MachineId>) {
         late.sort_by_key(|machine| (machine.group, machine.rented_ms));
         for machines in late.chunk_by(|a, b| a.group == b.group) {
@@ -227,8 +227,8 @@
     }
 }
 
-/// Whether a machine is booting in a shard whose owner is a registered member. In other shards no
-/// controller would receive its heartbeat, so that it may be ready already.
+/// Whether a machine is booting in a shard whose owner is a registered member. In any other shard
+/// no controller receives the machine's heartbeats, so it may be ready without being known to be.
 fn is_booting_in_owned_shard(state: &ClusterState, machine: &MachineRecord) -> bool {
     let lease = state.shard_leases.get(&machine.shard);
     machine.ready_ms.is_none()
--- a/crates/rushwalk/src/capacity/deletion.rs
+++ b/crates/rushwalk/src/capacity/deletion.rs
@@ -31,9 +31,10 @@
 }
 
 impl Deletion {
-    /// Deletes machines until the process ends. The call is made without delay if any of the
-    /// machines has tasks or if the call is full; otherwise there is at most one call a round,
-    /// since a call for one machine counts as much as one for a hundred.
+    /// Deletes machines until the process ends. A call is made without delay if any of its
+    /// machines has tasks or if it contains [`MAX_DELETE`] machines. Otherwise there is at most
+    /// one call per round, since the cloud's rate limit counts a call for one machine like a call
+    /// for a hundred.
     pub(crate) async fn run(self) {
         let mut last_call: Option<Instant> = None;
         loop {
@@ -84,7 +85,7 @@
     async fn delete(&self, machines: Vec<MachineId>) {
         let names = machines.iter().map(|id| id.to_string()).collect();
         if let Err(error) = self.parts.cloud.delete(names).await {
-            tracing::info!(%error, "deletion not confirmed");
+            tracing::info!(%error, "cloud did not confirm the deletion of machines");
             return;
         }
         let version = {
--- a/crates/rushwalk/src/capacity/inventory.rs
+++ b/crates/rushwalk/src/capacity/inventory.rs
@@ -17,11 +17,11 @@
 /// Interval between two reads of the machine types, in worker leases.
 const TYPES_INTERVAL_LEASES: u32 = 2;
 
-/// Listing the machines may take at most one in this many of the calls to the cloud.
+/// At most one in this many calls to the cloud may be for the machine list.
 const CALLS_PER_LIST_CALL: f64 = 10.0;
 
-/// By how many milliseconds, in addition to the clock skew, a rental may seem to have been
-/// requested after the creation of a machine that it brought.
+/// A machine can come from a rental although it seems to have been created before the request, by
+/// at most this many milliseconds in addition to the clock skew.
 const AGE_TOLERANCE_MS: UnixMillis = 2000;
 
 /// Reads the machine types and the machine list periodically while this process leads.
@@ -98,8 +98,8 @@
             .await
     }
 
-    /// Reads the machine list and commits the deletion of failed machines, and of machines that
-    /// are neither in the cluster state nor brought by an open rental.
+    /// Reads the machine list and commits which machines are to be deleted: those that have
+    /// failed, and those that are neither in the cluster state nor can come from an open rental.
     async fn reconcile_list(&self) {
         let listed = match self.list().await {
             Ok(listed) => listed,
@@ -172,7 +172,7 @@
         Some(Reconciliation { leader, mutations })
     }
 
-    /// Whether no open rental can have brought a listed machine. Machines younger than twice the
+    /// Whether a listed machine can't come from any open rental. Machines younger than twice the
     /// list's lag are never unexpected.
     fn is_unexpected(&self, state: &ClusterState, machine: &ListedMachine) -> bool {
         let site = &self.parts.context.settings.site;
@@ -192,7 +192,7 @@
 }
 
 /// Adds a listed machine to the cluster state with the lifecycle `Deleting`, so that it is
-/// returned to the cloud. It can come from a rental whose response was late.
+/// returned to the cloud. Such a machine can come from a rental whose response was late.
 fn adopt_to_delete(machine: &ListedMachine, shard: ShardId) -> Mutation {
     tracing::info!(
         machine = machine.name,
--- a/crates/rushwalk/src/capacity/machines.rs
+++ b/crates/rushwalk/src/capacity/machines.rs
@@ -22,13 +22,13 @@
 pub(crate) struct RoundBuilder<'c, 's> {
     /// Settings and timing of this process.
     pub context: &'c Context,
-    /// The cluster state.
+    /// The cluster state from which the rounds are built.
     pub state: &'s ClusterState,
     /// The machine types that the cloud offers.
     pub types: &'s MachineTypes,
     /// Names of all zones; the index of a zone in this list identifies it in the round.
     pub zones: Vec<Arc<str>>,
-    /// Estimates when booting machines become ready.
+    /// The estimates of when booting machines become ready.
     pub boot_supervisor: &'s BootSupervisor,
     /// The current time, in seconds since the Unix epoch.
     pub now_s: f64,
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Seconds that a machine rented now should take to boot.
+    /// Expected seconds from the request for a machine until it has booted.
     fn expected_boot_s(&self, type_index: usize, zone: usize, machine_type: &MachineType) -> f64 {
         self.boot_supervisor
             .boot_times()
--- a/crates/rushwalk/src/capacity/rentals.rs
+++ b/crates/rushwalk/src/capacity/rentals.rs
@@ -1,5 +1,4 @@
-//! Sends the rental requests that the leader has committed to the cloud, and commits their
-//! outcomes.
+//! Sends committed rental requests to the cloud, and commits their outcomes.
 
 use super::CloudLoopParts;
 use super::shard_allocation::ShardAllocator;
@@ -83,8 +82,8 @@
 }
 
 impl Rentals {
-    /// Requests open rentals concurrently, and commits the outcomes that have arrived together,
-    /// until the process ends.
+    /// Requests open rentals concurrently until the process ends. All outcomes that have arrived
+    /// since the last commit are committed together.
     pub(crate) async fn run(self) {
         let (responses, mut received) = mpsc::unbounded_channel::<RentalResponse>();
         loop {
@@ -163,7 +162,7 @@
         let outcome = if is_exhausted {
             Some(RentOutcome::OutOfCapacity)
         } else {
-            self.ask_cloud(&rental, &request, &kind).await
+            self.send_request(&rental, &request, &kind).await
         };
         if outcome.is_none() {
             sleep(self.parts.context.timing.round).await;
@@ -175,7 +174,7 @@
         }
     }
 
-    async fn ask_cloud(
+    async fn send_request(
         &self,
         rental: &RentalId,
         request: &RentalRequest,
@@ -211,14 +210,14 @@
             rented,
             requested,
             ?kind,
-            "rental answered"
+            "cloud responded to rental request"
         );
         self.record_response(kind, requested, rented);
         Some(outcome)
     }
 
-    /// Records the response to a request for the estimate of how many machines of a kind the
-    /// cloud has.
+    /// Updates the estimate of how many machines of a kind can be rented, after a response that
+    /// brought `rented` of `requested` machines.
     fn record_response(&self, kind: &InstanceKind, requested: u32, rented: u32) {
         let owned = self.parts.replica.state().count_of_kind(kind);
         let pause_s = PROBE_PAUSE_ROUNDS * self.parts.context.timing.round.as_secs_f64();
--- a/crates/rushwalk/src/capacity/scale_in.rs
+++ b/crates/rushwalk/src/capacity/scale_in.rs
@@ -12,7 +12,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Maximum number of machines that one round may empty.
+/// Maximum number of machines that one round may empty: the machines get no new tasks, and their
+/// services are moved to other machines.
 const MAX_EMPTIED: usize = 64;
 
 /// Machines whose most used resource is used by this share or more are not emptied.
@@ -29,11 +30,11 @@
 /// How long a machine of unknown type may be idle before it is drained, in seconds.
 const DEFAULT_IDLE_S: f64 = 60.0;
 
-/// How long no machine is emptied after a failed attempt, and no further services are moved after
-/// a move, as a share of the shortest nominal boot time of any type.
+/// The pause after a failed attempt to empty machines, and after a move of services before the next
+/// one, as a share of the shortest nominal boot time of any type.
 const PAUSE_BOOT_SHARE: f64 = 0.3;
 
-/// Upper limit of the shortest boot time from which that pause is computed, in seconds.
+/// Upper limit of the shortest nominal boot time to which [`PAUSE_BOOT_SHARE`] applies, in seconds.
 const MAX_SHORTEST_BOOT_S: f64 = 60.0;
 
 /// Chooses machines to remove. Its history is kept in memory only, so a new leader starts without
--- a/crates/rushwalk/src/capacity/scale_out.rs
+++ b/crates/rushwalk/src/capacity/scale_out.rs
@@ -28,9 +28,9 @@
 /// Which jobs a round has planned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum PlannedDemand {
-    /// Pending jobs only.
+    /// Only jobs that are pending now.
     Pending,
-    /// Pending and expected jobs.
+    /// Jobs that are pending now, and jobs that are expected to be submitted.
     PendingAndExpected,
 }
 
@@ -43,8 +43,8 @@
 
 impl ScaleOut {
     /// Decides rentals for the shortfall, limited to the calls that can be made until the next
-    /// round, less those in flight. If this round has taken longer (`took`) than the round
-    /// interval, the next one is as far away as that.
+    /// round, less those in flight. The time until the next round is taken to be the round
+    /// interval or, if that is longer, the duration `took` of this round.
     ///
     /// Without that limit, requests waited in a queue, many of them for kinds that had been
     /// refused meanwhile, and delayed the requests that were needed by then.
@@ -82,7 +82,7 @@
         mutations
     }
 
-    /// Updates the shortfall by that of a round, in which machines from index `for_pending` on
+    /// Updates the shortfall with that of a round, in which machines from index `for_pending` on
     /// are for expected jobs only. Expected jobs are not planned in every round, so their
     /// shortfall is kept until they are planned again.
     pub(crate) fn update_shortfall(
--- a/crates/rushwalk/src/capacity/scarcity.rs
+++ b/crates/rushwalk/src/capacity/scarcity.rs
@@ -1,5 +1,5 @@
-//! Price factors that keep scarce machines for the job classes that need them most. A machine
-//! kind is scarce if no more of it can be rented.
+//! Price factors that keep scarce machines for the job classes that need them most. Machines are
+//! scarce while their kind is exhausted, which means that no more of it can be rented.
 
 use rushwalk_protocol::jobs::JobSpec;
 use rushwalk_scheduler::Resources;
@@ -12,21 +12,23 @@
 /// Upper limit of a loss (see [`losses`]); the lower limit is its reciprocal.
 const MAX_LOSS: f64 = 4.0;
 
-/// A value each for the on-demand machines and for the spot instances of one machine type, in
-/// this order: price factors or, before these are computed, losses.
-type PriceFactors = [f64; 2];
+/// Two values for one machine type: the first for its on-demand machines, the second for its spot
+/// instances. They are losses (see [`losses`]) until [`losses_to_factors`] replaces them with price
+/// factors.
+type PurchaseOptionValues = [f64; 2];
 
-/// The price factors of each job class. Where no more machines of a kind can be rented in any
-/// zone, those in the fleet should run the classes for which the cheapest other kind would be the
-/// most expensive. For any other class they count as more expensive, by the ratio of the greatest
-/// loss of all classes to that of the class.
+/// The factors on the prices of machines for the jobs of each class, see
+/// [`PendingJob::price_bias`]. If no more machines of a type can be rented in any zone, those in
+/// the fleet should run the classes that lose most without them (see [`losses`]). For any class,
+/// their price is therefore multiplied by the greatest loss of all classes and divided by the loss
+/// of that class.
 pub(crate) struct PriceBias {
     /// By job class; the factors are indexed by machine type. Empty if no kind is exhausted.
-    by_class: BTreeMap<String, Vec<PriceFactors>>,
+    by_class: BTreeMap<String, Vec<PurchaseOptionValues>>,
 }
 
 impl PriceBias {
-    /// Computes the factors for the present state; there are none if no kind is exhausted.
+    /// Computes the factors from the current state; there are none if no kind is exhausted.
     pub(crate) fn new(
         state: &ClusterState,
         capacity: &CapacityEstimator,
@@ -38,7 +40,7 @@
                 by_class: BTreeMap::new(),
             };
         }
-        let mut by_class: BTreeMap<String, Vec<PriceFactors>> = BTreeMap::new();
+        let mut by_class: BTreeMap<String, Vec<PurchaseOptionValues>> = BTreeMap::new();
         for arrivals in state.arrivals.values() {
             if let Some(latest) = arrivals.back() {
                 let losses = losses(&latest.spec, types, &exhausted);
@@ -81,7 +83,11 @@
 /// How much more a job's tasks would cost without a machine type: the lowest cost of a task among
 /// the kinds that are not exhausted, divided by its cost on this type. It is limited to the range
 /// from `1 / MAX_LOSS` to `MAX_LOSS`, and 1 for a type that the job can't use.
-fn losses(spec: &JobSpec, types: &MachineTypes, exhausted: &[[bool; 2]]) -> Vec<PriceFactors> {
+fn losses(
+    spec: &JobSpec,
+    types: &MachineTypes,
+    exhausted: &[[bool; 2]],
+) -> Vec<PurchaseOptionValues> {
     let kinds =
         (0..types.types.len()).flat_map(|type_index| [(type_index, false), (type_index, true)]);
     let available = kinds.filter(|(type_index, spot)| !exhausted[*type_index][usize::from(*spot)]);
@@ -120,9 +126,9 @@
 
 /// The greatest loss of any class, for each machine type.
 fn greatest_losses<'a>(
-    losses: impl Iterator<Item = &'a Vec<PriceFactors>>,
+    losses: impl Iterator<Item = &'a Vec<PurchaseOptionValues>>,
     types: usize,
-) -> Vec<PriceFactors> {
+) -> Vec<PurchaseOptionValues> {
     let mut greatest = vec![[0.0f64; 2]; types];
     for class_losses in losses {
         for (greatest, loss) in greatest.iter_mut().zip(class_losses) {
@@ -136,8 +142,8 @@
 /// Converts the losses of a class into price factors; the factor of a kind that is not exhausted
 /// is 1.
 fn losses_to_factors(
-    losses: &mut [PriceFactors],
-    greatest: &[PriceFactors],
+    losses: &mut [PurchaseOptionValues],
+    greatest: &[PurchaseOptionValues],
     exhausted: &[[bool; 2]],
 ) {
     for (type_index, factors) in losses.iter_mut().enumerate() {
--- a/crates/rushwalk/src/capacity/shard_allocation.rs
+++ b/crates/rushwalk/src/capacity/shard_allocation.rs
@@ -14,7 +14,8 @@
 const MIN_CONTROLLERS: usize = 3;
 
 /// The maximum number of machines in a shard is never lower than this, however many controllers
-/// there are: smaller shards would need more leases than the store takes writes for.
+/// there are: smaller shards would need so many leases that writing them would exceed the store's
+/// write limit.
 const MIN_SHARD_SIZE: usize = 32;
 
 /// Maximum number of machines in a shard. It is large enough that few leases cover the fleet, and
