--- a/crates/rushwalk/src/http/admin/status_response.rs
+++ b/crates/rushwalk/src/http/admin/status_response.rs
@@ -25,10 +25,10 @@
     cluster: ClusterStatus<'a>,
     #[serde(flatten)]
     process: ProcessStatus,
-    /// The other controllers, as this one's failure detector sees them.
+    /// The health of the other controllers, as judged by this one's failure detector.
     #[serde(rename = "standings")]
     peers: Vec<PeerStatus>,
-    /// Empty unless this controller leads.
+    /// The pending jobs by reason; empty unless this controller leads.
     #[serde(rename = "waiting")]
     pending: Vec<PendingJobs<'a>>,
 }
@@ -109,7 +109,7 @@
     machines: usize,
 }
 
-/// What the machines of a group have in common.
+/// The properties that all machines of a group share.
 #[derive(Serialize, PartialEq, Eq, PartialOrd, Ord)]
 struct MachineGroupKey<'a> {
     zone: &'a str,
@@ -131,7 +131,7 @@
     /// Machines that accept no new tasks, because they are draining or to be deleted.
     #[serde(rename = "leaving")]
     draining: usize,
-    /// Machines without tasks.
+    /// Machines to which no task is assigned.
     idle: usize,
     /// Tasks assigned to any machine of the group.
     tasks: usize,
@@ -157,7 +157,7 @@
 }
 
 impl<'a> StatusResponse<'a> {
-    /// The status of a controller with `state`, its copy of the cluster's state.
+    /// The status of a controller whose replica holds `state`.
     pub(super) fn new(
         controller: &'a Controller,
         state: &'a ClusterState,
@@ -174,7 +174,7 @@
             pending: if is_leader {
                 pending_jobs(controller)
             } else {
-                // Only the leader schedules, so only it knows why a job is pending.
+                // Only the leader runs scheduling rounds, which find why a job is pending.
                 Vec::new()
             },
         }
--- a/crates/rushwalk/src/http/admission.rs
+++ b/crates/rushwalk/src/http/admission.rs
@@ -8,10 +8,10 @@
 //! number of connections that are admitted in one pass of the event loop depends on how long
 //! passes take.
 //!
-//! Other connections are accepted from the kernel and queued here, and the newest is served
-//! first. When they were served in order of arrival, the clients of two in five had already given
-//! up, and the users' health probe waited behind them until its controller counted as failed.
-//! Connections that are queued for longer than clients wait are dropped.
+//! Connections beyond that number are accepted from the kernel and queued here, and the newest is
+//! served first. When they were served in order of arrival, two in five were served only after
+//! their clients had given up, and the users' health probe waited behind them until its controller
+//! counted as failed. Connections that are queued for longer than clients wait are dropped.
 
 mod pacer;
 
--- a/crates/rushwalk/src/http/forwarding.rs
+++ b/crates/rushwalk/src/http/forwarding.rs
@@ -31,9 +31,9 @@
 pub(super) struct PeerForwarder {
     /// Settings and timing of this process.
     pub context: Arc<Context>,
-    /// Shows which peers are healthy.
+    /// The failure detector, which tells which peers are healthy and have read the store.
     pub peers: Arc<PeerMonitor>,
-    /// Calls the peers.
+    /// The client that sends requests to peers.
     pub client: PeerClient,
 }
 
--- a/crates/rushwalk/src/http/peers.rs
+++ b/crates/rushwalk/src/http/peers.rs
@@ -15,7 +15,8 @@
 };
 use std::sync::Arc;
 
-/// A submission in CBOR takes at most this many times its own size.
+/// Upper bound of the size of a forwarded submission, as a multiple of the size of its body. CBOR
+/// encodes the body as an array of numbers, each of which takes up to two bytes.
 const MAX_CBOR_EXPANSION: usize = 4;
 
 /// The dependencies of the peer interface.
--- a/crates/rushwalk/src/http/public.rs
+++ b/crates/rushwalk/src/http/public.rs
@@ -17,7 +17,7 @@
 pub(super) struct PublicApi {
     /// Carries out users' requests.
     pub user_requests: UserRequests,
-    /// Answers workers' heartbeats.
+    /// Updates the worker sessions by heartbeats and builds the responses to them.
     pub heartbeats: HeartbeatHandler,
     /// Shows the staleness of the other controllers, for the health check.
     pub peers: Arc<PeerMonitor>,
--- a/crates/rushwalk/src/http/user_requests.rs
+++ b/crates/rushwalk/src/http/user_requests.rs
@@ -31,7 +31,7 @@
 /// than the pause between two reads of an idle controller.
 const STORE_UNREACHABLE_ROUNDS: u32 = 4;
 
-/// The reason for which users are asked to retry when the store does not answer.
+/// The error message to users if the store does not respond.
 const STORE_UNAVAILABLE: &str = "the state service does not answer";
 
 /// Carries out users' requests.
@@ -43,9 +43,9 @@
     pub replica: Arc<Replica>,
     /// Checks that a submission is small enough to be stored.
     pub log: Arc<LogWriter>,
-    /// Commits users' writes.
+    /// The queue through which users' writes are committed.
     pub writes: UserWrites,
-    /// Knows when the write budget allows the next write, for `Retry-After`.
+    /// Computes when the write budget allows the next write, for `Retry-After`.
     pub committer: Arc<Committer>,
     /// Forwards requests that can't be carried out here.
     pub forwarder: PeerForwarder,
@@ -106,9 +106,9 @@
         if let Some(status) = final_status {
             return json(StatusCode::OK, &status);
         }
-        // If this controller can't reach the store, a peer's read is as good and comes sooner. If
-        // the store is only slow, a peer's read may come sooner, and the local one is awaited for
-        // as long as the user waits.
+        // If this controller can't reach the store, a peer's read is equally valid and completes
+        // sooner. If the store is only slow, a peer's read may complete sooner, and the local read
+        // continues for nearly as long as the user waits.
         let round = self.context.timing.round;
         let (hedge_delay, max_wait) = if self.is_store_unreachable() {
             (round / 10, round / 10)
@@ -179,14 +179,15 @@
         }
     }
 
-    /// Whether this controller has not read the store for longer than an idle controller pauses
-    /// between two reads.
+    /// Whether this controller's last read of the store is older than the pause between two reads
+    /// of an idle controller.
     fn is_store_unreachable(&self) -> bool {
         self.replica.staleness() > self.context.timing.round * STORE_UNREACHABLE_ROUNDS
     }
 
     /// The response of a peer that carries the request out in place of this controller; status
-    /// 503 if no peer could.
+    /// 503 if no peer could. A peer's response with status 429 is replaced by that of this
+    /// controller, since `Retry-After` is not forwarded.
     async fn forward_or_reject(&self, request: &ForwardedRequest) -> Response {
         let Some(response) = self.forwarder.forward(request).await else {
             return self.reject_unavailable(STORE_UNAVAILABLE);
@@ -242,12 +243,12 @@
         self.replica.state().knows_job(job)
     }
 
-    /// Returns a job if the cluster can ever run it, and store it.
+    /// Returns `spec` if the cluster can ever run the job, and the store can hold its record.
     ///
     /// # Errors
     ///
-    /// A rejection with status 422 if it can't, and [`SubmissionError::TypesUnknown`] if that
-    /// can't be decided yet.
+    /// A rejection with status 422 if not, and [`SubmissionError::TypesUnknown`] if the machine
+    /// types were not read yet.
     fn check(&self, spec: JobSpec) -> Result<JobSpec, SubmissionError> {
         let Some(types) = self.replica.state().machine_types.clone() else {
             return Err(SubmissionError::TypesUnknown);
@@ -288,8 +289,8 @@
         if let Err(response) = self.write(submit).await {
             return response;
         }
-        // If the job was known already, its first submission counts: its status is returned as it
-        // is.
+        // If the job was known already, this submission has no effect, and the response is the
+        // status of the job as first submitted.
         tracing::info!(job, class, tasks, "job accepted");
         let status = self.replica.state().job_status(&job);
         match status {
@@ -346,14 +347,14 @@
         error_with_retry_after(StatusCode::TOO_MANY_REQUESTS, "too many requests", wait)
     }
 
-    /// The response if the store can't be reached, or a change is not applied yet. `Retry-After`
-    /// is a quarter of a round, within which that is tried again.
+    /// The response if the store can't be reached, or if the replica lacks a change that is needed.
+    /// `Retry-After` is a quarter of a round, the pause after which a failed watch of the store is
+    /// repeated.
     pub(super) fn unavailable(&self, reason: &str) -> Response {
         unavailable(&self.context, reason)
     }
 
-    /// The same as [`Self::unavailable`] for a final response to a user, which is counted as a
-    /// rejection.
+    /// Returns [`Self::unavailable`] as the final response to a user, and counts it as a rejection.
     fn reject_unavailable(&self, reason: &str) -> Response {
         self.rejections.record();
         self.unavailable(reason)
