--- a/crates/rushwalk/src/connections.rs
+++ b/crates/rushwalk/src/connections.rs
@@ -2,9 +2,9 @@
 //! closed first when the limit is reached.
 //!
 //! The limit leaves file descriptors for the calls that the controller itself must make: without
-//! contact to the key-value store, the cloud and its workers it can keep no guarantee. At the
-//! limit connections are closed in this order: idle ones of users, the longest idle first, then
-//! those of workers that no longer send heartbeats.
+//! contact to the key-value store, the cloud and its workers it can't keep its guarantees. At the
+//! limit, connections are closed in this order: those of users that are idle, the longest idle
+//! first, then those of workers that no longer send heartbeats.
 //!
 //! A machine that fails does not close its connections, so any connection that is idle for as
 //! long as a worker lease is closed even below the limit. Without this, when a third of the
@@ -49,7 +49,7 @@
 /// How many connections are open at the public address, as the administration API shows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct ConnectionCounts {
-    /// All open connections.
+    /// All open connections, of users and workers.
     pub open: usize,
     /// Open connections through which a worker has sent a heartbeat.
     pub workers: usize,
@@ -64,7 +64,8 @@
     /// Whether the table has closed the connection; it stays in the table until the stream is
     /// dropped.
     closed: AtomicBool,
-    /// Wakes the task that waits to read from the connection; `None` if none has waited yet.
+    /// The waker of the task that last waited to read from the connection; `None` before the
+    /// first wait, and once the connection is closed.
     reader: Mutex<Option<Waker>>,
 }
 
--- a/crates/rushwalk/src/observability/incidents.rs
+++ b/crates/rushwalk/src/observability/incidents.rs
@@ -14,7 +14,7 @@
     /// The key-value store has answered no read for several scheduling rounds.
     #[serde(rename = "state_out_of_reach")]
     StoreUnreachable,
-    /// No controller leads.
+    /// No controller leads, according to this controller's replica of the cluster state.
     NoLeader,
     /// A shard with machines has no owner, so that no tasks are placed on these machines.
     #[serde(rename = "blocks_without_holder")]
--- a/crates/rushwalk/src/observability/rejections.rs
+++ b/crates/rushwalk/src/observability/rejections.rs
@@ -2,14 +2,15 @@
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// The number of responses to users with status 429 or 503 since it was last taken.
+/// The number of responses to users with status 429 or 503 since the last
+/// [`RejectionCounter::take`].
 #[derive(Debug, Default)]
 pub struct RejectionCounter {
     rejected: AtomicU64,
 }
 
 impl RejectionCounter {
-    /// Counts one such response.
+    /// Counts one response to a user with status 429 or 503.
     pub fn record(&self) {
         self.rejected.fetch_add(1, Ordering::Relaxed);
     }
--- a/crates/rushwalk/src/observability/runtime_lag.rs
+++ b/crates/rushwalk/src/observability/runtime_lag.rs
@@ -1,6 +1,6 @@
 //! Whether the event loop, which is this controller's only thread, keeps up with its work.
 //!
-//! The lag is measured by how late timers fire, which shows overload from any cause: too many
+//! The lag is the delay with which timers fire, which shows overload from any cause: too many
 //! clients, an exhausted CPU quota, or a task that runs for long without yielding. While the loop
 //! lags, optional work is left out. Without this, after a restart of all controllers, each of
 //! them asked thousands of workers for heartbeats that the workers would have sent anyway. The
@@ -24,25 +24,25 @@
 /// While the event loop lags, a task sleeps for this many times the duration of its time slice.
 const YIELD_FACTOR: u32 = 3;
 
-/// The lag of the event loop, measured by how late its timers fire.
+/// The lag of the event loop, which is the delay with which its timers fire.
 pub struct RuntimeLag {
     /// The time between two samples.
     interval: Duration,
     lag: Mutex<Lag>,
-    /// Added to each sample; zero except in simulations.
+    /// The lag that is added to each sample; zero except in simulations.
     simulated: Mutex<Duration>,
 }
 
 #[derive(Default)]
 struct Lag {
-    /// See [`RuntimeLag::recent_lag`].
+    /// The value of [`RuntimeLag::recent_lag`].
     recent: Duration,
-    /// See [`RuntimeLag::mean_lag`].
+    /// The value of [`RuntimeLag::mean_lag`].
     mean: Duration,
 }
 
 impl RuntimeLag {
-    /// A measurement with one sample in each `interval`, taken by [`RuntimeLag::sampling_loop`].
+    /// Creates a record without lag. [`RuntimeLag::sampling_loop`] takes one sample per `interval`.
     pub fn new(interval: Duration) -> RuntimeLag {
         RuntimeLag {
             interval,
--- a/crates/rushwalk/src/observability/runtime_lag/tests.rs
+++ b/crates/rushwalk/src/observability/runtime_lag/tests.rs
@@ -14,8 +14,8 @@
     assert!(!lag.is_lagging());
 }
 
-/// A controller slowed down to an eighth of its speed was late in two samples of three, so that
-/// it often seemed to be on time by the latest ones.
+/// Fault: a controller that ran at an eighth of its speed was late in only two of three samples, so
+/// by its recent lag it often seemed to be on time.
 #[test]
 fn intermittent_lag_shows_in_the_mean() {
     let lag = RuntimeLag::new(Duration::from_millis(100));
