--- a/crates/testkit/src/fault.rs
+++ b/crates/testkit/src/fault.rs
@@ -7,7 +7,8 @@
     /// The controller's process has ended: users and workers get no response from it, and it
     /// refuses connections of other controllers.
     ControllerStopped(usize),
-    /// The controller's process is suspended: all messages to and from it are lost.
+    /// Simulates a suspended process: all messages to and from the controller are lost, while
+    /// its background tasks go on running.
     ControllerFrozen(usize),
     /// The store refuses this controller's requests with status 503. Open watches stay open.
     StoreUnreachable(usize),
@@ -39,7 +40,8 @@
     /// Heartbeats of this machine arrive; responses to them and controllers' direct requests
     /// to the machine are lost.
     MachineInboundLoss(usize),
-    /// This machine's heartbeats are lost; controllers' direct requests reach it.
+    /// This machine's heartbeats are lost; controllers' direct requests reach it, and its
+    /// responses to them arrive.
     MachineOutboundLoss(usize),
     /// No message passes to or from this machine.
     MachinePartitioned(usize),
@@ -49,6 +51,7 @@
     /// Workers of machines that are rented while the fault is active never start.
     BootsFail,
     /// No message passes between this zone, an index into `ZONES`, and everything else (other
-    /// zones, users, store and cloud): its controllers reach the workers of the zone only.
+    /// zones, users, store and cloud): its controllers reach only each other and the zone's
+    /// workers.
     ZonePartitioned(usize),
 }
--- a/crates/testkit/src/machine_type.rs
+++ b/crates/testkit/src/machine_type.rs
@@ -3,7 +3,7 @@
 /// A machine type and its price.
 #[derive(Debug, Clone, Copy)]
 pub struct MachineType {
-    /// The name that rental requests give.
+    /// Name of the type in rental requests, in the machine list and in workers' heartbeats.
     pub label: &'static str,
     /// CPUs of a machine.
     pub cpus: f64,
--- a/crates/testkit/src/platform.rs
+++ b/crates/testkit/src/platform.rs
@@ -1,8 +1,8 @@
 //! The simulated platform that the controllers run on, and the methods by which a test
 //! injects faults into it, configures it and reads its state.
 //!
-//! Submodules implement what controllers, users and workers send requests to: `network`
-//! (messages between them), `store_service` and `cloud_service`.
+//! The submodule `network` carries messages between controllers, users and workers;
+//! `store_service` and `cloud_service` serve controllers' requests to the store and the cloud.
 
 mod cloud_service;
 mod event_log;
@@ -49,7 +49,6 @@
     user_endpoints: Mutex<Vec<Option<NamedEndpoint>>>,
     /// Interface for other controllers, by controller; `None` until it is registered.
     peer_endpoints: Mutex<Vec<Option<Endpoint>>>,
-    /// Active faults.
     faults: Mutex<HashSet<Fault>>,
     /// Names of the rented machines by request id: a repeated rental request gets the same
     /// machines.
@@ -74,8 +73,9 @@
 }
 
 impl SimulatedPlatform {
-    /// A platform for a number of controllers, without machines. Workers send a heartbeat each
-    /// `heartbeat_interval`, and drop their tasks after `worker_lease` without a response.
+    /// A platform without machines, for controllers with the indexes 0 to `controllers` - 1.
+    /// Workers send a heartbeat each `heartbeat_interval`, and drop their tasks after
+    /// `worker_lease` without a response.
     /// `seed` determines all random draws.
     pub fn new(
         controllers: usize,
@@ -165,8 +165,7 @@
         lock(&self.store).retained_changes = changes;
     }
 
-    /// Number of puts and deletions sent to the store so far, also by transactions whose
-    /// conditions failed.
+    /// Number of puts and deletions sent to the store so far, see [`Store::write_count`].
     pub fn write_count(&self) -> usize {
         lock(&self.store).write_count
     }
@@ -202,7 +201,8 @@
         lock(&self.machine_types).push(machine_type);
     }
 
-    /// Limits the number of existing machines in a zone. Those above the limit stay.
+    /// Limits how many machines may exist in a zone at the same time. Machines that already
+    /// exceed the limit are kept.
     pub fn limit_zone(&self, zone: &str, machines: usize) {
         lock(&self.zone_limits).insert(zone.into(), machines);
     }
@@ -227,7 +227,7 @@
         });
     }
 
-    /// Deletes a machine; its tasks end without an exit status.
+    /// Deletes a machine; its tasks end, and no heartbeat reports their exit.
     pub fn delete_machine(&self, name: &str) {
         let mut workers = self.workers();
         for worker in workers.iter_mut().filter(|worker| worker.name == name) {
@@ -237,8 +237,8 @@
         }
     }
 
-    /// Checks the invariants that the mere passage of time can violate: the deadline of
-    /// cancellations and the limit of jobs' waiting time.
+    /// Checks the invariants that are violated when too much time passes: the deadline of
+    /// cancellations and the limit of jobs' waiting time. To be called about once per second.
     pub fn check_invariants(&self) {
         let workers = self.workers();
         let mut checker = self.checker();
@@ -253,7 +253,7 @@
     }
 
     /// Whether a machine's worker has started, the machine is neither deleted nor about to be
-    /// reclaimed, and no fault of its own cuts it off from the controllers.
+    /// reclaimed, and no fault of this machine loses or delays its messages.
     fn is_usable(&self, index: usize, worker: &Worker) -> bool {
         let faults = [
             Fault::MachineFrozen(index),
--- a/crates/testkit/src/platform/cloud_service.rs
+++ b/crates/testkit/src/platform/cloud_service.rs
@@ -11,12 +11,12 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Rental requests by their result.
+/// Numbers of rental requests by their result.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct RentalCounts {
     /// Requests that got machines, repetitions of fulfilled requests included.
     pub fulfilled: usize,
-    /// Requests refused because the zone was at its limit.
+    /// Requests refused because the zone was at its limit, repetitions included.
     pub refused: usize,
 }
 
@@ -99,7 +99,7 @@
         started.map(|worker| worker.name.clone()).collect()
     }
 
-    /// Number of machines that the zone's limit still allows.
+    /// Number of further machines that the zone's limit allows; `usize::MAX` without a limit.
     fn free_in_zone(&self, workers: &[Worker], zone: &str) -> usize {
         let existing = workers
             .iter()
--- a/crates/testkit/src/platform/event_log.rs
+++ b/crates/testkit/src/platform/event_log.rs
@@ -1,11 +1,11 @@
-//! Log of the platform's events, which allows to compare two runs.
+//! Log of the platform's events, by which a test can compare two runs.
 
 use crate::lock;
 use std::sync::Mutex;
 use tokio::time::Instant;
 
-/// Lines of events, each with its time since the platform's start. `lines` is `None` while
-/// the recording is off.
+/// Recorded events, one line each, which begins with the time since the platform's start.
+/// `lines` is `None` while the recording is off.
 pub(super) struct EventLog {
     platform_start: Instant,
     lines: Mutex<Option<Vec<String>>>,
--- a/crates/testkit/src/platform/http_response.rs
+++ b/crates/testkit/src/platform/http_response.rs
@@ -3,12 +3,12 @@
 use rushwalk_clients::http::TransportResponse;
 use serde::Serialize;
 
-/// An HTTP response.
+/// An HTTP response of the store, the cloud, a worker or a controller.
 #[derive(Debug)]
 pub struct HttpResponse {
-    /// The status code.
+    /// The HTTP status code, such as 200.
     pub status: u16,
-    /// The whole body.
+    /// The complete body; empty if the response has none.
     pub body: Vec<u8>,
 }
 
--- a/crates/testkit/src/platform/network.rs
+++ b/crates/testkit/src/platform/network.rs
@@ -39,7 +39,8 @@
 
 /// Path to which workers send heartbeats.
 const HEARTBEAT_PATH: &str = "/agent/beat";
-/// Time that a heartbeat without a response takes: a worker's timeout.
+/// Time until a heartbeat to an unreachable controller fails; equal to the time for which a
+/// worker waits for the response.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(4);
 /// Delay of the error that a controller's client gets when there is no response; longer than
 /// any client's timeout.
@@ -174,7 +175,9 @@
         response
     }
 
-    /// Sends a delayed copy of a heartbeat or records it, if the faults for that are active.
+    /// Sends a delayed copy of a heartbeat with probability 1/2 while
+    /// [`Fault::HeartbeatsDuplicated`] is active, and records it while
+    /// [`Fault::HeartbeatsRecorded`] is active.
     fn copy_heartbeat(&self, controller: usize, body: &[u8]) {
         if self.is_active(Fault::HeartbeatsDuplicated) && self.one_in(2) {
             let delay = self.random_ms(2_000, 60_000);
@@ -305,8 +308,8 @@
     pub platform: Arc<SimulatedPlatform>,
     /// Index of the controller that sends the requests.
     pub controller: usize,
-    /// Whether the controller process that owns this transport runs. Stays false after its
-    /// end, also when a new process is started under the same index.
+    /// Whether the controller process that owns this transport runs. The owner sets it to false
+    /// when the process ends; a new process under the same index gets a transport of its own.
     pub alive: Arc<AtomicBool>,
 }
 
@@ -342,8 +345,8 @@
         let (platform, controller) = (self.platform.clone(), self.controller);
         let alive = self.alive.clone();
         let (response_sender, response) = oneshot::channel();
-        // Runs in a task of its own, so that the request is still processed, possibly late,
-        // after its sender has stopped waiting.
+        // The request runs in a separate Tokio task, so that it is still processed, possibly
+        // late, after its sender has stopped waiting.
         tokio::spawn(async move {
             let connected = || {
                 alive.load(Ordering::Relaxed)
--- a/crates/testkit/src/platform/store_service.rs
+++ b/crates/testkit/src/platform/store_service.rs
@@ -19,10 +19,10 @@
 
 /// Delay of each request to the store.
 const LATENCY: Duration = Duration::from_millis(5);
-/// Interval at which an open watch looks for changes, and at which watches and delayed commits
-/// look for the end of an outage.
+/// Interval at which an open watch checks for changes, and at which watches and delayed commits
+/// check whether an outage has ended.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Delay of a commit's response that counts as lost; longer than any client's timeout.
+/// Delay of a commit's response that is to be lost; longer than any client's timeout.
 const LOST_RESPONSE_DELAY: Duration = Duration::from_secs(60);
 
 /// Parameters of a request's query string.
@@ -142,8 +142,8 @@
         }
     }
 
-    /// The delay of a commit, by request of a test or else by a random draw while a fault
-    /// that delays commits is active; `None` if it is not delayed.
+    /// The delay of a commit: one that a test requested, otherwise a random one if a fault that
+    /// delays commits is active and selects this commit; `None` if the commit is not delayed.
     fn commit_delay(&self, body: &[u8]) -> Option<Duration> {
         let drawn = self.is_active(Fault::FewCommitsDelayed) && self.one_in(12)
             || self.is_active(Fault::ManyCommitsDelayed) && self.one_in(4);
--- a/crates/testkit/src/store.rs
+++ b/crates/testkit/src/store.rs
@@ -11,7 +11,7 @@
 /// Why a transaction was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CommitError {
-    /// A write refers to a lease that does not exist, or no longer does.
+    /// A write refers to a lease that was never granted or has expired.
     UnknownLease,
     /// A key's version differs from the one that the transaction expects.
     ConditionFailed,
@@ -29,9 +29,9 @@
 
 struct StoredValue {
     value: Value,
-    /// The store's revision at the last put.
+    /// The store's revision when the key was last put.
     version: u64,
-    /// Id of the lease whose expiry deletes the key.
+    /// Id of the lease whose expiry deletes the key; `None` if the key is not attached to one.
     lease: Option<u64>,
 }
 
@@ -51,16 +51,18 @@
     }
 }
 
-/// The store's state.
+/// The store's keys, leases and change history. Initially empty.
 #[derive(Default)]
 pub struct Store {
-    /// Number of the latest change; 0 before the first. Incremented by each committed
-    /// transaction and by each key that an expired lease deletes.
+    /// The current revision; 0 before the first change. Incremented once by each committed
+    /// transaction, whatever its number of writes, and by each key that an expired lease
+    /// deletes.
     pub revision: u64,
-    /// Puts and deletions received so far, also of transactions whose conditions failed. The
-    /// platform limits their number per second.
+    /// Number of puts and deletions received so far, also of transactions whose conditions
+    /// failed, but not of those that refer to an unknown lease. This store doesn't limit their
+    /// rate.
     pub write_count: usize,
-    /// Number of latest changes that a new watch can still get; 0 means all.
+    /// Number of the latest changes (puts and deletions) that watches can read; 0 means all.
     pub retained_changes: usize,
     entries: BTreeMap<String, StoredValue>,
     events: Vec<WatchEvent>,
@@ -97,7 +99,7 @@
         self.last_lease_id
     }
 
-    /// Renews a lease; returns false if it does not exist, or no longer does.
+    /// Renews a lease for its full TTL; returns false if it was never granted or has expired.
     pub fn renew_lease(&mut self, id: u64) -> bool {
         let lease = self.leases.get_mut(&id);
         lease.map(Lease::renew).is_some()
@@ -106,7 +108,8 @@
     /// Applies a transaction, and returns the new revision.
     ///
     /// # Errors
-    /// If a write refers to a lease that does not exist, or if a condition fails.
+    /// If a write refers to a lease that was never granted or has expired, or if a condition
+    /// fails.
     pub fn commit(&mut self, transaction: &Transaction) -> Result<u64, CommitError> {
         let mut leases = transaction.writes.iter().filter_map(|write| write.lease);
         if leases.any(|id| !self.leases.contains_key(&id)) {
@@ -159,7 +162,7 @@
         });
     }
 
-    /// All keys that start with `prefix` and sort after `after`, in one page.
+    /// All keys that start with `prefix` and sort after `after`, with their values, in one page.
     pub fn list(&self, prefix: &str, after: &str) -> KeyValuePage {
         let entries = self
             .entries
@@ -193,7 +196,8 @@
         })
     }
 
-    /// The revision of the latest change that is no longer retained.
+    /// The revision of the latest change that is no longer retained; `None` if all changes are
+    /// retained.
     fn compacted_revision(&self) -> Option<u64> {
         if self.retained_changes == 0 {
             return None;
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -19,15 +19,15 @@
 
 /// A rented machine and its worker.
 pub struct Worker {
-    /// The machine's name.
+    /// The machine's name: `i-` and the machine's index with six digits.
     pub name: String,
-    /// The machine's zone.
+    /// The zone that the rental request named.
     pub zone: String,
-    /// The machine's type.
+    /// The machine's type, which determines its capacity.
     pub machine_type: MachineType,
-    /// Whether it is a spot instance.
+    /// Whether the machine is a spot instance.
     pub spot: bool,
-    /// When the cloud reclaims it; `None` if the cloud has given no notice.
+    /// When the cloud reclaims the machine; `None` if the cloud has given no notice.
     pub reclaim_at: Option<Instant>,
     /// Address (host:port) at which the worker serves controllers' direct requests.
     pub address: String,
@@ -41,8 +41,9 @@
     /// Tasks that run, and exited ones until a controller acknowledges their exit with a
     /// `Forget` command.
     pub tasks: Vec<WorkerTask>,
-    /// Start of the lease: when the last heartbeat that got a current response was sent.
-    /// Before that the end of the boot, or the time of the last restart.
+    /// Start of the worker lease: when the worker sent the last heartbeat whose response it
+    /// accepted. Without such a heartbeat since the boot or the last restart, the end of the
+    /// boot or the time of that restart.
     pub lease_renewed_at: Instant,
     /// Whether the machine was deleted or reclaimed.
     pub deleted: bool,
@@ -52,17 +53,17 @@
     pub deleted_at: Option<Instant>,
 }
 
-/// A task on a worker.
+/// An attempt of a task on a worker.
 pub struct WorkerTask {
     status: TaskStatus,
     started_at: Instant,
-    /// Time from its start until the task completes.
+    /// Time from the start of the attempt until the task completes.
     run_time: Duration,
 }
 
 /// A worker's response to a direct request of a controller.
 pub(crate) struct DirectResponse {
-    /// The HTTP status.
+    /// The HTTP status: 200, or 409 if the commands were rejected.
     pub(crate) status: u16,
     /// The worker's state after the request, in the form of a heartbeat.
     pub(crate) heartbeat: Heartbeat,
@@ -208,8 +209,8 @@
         });
     }
 
-    /// The reason for which a task can't start; `None` if it can. `busy` tells whether another
-    /// attempt of the task is active on this worker.
+    /// The reason why a task can't start; `None` if it can. `busy` is true if another attempt
+    /// of the task is active on this worker.
     fn start_refusal(
         &self,
         checker: &mut InvariantChecker,
@@ -271,7 +272,7 @@
         self.lease_renewed_at = Instant::now();
     }
 
-    /// Drops all tasks, so that no heartbeat reports their exit.
+    /// Ends all tasks and removes them, so that no heartbeat reports their exit.
     pub(crate) fn drop_tasks(&mut self, platform: &SimulatedPlatform) {
         for task in std::mem::take(&mut self.tasks) {
             if let Some(TaskId { job, index }) = TaskId::parse(&task.status.task) {
--- a/crates/testkit/src/worker/heartbeat_loop.rs
+++ b/crates/testkit/src/worker/heartbeat_loop.rs
@@ -1,4 +1,5 @@
-//! The loop in which a worker sends heartbeats, from its start until its machine is deleted.
+//! The loop in which a worker sends heartbeats, from the worker's start until its machine is
+//! deleted.
 
 use super::Worker;
 use crate::fault::Fault;
@@ -24,7 +25,8 @@
 }
 
 impl NextHeartbeat {
-    /// The heartbeat after a failure: goes to the controller with the next index.
+    /// The heartbeat after a failure. It goes to the controller with the next index, after the
+    /// last one to the first.
     fn retry(platform: &SimulatedPlatform, controller: usize) -> NextHeartbeat {
         NextHeartbeat {
             controller: (controller + 1) % platform.controller_count(),
@@ -32,8 +34,9 @@
         }
     }
 
-    /// The heartbeat after a redirect: goes to the controller that the redirect names. If that
-    /// controller is unknown or is the one that redirected, goes to the next one.
+    /// The heartbeat after a redirect. It goes to the controller that the redirect names or, if
+    /// that controller is unknown or is the one that sent the redirect, to the next one as
+    /// after a failure.
     fn redirected(platform: &SimulatedPlatform, controller: usize, body: &[u8]) -> NextHeartbeat {
         let redirect: Option<Redirect> = serde_json::from_slice(body).ok();
         let target = redirect
@@ -49,8 +52,9 @@
     }
 }
 
-/// Runs a worker until its machine is deleted. `machine` is its index; the worker sends a
-/// heartbeat each `interval`, and restarts if none gets a response within `lease`.
+/// Runs a worker until its machine is deleted. `machine` is the machine's index. The worker
+/// sends a heartbeat `interval` after its start and after each response with status 200, and
+/// restarts when it has accepted no response to a heartbeat sent within the last `lease`.
 pub async fn run_worker(
     platform: Arc<SimulatedPlatform>,
     machine: usize,
@@ -89,8 +93,8 @@
     }
 }
 
-/// Restarts the worker as soon as its lease expires. A task of its own, because the
-/// heartbeat loop may wait for a response at that time.
+/// Restarts the worker as soon as its lease expires. Runs as a separate Tokio task, because
+/// the heartbeat loop may be waiting for a response at that time.
 async fn watch_lease(platform: Arc<SimulatedPlatform>, machine: usize, lease: Duration) {
     loop {
         let expires_at = {
@@ -129,8 +133,8 @@
     heartbeat: &Heartbeat,
 ) -> Option<HttpResponse> {
     let sent_at = Instant::now();
-    // Runs in a task of its own, so that the controller may still receive the heartbeat after
-    // the worker has stopped waiting for the response.
+    // The request runs in a separate Tokio task, so that the controller may still receive the
+    // heartbeat after the worker has stopped waiting for the response.
     let request = {
         let (platform, heartbeat) = (platform.clone(), heartbeat.clone());
         tokio::spawn(async move {
