--- a/crates/testkit/src/invariants.rs
+++ b/crates/testkit/src/invariants.rs
@@ -1,9 +1,10 @@
 //! Checker of the protocol's invariants. Workers report starts and ends of tasks to it;
 //! simulated users report their requests and the responses.
 //!
-//! Users' requests and responses are checked like a linearizability history: a request sent
-//! after a response arrived, from any controller, must not get an older state than that
-//! response showed. Requests that overlap in time may take effect in either order.
+//! Users' requests and responses are checked like a linearizability history: whichever
+//! controllers are involved, a request sent after a response has arrived must not get an older
+//! state than that response showed. Requests that overlap in time may take effect in either
+//! order.
 
 mod availability;
 mod job_history;
@@ -27,11 +28,11 @@
 /// The machine that a task runs on.
 #[derive(Clone, Copy)]
 pub struct Placement<'a> {
-    /// The machine's name.
+    /// The machine's name, which identifies it among all machines of a run.
     pub machine: &'a str,
-    /// The machine's zone.
+    /// The zone in which the machine runs.
     pub zone: &'a str,
-    /// The machine's type.
+    /// The label of the machine's type.
     pub machine_type: &'a str,
     /// Whether the machine is a spot instance.
     pub spot: bool,
@@ -47,12 +48,12 @@
     }
 }
 
-/// A team's quota, in which 0 means no limit. Also holds what a team uses.
+/// A team's quota. The checker also uses this type for the CPUs and GPUs that a team uses.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct TeamLimit {
-    /// Maximum number of CPUs in use.
+    /// Maximum number of CPUs that the team's running tasks may use together; 0 means no limit.
     pub cpus: f64,
-    /// Maximum number of GPUs in use.
+    /// Maximum number of GPUs that the team's running tasks may use together; 0 means no limit.
     pub gpus: f64,
 }
 
@@ -67,7 +68,7 @@
     }
 }
 
-/// Task starts after a user got the response that the job is cancelled.
+/// Counts task starts after a user got the response that the job is cancelled.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct StartsAfterCancellation {
     /// Number of these starts.
@@ -76,17 +77,17 @@
     pub longest_delay: Duration,
 }
 
-/// Id of a task: its job's id and its index in the job.
+/// Key of a task in the checker's maps; ordered by job, then by index.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-struct TaskId {
+struct TaskKey {
     job: String,
     index: u32,
 }
 
-impl TaskId {
-    fn new(job: &str, index: u32) -> TaskId {
+impl TaskKey {
+    fn new(job: &str, index: u32) -> TaskKey {
         let job = job.to_string();
-        TaskId { job, index }
+        TaskKey { job, index }
     }
 }
 
@@ -110,16 +111,16 @@
     pub starts_after_completion: usize,
     /// Task starts after a confirmed cancellation of their job.
     pub starts_after_cancellation: StartsAfterCancellation,
-    /// Ids of jobs whose tasks fail at their start on any machine.
+    /// Ids of jobs whose tasks fail when they start, whatever the machine. Set by tests.
     pub failing_jobs: HashSet<String>,
-    /// Names of machines on which all tasks fail at their start.
+    /// Names of machines on which every task fails when it starts. Set by tests.
     pub faulty_machines: HashSet<String>,
     /// Number of starts that failed because of `failing_jobs` or `faulty_machines`.
     pub failed_starts: usize,
-    /// Ids of jobs whose submission controllers must refuse.
+    /// Ids of jobs whose submission controllers must refuse. Set by tests.
     pub invalid_jobs: HashSet<String>,
-    /// When the last fault of the run ended; `None` before. From then on the checks for
-    /// starvation and the stricter limit for unanswered queries apply.
+    /// When the test declared that all faults of the run have ended; `None` before. From then
+    /// on the check for starvation and the stricter limit for unanswered queries apply.
     pub faults_ended_at: Option<Instant>,
     /// The longest time so far from the first response to a user that a job is cancelled to
     /// the end of a task of the job.
@@ -131,13 +132,13 @@
     /// `None` if completions are not to be reported.
     pub completions: Option<UnboundedSender<String>>,
     /// Names of the machines that each task runs on: more than one is a violation.
-    running_on: BTreeMap<TaskId, Vec<String>>,
+    running_on: BTreeMap<TaskKey, Vec<String>>,
     /// The zone in which each task last started.
-    last_zones: HashMap<TaskId, String>,
+    last_zones: HashMap<TaskKey, String>,
     /// Tasks that have completed.
-    done_tasks: BTreeSet<TaskId>,
+    done_tasks: BTreeSet<TaskKey>,
     /// Run times in seconds of the tasks for which they differ from the job's estimate.
-    run_times_s: HashMap<TaskId, f64>,
+    run_times_s: HashMap<TaskKey, f64>,
     /// When a user first got the response that the job is cancelled, by job id.
     cancelled_at: HashMap<String, Instant>,
     /// Users' requests and responses by job id.
@@ -145,18 +146,18 @@
     /// Logical clock, incremented by each request and response. Orders also those that happen
     /// at the same instant of virtual time.
     clock: u64,
-    /// Outcomes of users' queries, of all jobs.
+    /// Outcomes of users' queries about all jobs.
     queries: QueryLog,
     /// When the first task of each job started, by job id.
     first_started_at: HashMap<String, Instant>,
-    /// Since when each job waits although it could start, by job id.
-    starved_since: BTreeMap<String, Instant>,
+    /// By id of a job that waits although it could start: when it was first found to do so.
+    startable_since: BTreeMap<String, Instant>,
 }
 
 impl InvariantChecker {
     /// Sets the run time of a task in place of its job's estimate.
     pub fn set_run_time(&mut self, job: &str, index: u32, seconds: f64) {
-        self.run_times_s.insert(TaskId::new(job, index), seconds);
+        self.run_times_s.insert(TaskKey::new(job, index), seconds);
     }
 
     /// Time from a task's start until it completes. Tasks of services never complete.
@@ -166,12 +167,13 @@
         if spec.is_some_and(|spec| spec.shape == Shape::Service) {
             return FOREVER;
         }
-        let task_run_time_s = self.run_times_s.get(&TaskId::new(job, index)).copied();
+        let task_run_time_s = self.run_times_s.get(&TaskKey::new(job, index)).copied();
         let seconds = task_run_time_s.or(spec.map(|spec| spec.estimate_s));
         Duration::from_secs_f64(seconds.unwrap_or(0.0))
     }
 
-    /// Whether a task of a job fails at its start on a machine; counts it if so.
+    /// Whether the tasks of a job fail when they start on a machine. Counts a start that fails in
+    /// `failed_starts`.
     pub(crate) fn fails_at_start(&mut self, job: &str, machine: &str) -> bool {
         let fails = self.failing_jobs.contains(job) || self.faulty_machines.contains(machine);
         self.failed_starts += usize::from(fails);
@@ -216,11 +218,11 @@
         let violations = history.check_response(request, interval, status, phase);
         let violations = violations.into_iter().map(|line| format!("{line} ({job})"));
         self.violations.extend(violations);
-        let accepted = matches!(status, Some(200 | 201));
-        if accepted && request == Request::Submit && self.invalid_jobs.contains(job) {
+        let succeeded = matches!(status, Some(200 | 201));
+        if succeeded && request == Request::Submit && self.invalid_jobs.contains(job) {
             self.violations.push(format!("accepted though bad: {job}"));
         }
-        if let Some(phase) = phase.filter(|_| accepted) {
+        if let Some(phase) = phase.filter(|_| succeeded) {
             self.check_phase(job, phase);
         }
         if request == Request::Query {
@@ -254,7 +256,7 @@
         };
         let others = self
             .running_on
-            .range(TaskId::new(job, 0)..=TaskId::new(job, u32::MAX))
+            .range(TaskKey::new(job, 0)..=TaskKey::new(job, u32::MAX))
             .filter(|(task, machines)| task.index != index && !machines.is_empty());
         let zones: Vec<&String> = others
             .filter_map(|(task, _)| self.last_zones.get(task))
@@ -291,7 +293,7 @@
 
     /// Records and checks the start of a task on a machine.
     pub(crate) fn task_started(&mut self, job: &str, index: u32, placement: &Placement) {
-        let task = TaskId::new(job, index);
+        let task = TaskKey::new(job, index);
         self.started += 1;
         *self.starts_by_job.entry(job.into()).or_default() += 1;
         let first_start = self.first_started_at.entry(job.into());
@@ -340,9 +342,9 @@
         self.violations.extend(violations);
     }
 
-    /// Records the end of a task on a machine. `done` tells whether the task completed.
+    /// Records the end of a task on a machine. `done` is true if the task completed.
     pub(crate) fn task_ended(&mut self, job: &str, index: u32, machine: &str, done: bool) {
-        let task = TaskId::new(job, index);
+        let task = TaskKey::new(job, index);
         let Some(machines) = self.running_on.get_mut(&task) else {
             return;
         };
@@ -358,14 +360,14 @@
     }
 
     /// Records that a task completed, and reports the job if that completed it.
-    fn task_done(&mut self, task: TaskId) {
+    fn task_done(&mut self, task: TaskKey) {
         let job = task.job.clone();
         // A gang completes as a whole: when one task is done, all are.
         let spec = self.jobs.get(&job);
         let gang_tasks = spec
             .filter(|spec| spec.shape == Shape::Gang)
             .map_or(0, |spec| spec.tasks);
-        let gang = (0..gang_tasks).map(|index| TaskId::new(&job, index));
+        let gang = (0..gang_tasks).map(|index| TaskKey::new(&job, index));
         self.done_tasks.extend(gang);
         self.done_tasks.insert(task);
         if let Some(completions) = self.completions.as_ref().filter(|_| self.is_complete(&job)) {
@@ -378,7 +380,7 @@
         let Some(spec) = self.jobs.get(job) else {
             return false;
         };
-        let all = TaskId::new(job, 0)..=TaskId::new(job, u32::MAX);
+        let all = TaskKey::new(job, 0)..=TaskKey::new(job, u32::MAX);
         self.done_tasks.range(all).count() as u32 >= spec.tasks
     }
 
@@ -388,7 +390,7 @@
             let cancelled_at = self.cancelled_at.get(&task.job);
             let late = cancelled_at.is_some_and(|at| at.elapsed() > self.cancellation_deadline);
             if late && !machines.is_empty() {
-                let TaskId { job, index } = task;
+                let TaskKey { job, index } = task;
                 self.violations
                     .push(format!("ran_cancelled: {job}/{index}"));
             }
--- a/crates/testkit/src/invariants/availability.rs
+++ b/crates/testkit/src/invariants/availability.rs
@@ -8,7 +8,8 @@
 use tokio::time::Instant;
 
 /// Maximum time for which all queries about one job may go unanswered while more than half of
-/// all users' queries are answered. Also the span of recent queries that this share is taken of.
+/// all users' queries are answered. Whether more than half are answered is determined from the
+/// queries that ended within this time.
 const MOST_ANSWERED_LIMIT: Duration = Duration::from_secs(90);
 /// Maximum time for which all queries about one job may go unanswered after the end of all
 /// faults, whether or not other queries are answered.
@@ -26,8 +27,8 @@
 pub(super) struct QueryLog {
     /// Queries of all users within the last [`MOST_ANSWERED_LIMIT`], oldest first.
     pub(super) recent: VecDeque<Query>,
-    /// When the first query since the last answered one failed, by job id; without an entry
-    /// for jobs whose last query was answered.
+    /// By job id: when the first of the latest consecutive unanswered queries ended. Jobs whose
+    /// last query was answered have no entry.
     unanswered_since: HashMap<String, Instant>,
 }
 
@@ -61,10 +62,12 @@
         }
         let unanswered_since = self.queries.unanswered_since.entry(job.into());
         let unanswered_since = *unanswered_since.or_insert_with(Instant::now);
-        let after_faults = self.faults_ended_at.map(|at| at.max(unanswered_since));
+        let unanswered_without_faults_since =
+            self.faults_ended_at.map(|at| at.max(unanswered_since));
         let unanswered_too_long = self.queries.most_answered()
             && unanswered_since.elapsed() > MOST_ANSWERED_LIMIT
-            || after_faults.is_some_and(|since| since.elapsed() > AFTER_FAULTS_LIMIT);
+            || unanswered_without_faults_since
+                .is_some_and(|since| since.elapsed() > AFTER_FAULTS_LIMIT);
         if unanswered_too_long {
             self.violations.push(format!("forgotten: {job}"));
         }
--- a/crates/testkit/src/invariants/job_history.rs
+++ b/crates/testkit/src/invariants/job_history.rs
@@ -28,13 +28,13 @@
     phase: StatusPhase,
 }
 
-/// What the responses to users have shown of one job so far.
+/// The state of one job, as responses to users have shown it so far.
 #[derive(Debug, Default)]
 pub(super) struct JobHistory {
     /// When the first response arrived that shows the job as accepted (status 200 or 201);
     /// `None` before.
     pub(super) accepted_at: Option<Instant>,
-    /// Logical time of that response.
+    /// Logical time of the first response that shows the job as accepted; `None` before.
     acceptance: Option<u64>,
     /// The first final phase that a response gave; `None` before.
     final_phase: Option<FinalPhase>,
@@ -51,9 +51,9 @@
         self.cancellation_requested
     }
 
-    /// Records a response, and returns the violations that it shows. A job whose acceptance
-    /// arrived before the request was sent must not be unknown (404) to any request, nor
-    /// invalid (400, 422) when it is submitted again.
+    /// Records a response, and returns the violations that it shows. Once a response has shown
+    /// the job as accepted, no request that is sent later may get the response that the job is
+    /// unknown (404), and no later submission the one that it is invalid (400, 422).
     pub(super) fn check_response(
         &mut self,
         request: Request,
@@ -85,8 +85,9 @@
         }
         let is_final = matches!(phase, StatusPhase::Done | StatusPhase::Cancelled);
         match self.final_phase {
-            // Two different final phases contradict each other even if the requests overlap. A
-            // phase that isn't final may follow a final one only if they overlap.
+            // Two different final phases contradict each other even if their requests overlap.
+            // A response with a phase that isn't final may arrive after one with a final phase
+            // only if their requests overlap.
             Some(earlier)
                 if earlier.phase != phase && (is_final || earlier.received < interval.sent) =>
             {
--- a/crates/testkit/src/invariants/service.rs
+++ b/crates/testkit/src/invariants/service.rs
@@ -12,9 +12,8 @@
 /// A job and its size, by which the largest jobs of a class are found.
 #[derive(Clone, Copy)]
 struct SizedJob<'a> {
-    /// Number of GPUs or of CPUs of all its tasks, whichever is greater.
+    /// Number of GPUs or of CPUs of all the job's tasks, whichever is greater.
     size: f64,
-    /// The job's id.
     job: &'a str,
 }
 
--- a/crates/testkit/src/invariants/starvation.rs
+++ b/crates/testkit/src/invariants/starvation.rs
@@ -1,7 +1,7 @@
 //! Invariant: after the end of all faults, no job waits for long while suitable machines have
 //! enough free capacity for it and its team's quota allows it to start.
 
-use super::{InvariantChecker, Placement, ROUNDING, TaskId, TeamLimit};
+use super::{InvariantChecker, Placement, ROUNDING, TaskKey, TeamLimit};
 use rushwalk_protocol::jobs::{JobSpec, Shape};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,19 +10,19 @@
 /// The capacity of a machine that no active task uses.
 #[derive(Debug, Clone)]
 pub struct FreeCapacity {
-    /// The machine's name.
+    /// The machine's name, which identifies it among all machines of a run.
     pub machine: String,
-    /// The machine's zone.
+    /// The zone in which the machine runs.
     pub zone: String,
-    /// The machine's type.
+    /// The label of the machine's type.
     pub machine_type: String,
     /// Whether the machine is a spot instance.
     pub spot: bool,
-    /// Free CPUs.
+    /// Number of CPUs that no active task uses.
     pub cpus: f64,
-    /// Free GPUs.
+    /// Number of GPUs that no active task uses.
     pub gpus: f64,
-    /// Free memory in GB.
+    /// Memory in GB that no active task uses.
     pub memory_gb: f64,
 }
 
@@ -68,7 +68,7 @@
         if self.faults_ended_at.is_none() {
             return;
         }
-        let starved: Vec<String> = self
+        let startable: Vec<String> = self
             .histories
             .iter()
             .filter(|(_, h)| h.accepted_at.is_some() && !h.is_cancellation_requested())
@@ -76,9 +76,10 @@
             .filter(|job| !self.failing_jobs.contains(*job) && self.could_start(job, machines))
             .cloned()
             .collect();
-        self.starved_since.retain(|job, _| starved.contains(job));
-        for job in starved {
-            let since = self.starved_since.entry(job.clone());
+        self.startable_since
+            .retain(|job, _| startable.contains(job));
+        for job in startable {
+            let since = self.startable_since.entry(job.clone());
             let waited = since.or_insert_with(Instant::now).elapsed();
             self.longest_wait = self.longest_wait.max(waited);
             if waited > WAIT_LIMIT {
@@ -87,13 +88,13 @@
         }
     }
 
-    /// Whether a pending task of the job could start now, or all tasks if the job is a gang.
+    /// Whether a pending task of the job could start now or, if the job is a gang, all its tasks.
     fn could_start(&self, job: &str, machines: &[FreeCapacity]) -> bool {
         let Some(spec) = self.jobs.get(job) else {
             return false;
         };
         let pending: Vec<u32> = (0..spec.tasks)
-            .filter(|index| self.is_pending(&TaskId::new(job, *index)))
+            .filter(|index| self.is_pending(&TaskKey::new(job, *index)))
             .collect();
         let Some(first) = pending.first() else {
             return false;
@@ -123,7 +124,7 @@
     }
 
     /// Whether a task is neither done nor running.
-    fn is_pending(&self, task: &TaskId) -> bool {
+    fn is_pending(&self, task: &TaskKey) -> bool {
         let running = self.running_on.get(task);
         !self.done_tasks.contains(task) && running.is_none_or(Vec::is_empty)
     }
--- a/crates/testkit/src/invariants/tests.rs
+++ b/crates/testkit/src/invariants/tests.rs
@@ -176,7 +176,7 @@
     assert_eq!(
         violated(&checker).len(),
         5,
-        "the job's tasks are not done either"
+        "went_back is followed by not_done, since the job's tasks have not completed"
     );
 }
 
