--- a/crates/simulator/src/cluster.rs
+++ b/crates/simulator/src/cluster.rs
@@ -55,9 +55,9 @@
 /// A team and its quota.
 #[derive(Debug, Clone, Copy)]
 pub struct TeamQuota {
-    /// The team's name.
+    /// The team's name, which jobs give to belong to the team.
     pub team: &'static str,
-    /// The most GPUs that the team's tasks may use together.
+    /// Maximum number of GPUs that the team's running tasks may use together; 0 means no limit.
     pub gpus: f64,
 }
 
@@ -68,14 +68,17 @@
     pub controllers: usize,
     /// The teams. A job belongs to the team `red` unless it names another.
     pub teams: Vec<TeamQuota>,
-    /// The store's rate limit for writes that controllers assume, per second.
+    /// Limit on writes to the store in the controllers' settings, per second. The simulated store
+    /// does not enforce it.
     pub write_rps: f64,
-    /// The cloud's rate limit that controllers assume, in requests per second.
+    /// Limit on requests to the cloud in the controllers' settings, per second. The simulated
+    /// cloud does not enforce it.
     pub cloud_rps: f64,
-    /// The store's size limit for values that controllers assume, in KB.
+    /// Limit on the size of a value in the store in the controllers' settings, in KB. The
+    /// simulated store does not enforce it.
     pub value_kb: f64,
-    /// Number of latest changes that the store retains. A watch can start only at a retained
-    /// change.
+    /// Number of the latest changes that the store retains; 0 means all. A watch that begins
+    /// before them gets status 410, so that the controller has to list the store.
     pub retained_changes: usize,
 }
 
@@ -105,10 +108,11 @@
     }
 }
 
-/// A simulated platform with controllers. For use in tests, its methods panic if a job request
-/// gets no final response, or if an asserted condition does not hold.
+/// A simulated platform with controllers. Its methods are meant for tests: they panic if all
+/// attempts of a job request fail without a response or with status 429 or 503, or if an asserted
+/// condition does not hold.
 pub struct SimulatedCluster {
-    /// The platform.
+    /// The platform on which the controllers run; it injects faults and checks the invariants.
     pub platform: Arc<SimulatedPlatform>,
     /// The process of each controller, by the controller's index; `None` while it is stopped.
     pub processes: Vec<Option<ControllerProcess>>,
@@ -246,8 +250,8 @@
         self.elected_leader().unwrap_or(0)
     }
 
-    /// The lowest index of a running controller that considers itself the leader; `None` if there
-    /// is none.
+    /// The lowest index of a running controller that considers itself the leader; `None` if no
+    /// running controller does.
     pub fn elected_leader(&self) -> Option<usize> {
         let mut controllers = self.controllers();
         let leader = controllers.find(|(_, controller)| inspect::is_leader(controller));
@@ -270,8 +274,9 @@
         assert!(checker.started > 0, "no task was ever started");
     }
 
-    /// Tells the checker that all faults have ended. From the first call on, it is a violation if
-    /// a job waits too long although it could start.
+    /// Tells the checker that all faults have ended. From the first call on, the checker reports
+    /// jobs that wait too long although they could start, and has a stricter limit for unanswered
+    /// queries. Further calls have no effect.
     pub fn declare_faults_ended(&self) {
         let mut checker = self.platform.checker();
         checker
--- a/crates/simulator/src/cluster/jobs.rs
+++ b/crates/simulator/src/cluster/jobs.rs
@@ -7,11 +7,12 @@
 pub struct JobShape<'a> {
     /// The protocol's name of the shape: `sweep` (array), `gang` or `standing` (service).
     pub shape: &'a str,
-    /// Number of tasks.
+    /// Number of tasks of the job, at least 1.
     pub tasks: u32,
     /// GPUs of each task.
     pub gpus: f64,
-    /// Estimated run time of each task, in seconds; 0 for services.
+    /// Estimated run time of each task, in seconds. Tasks of services run until they are stopped,
+    /// whatever the estimate.
     pub seconds: f64,
 }
 
@@ -27,7 +28,7 @@
 }
 
 /// The body of a request that submits a job. `fields` is a JSON object whose values override the
-/// defaults.
+/// defaults. By default, the job's class has the name of its shape.
 pub fn job_with(id: &str, shape: JobShape, fields: Value) -> String {
     let mut job = json!({"uid": id, "lane": shape.shape, "crew": "red", "shape": shape.shape,
         "rank": "normal", "pieces": shape.tasks, "cpus": 1.0, "gpus": shape.gpus,
--- a/crates/simulator/src/cluster/requests.rs
+++ b/crates/simulator/src/cluster/requests.rs
@@ -1,4 +1,5 @@
-//! Requests of users to the controllers. The invariant checker verifies the responses.
+//! Requests of users to the controllers. The invariant checker verifies the responses to requests
+//! about jobs.
 
 use super::SimulatedCluster;
 use super::jobs::{JobShape, job_with};
@@ -23,7 +24,7 @@
 /// A controller's response to a request about a job.
 #[derive(Debug, Clone)]
 pub struct JobResponse {
-    /// The HTTP status.
+    /// The HTTP status code.
     pub status: u16,
     /// The job's status; `None` if the request failed.
     pub job: Option<JobStatus>,
@@ -98,7 +99,8 @@
 
 impl SimulatedCluster {
     /// Sends a request to the controllers in turn until one responds with a status other than 429
-    /// and 503. Returns `None` after `MAX_ATTEMPTS`. The response is not checked.
+    /// and 503. Returns `None` after `MAX_ATTEMPTS`. The invariant checker doesn't verify the
+    /// response.
     pub async fn user_request(
         &self,
         method: &str,
@@ -120,7 +122,8 @@
         None
     }
 
-    /// Submits a job until it is accepted. Returns its id, which is derived from `number`.
+    /// Submits a job repeatedly until it is accepted. Returns its id, which is derived from
+    /// `number`. Panics if the job is rejected.
     pub async fn submit(
         &mut self,
         number: u32,
@@ -133,8 +136,8 @@
             .await
     }
 
-    /// Submits a job until it is accepted, with `fields` overriding the defaults. Returns its id,
-    /// which is derived from `number`.
+    /// Submits a job repeatedly until it is accepted, with `fields` overriding the defaults.
+    /// Returns its id, which is derived from `number`. Panics if the job is rejected.
     pub async fn submit_with(
         &mut self,
         number: u32,
@@ -166,8 +169,8 @@
         self.jobs.insert(id.into(), spec);
     }
 
-    /// Sends a request to the controllers in turn until one gives a response that is not to be
-    /// retried. Panics after `MAX_ATTEMPTS`.
+    /// Sends a request to the controllers in turn until one responds with a status other than 429
+    /// and 503. Panics after `MAX_ATTEMPTS`.
     async fn request_until_final(&self, kind: Request, job: &str, body: &str) -> JobResponse {
         for attempt in 0..MAX_ATTEMPTS {
             let controller = attempt % self.processes.len();
@@ -180,7 +183,7 @@
         panic!("{kind:?} {job}: no final response after {MAX_ATTEMPTS} attempts");
     }
 
-    /// The status of an accepted job. Panics if the job is not found.
+    /// The status of an accepted job. Panics if the query fails.
     pub async fn job_status(&self, job: &str) -> JobStatus {
         let response = self.request_until_final(Request::Query, job, "").await;
         let status = response.status;
@@ -197,11 +200,11 @@
     /// Queries jobs every second until all are done. Panics after `seconds` queries of all jobs.
     pub async fn wait_until_done(&self, jobs: &[String], seconds: u64) {
         for _ in 0..seconds {
-            let mut open = 0;
+            let mut not_done = 0;
             for job in jobs {
-                open += usize::from(self.job_status(job).await.phase != StatusPhase::Done);
+                not_done += usize::from(self.job_status(job).await.phase != StatusPhase::Done);
             }
-            if open == 0 {
+            if not_done == 0 {
                 return;
             }
             sleep(RETRY_DELAY).await;
