--- a/crates/simulator/src/failover.rs
+++ b/crates/simulator/src/failover.rs
@@ -22,14 +22,14 @@
     /// The scenario that was run.
     #[serde(rename = "failure")]
     pub scenario: FailoverScenario,
-    /// Number of controllers.
+    /// Number of controllers in the cluster, failed ones included.
     pub controllers: usize,
     /// The seed of all random choices of the run.
     pub seed: u64,
     /// Delay until a crashed controller is restarted, in seconds.
     pub restart_s: f64,
-    /// The longest time from the failure on in which no leader finished a scheduling round, in
-    /// seconds.
+    /// The longest time in which no leader finished a scheduling round or acquired leadership, in
+    /// seconds. At most one second of it lies before the failure.
     #[serde(rename = "no_round_s")]
     pub longest_round_gap_s: f64,
     /// Time from the failure until a failed controller is suspected for the first time, in
@@ -43,18 +43,18 @@
     /// expiry of its lease.
     #[serde(rename = "false_verdicts")]
     pub false_positives: usize,
-    /// For each recovered machine of the failed controllers: time from the failure until the
-    /// owner of its shard received a heartbeat from it, in seconds.
+    /// For each recovered machine among those whose shards the failed controllers owned: time from
+    /// the failure until an owner of its shard received a heartbeat from it, in seconds.
     #[serde(rename = "heard_s")]
     pub machine_recovery_s: Vec<f64>,
-    /// Number of machines of the failed controllers from which no owner of their shard received a
-    /// heartbeat until the end of the run.
+    /// Number of the other machines whose shards the failed controllers owned: no owner of their
+    /// shard received a heartbeat from them until the end of the run.
     #[serde(rename = "unheard")]
     pub unrecovered_machines: usize,
     /// Number of versions of the leader key that were observed. Each election writes one, and so
     /// does a leader that renews its term after a commit of unknown outcome.
     pub leaders: usize,
-    /// Number of shards that had an owner in the run.
+    /// Number of shards that had an owner at any time of the observation.
     #[serde(rename = "blocks")]
     pub shards: usize,
     /// How often a shard's owner changed.
@@ -72,13 +72,14 @@
 
 /// GPU quota of the team: more than any run needs.
 const TEAM_GPUS: f64 = 4000.0;
-/// Observations per second.
+/// Number of observations per second of virtual time.
 const OBSERVATIONS_PER_S: u32 = 20;
 /// Time between two observations, in seconds.
 const OBSERVATION_INTERVAL_S: f64 = 1.0 / OBSERVATIONS_PER_S as f64;
-/// Number of observations between two submissions of arrays, each with a check of the invariants.
+/// Number of observations between two submissions of arrays. The invariants are checked before
+/// each submission.
 const OBSERVATIONS_PER_SUBMISSION: u32 = 2 * OBSERVATIONS_PER_S;
-/// Number in the id of the first array. The number 1 is used by the service.
+/// Number in the id of the first array. The service has the number 1.
 const FIRST_ARRAY: u32 = 101;
 /// Number of arrays submitted before the failure, one every two seconds.
 const ARRAYS_BEFORE_FAILURE: u32 = 5;
--- a/crates/simulator/src/failover/actions.rs
+++ b/crates/simulator/src/failover/actions.rs
@@ -11,9 +11,9 @@
 enum Action {
     Inject(Fault),
     Clear(Fault),
-    /// Ends a controller's process, which is restarted after the restart delay.
+    /// Ends a controller's process; a new process is started after the restart delay.
     Crash(usize),
-    /// Ends the leader's process; while there is no leader, the action stays pending.
+    /// Ends the leader's process, like `Crash`; while there is no leader, the action stays pending.
     CrashSuccessor,
     /// Sets the simulated timer lag, in quarters of the round interval; 0 ends it.
     SetTimerLag {
@@ -37,7 +37,8 @@
     until_s: f64,
 }
 
-/// The actions of a scenario that are not taken yet.
+/// The actions of a scenario that have not been taken yet, and the restarts of crashed
+/// controllers.
 pub(super) struct ActionSchedule {
     /// Delay until a crashed controller is restarted, in seconds.
     restart_s: f64,
@@ -125,8 +126,8 @@
         }
     }
 
-    /// Restarts controllers and takes actions that are due. Returns the indexes of the leaders that
-    /// [`Action::CrashSuccessor`] crashed.
+    /// Restarts the controllers whose restart is due, and takes the actions that are due. Returns
+    /// the indexes of the leaders that [`Action::CrashSuccessor`] crashed.
     pub(super) fn run_due(&mut self, cluster: &mut SimulatedCluster, now_s: f64) -> Vec<usize> {
         self.restart_due(cluster, now_s);
         let mut successors = Vec::new();
--- a/crates/simulator/src/failover/observer.rs
+++ b/crates/simulator/src/failover/observer.rs
@@ -22,7 +22,7 @@
 
 /// The measurements so far, and the state that further observations are compared with.
 pub(super) struct Observer {
-    /// The longest time in which no leader finished a scheduling round.
+    /// The longest time in which no leader finished a scheduling round or acquired leadership.
     pub(super) longest_round_gap: Duration,
     /// Time from the failure to the first suspicion of a failed controller; `None` before.
     pub(super) suspected_after: Option<Duration>,
@@ -42,8 +42,8 @@
     pub(super) machine_recovery_s: Vec<f64>,
     failed_at: Instant,
     failed_controllers: BTreeSet<usize>,
-    /// When a leader last finished a scheduling round or acquired leadership, rounds without
-    /// effect excepted; `None` before.
+    /// When a leader last finished a scheduling round or acquired leadership; `None` before. Not
+    /// updated from a controller whose rounds have no effect, see [`has_ineffective_rounds`].
     last_round: Option<Instant>,
 }
 
@@ -105,12 +105,13 @@
             self.observe_peers(index, controller);
             self.observe_machines(controller, now);
         }
+        // A gap begins with the last round, but at most one second before the failure.
         if let Some(last_round) = self.last_round {
             let gap = now - last_round.max(self.failed_at - Duration::from_secs(1));
             self.longest_round_gap = self.longest_round_gap.max(gap);
         }
-        // Only the newest state is used: that of a controller that cannot read the store is
-        // outdated.
+        // Only the newest state is used, because the state of a controller that cannot read the
+        // store is outdated.
         let newest = cluster
             .controllers()
             .max_by_key(|(_, controller)| inspect::revision(controller));
@@ -166,8 +167,8 @@
     }
 }
 
-/// Whether a controller's scheduling rounds have no effect, because it is suspended or does not
-/// reach the store.
+/// Whether a controller's scheduling rounds have no effect, because it does not reach the store or
+/// a fault simulates its suspension.
 fn has_ineffective_rounds(cluster: &SimulatedCluster, index: usize) -> bool {
     cluster.platform.is_active(Fault::ControllerFrozen(index))
         || cluster.platform.is_active(Fault::StoreUnreachable(index))
--- a/crates/simulator/src/failover/scenario.rs
+++ b/crates/simulator/src/failover/scenario.rs
@@ -46,8 +46,8 @@
     /// Connections between controllers are refused for 40 s; all other connections work.
     #[value(name = "peers-refuse")]
     PeersRefuseConnections,
-    /// Heartbeats from the other controllers to the leader are lost for 40 s; its own heartbeats
-    /// arrive.
+    /// Heartbeats and responses from the other controllers to the leader are lost for 40 s; the
+    /// leader's own heartbeats and responses arrive.
     #[value(name = "one-way")]
     LeaderInboundLoss,
     /// The leader's timers are late by half a round for 60 s.
