--- a/crates/simulator/src/commands/search.rs
+++ b/crates/simulator/src/commands/search.rs
@@ -10,7 +10,7 @@
 };
 use rushwalk_simulator::virtual_time::run_on_virtual_time;
 
-/// Options of `search`.
+/// Options of `search`: which faults are drawn, the seeds and the output.
 #[derive(Args, Clone)]
 pub(crate) struct SearchArgs {
     /// Number of faults in each run.
@@ -50,7 +50,8 @@
             .collect()
     }
 
-    /// One if logs or events are printed: output of parallel runs would be interleaved.
+    /// The limit of threads: one thread if logs or events are printed, because the output of
+    /// parallel runs would be interleaved; no limit otherwise.
     fn max_threads(&self) -> usize {
         if self.log || self.events {
             1
@@ -92,7 +93,7 @@
         .map(|outcome| outcome.longest_cancellation_s)
         .fold(0.0, f64::max);
     println!(
-        "{} days from seed {}, {} with a broken rule; a cancelled job's last task was gone after {:.1} s at most",
+        "{} runs from seed {}, {} with a violated invariant; a cancelled job's last task ended after {:.1} s at most",
         outcomes.len(),
         args.seed,
         violated.len(),
@@ -104,15 +105,15 @@
 /// Removes faults one at a time while the remaining ones still violate an invariant. Returns the
 /// outcome of the last such run.
 fn reduce_faults(mut outcome: SearchOutcome) -> Result<SearchOutcome, SimulatorError> {
-    while let Some(reduced) = violation_with_one_fault_less(&outcome.schedule)? {
+    while let Some(reduced) = violation_with_one_fault_fewer(&outcome.schedule)? {
         outcome = reduced;
     }
     Ok(outcome)
 }
 
-/// The outcome of the first run with one fault less that still violates an invariant; `None` if
-/// there is none, or only one fault is left.
-fn violation_with_one_fault_less(
+/// Runs the schedule without each of its faults in turn. Returns the outcome of the first run that
+/// still violates an invariant; `None` if no run does, or if the schedule has only one fault.
+fn violation_with_one_fault_fewer(
     schedule: &FaultSchedule,
 ) -> Result<Option<SearchOutcome>, SimulatorError> {
     if schedule.events.len() <= 1 {
--- a/crates/simulator/src/fault_search.rs
+++ b/crates/simulator/src/fault_search.rs
@@ -14,5 +14,5 @@
 
 /// Number of controllers in the cluster of each run.
 const CONTROLLERS: usize = 3;
-/// Period in which users submit jobs, in seconds from the first submission.
+/// End of the period in which users submit jobs, in seconds from the first submission.
 const SUBMISSIONS_END_S: f64 = 150.0;
--- a/crates/simulator/src/fault_search/run.rs
+++ b/crates/simulator/src/fault_search/run.rs
@@ -17,7 +17,7 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// The result of one run.
+/// The result of one run of a schedule.
 #[derive(Debug, Clone, Serialize)]
 pub struct SearchOutcome {
     /// The schedule that was run.
@@ -107,7 +107,8 @@
 struct Run<'a> {
     schedule: &'a FaultSchedule,
     cluster: SimulatedCluster,
-    /// Index of the current leader; while there is none, of the previous one.
+    /// Index of the current leader or, while there is no leader, of the previous one; 0 before the
+    /// first election.
     leader: usize,
     /// The tasks of the simulated users.
     users: JoinSet<()>,
@@ -125,10 +126,10 @@
     fn new(schedule: &FaultSchedule, record_events: bool) -> Run<'_> {
         let config = ClusterConfig {
             controllers: CONTROLLERS,
-            // The log entries between two snapshots are proportional to this rate: with a low
-            // rate, snapshots are written continually.
+            // The number of log entries between two snapshots is proportional to this rate: with
+            // a low rate, snapshots are written continually.
             write_rps: 12.0,
-            // Few retained changes: a controller that does not read the store for half a
+            // The store retains so few changes that a controller that does not read it for half a
             // minute has to list it completely.
             retained_changes: 200,
             ..ClusterConfig::with_gpus(TEAM_GPUS[(schedule.seed % 2) as usize])
--- a/crates/simulator/src/fault_search/schedule.rs
+++ b/crates/simulator/src/fault_search/schedule.rs
@@ -10,7 +10,7 @@
 /// A kind of event that can be scheduled: a fault, cancellations by users, or faster boots.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum FaultKind {
-    /// The store refuses the leader's requests only.
+    /// The store refuses the leader's requests, but no other controller's.
     #[value(name = "refused-leader")]
     LeaderStoreUnreachable,
     /// The leader reaches neither the store nor the other controllers.
@@ -64,7 +64,8 @@
     /// A third of the workers restarts: their tasks are lost and new sessions begin.
     #[value(name = "restart-machines")]
     MachinesRestart,
-    /// A zone with its workers and its controllers is partitioned from the other zones.
+    /// A zone with its workers and its controllers is partitioned from the other zones, the users,
+    /// the store and the cloud.
     #[value(name = "cut-zone")]
     ZonePartitioned,
     /// Workers' heartbeats are recorded, and replayed to all controllers after each change of
@@ -77,7 +78,8 @@
     /// Every second job that completes is cancelled at that moment.
     #[value(name = "cancel-at-end")]
     CancelOnCompletion,
-    /// Machines rented after the event begins are ready within two seconds.
+    /// Machines rented from the beginning of the event to the end of the run are ready within two
+    /// seconds.
     #[value(name = "quick-boots")]
     FastBoots,
 }
@@ -101,15 +103,15 @@
     }
 }
 
-/// A scheduled event.
+/// A scheduled event. Its kind, time, duration and target are random.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct FaultEvent {
     /// The kind of event.
     #[serde(rename = "trouble")]
     pub kind: FaultKind,
-    /// When it begins, in seconds from the start of the run.
+    /// When the event begins, in seconds from the start of the run.
     pub at_s: f64,
-    /// How long it lasts, in seconds; for crashes, the delay until the first restart.
+    /// How long the event lasts, in seconds; for crashes, the delay until the first restart.
     #[serde(rename = "for_s")]
     pub duration_s: f64,
     /// A random number that selects the machines or the zone.
@@ -136,7 +138,7 @@
         }
     }
 
-    /// When it ends, in seconds from the start of the run.
+    /// When the event ends, in seconds from the start of the run.
     pub(super) fn end_s(&self) -> f64 {
         self.at_s + self.duration_s
     }
--- a/crates/simulator/src/fault_search/users.rs
+++ b/crates/simulator/src/fault_search/users.rs
@@ -24,14 +24,13 @@
 pub(super) struct UserPlan {
     /// When the job is submitted, in seconds from the first user's submission.
     pub(super) submit_at_s: f64,
-    /// The job's id.
     job: String,
     /// The protocol's name of the shape.
     shape: &'static str,
     tasks: u32,
     /// GPUs of each task.
     gpus: f64,
-    /// Estimated run time of each task.
+    /// Estimated run time of each task; the tasks of services run until they are stopped.
     run_time_s: f64,
     /// Seconds from the job's acceptance to its cancellation; `None` if none is planned.
     cancel_after_s: Option<f64>,
@@ -127,8 +126,8 @@
         None
     }
 
-    /// Sends a request to the next healthy controller. Without one, the request is recorded as
-    /// one without a response.
+    /// Sends a request to the next healthy controller. If no controller is healthy, tells the
+    /// checker that the request got no response.
     async fn request(&mut self, kind: Request, job: &str, body: &str) -> Option<JobResponse> {
         match self.next_healthy().await {
             Some(controller) => request(&self.platform, controller, kind, job, body).await,
@@ -150,7 +149,7 @@
     /// request; users with an even number react to the cancel signal.
     pub(super) number: usize,
     pub(super) reported_phases: ReportedPhases,
-    /// Changes when the users with an even number are to cancel their jobs.
+    /// A counter, incremented when the users with an even number are to cancel their jobs.
     pub(super) cancel_signal: Arc<Observable<usize>>,
 }
 
@@ -251,8 +250,8 @@
         }
     }
 
-    /// Records the phase that a response reports; `None` if the request failed or got no
-    /// response.
+    /// Records the phase that a response reports. `phase` is `None` if the request failed or got no
+    /// response; nothing is recorded then.
     fn record_response(&mut self, request: Request, phase: Option<StatusPhase>) {
         if phase.is_some() {
             self.user.reported_phases.set(&self.user.plan.job, phase);
