--- a/crates/simulator/src/commands/detector_sweep.rs
+++ b/crates/simulator/src/commands/detector_sweep.rs
@@ -13,7 +13,7 @@
 use rushwalk_simulator::plot::{Series, cumulative_distributions};
 use std::path::PathBuf;
 
-/// Options of `detector-sweep`.
+/// Options of `detector-sweep`: the size of the cluster, its faults and the extent of the sweep.
 #[derive(Args, Clone)]
 pub(crate) struct DetectorSweepArgs {
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u16).range(2..=16))]
@@ -55,9 +55,10 @@
 /// The thresholds of the failure detector, which the sweep varies.
 #[derive(Clone, Copy)]
 struct Thresholds {
-    /// φ above which a peer is suspected.
+    /// φ above which a peer is suspected as unresponsive.
     phi: f64,
-    /// Heartbeats refused in a row from which on a peer is suspected.
+    /// Number of consecutive heartbeats that a peer's port must refuse before the peer is
+    /// suspected.
     refusals: u32,
 }
 
--- a/crates/simulator/src/commands/failover.rs
+++ b/crates/simulator/src/commands/failover.rs
@@ -11,7 +11,7 @@
 use rushwalk_simulator::virtual_time::run_on_virtual_time;
 use std::path::{Path, PathBuf};
 
-/// Options of `failover`.
+/// Options of `failover`: the scenarios, the size of the cluster, the seeds and the output.
 #[derive(Args, Clone)]
 pub(crate) struct FailoverArgs {
     /// The failure to simulate; may be given several times.
@@ -211,5 +211,5 @@
         }
     });
     let series: Vec<Series> = series.collect();
-    cumulative_distributions(path, "Longest time without a planning round", &series)
+    cumulative_distributions(path, "Longest time without a scheduling round", &series)
 }
--- a/crates/simulator/src/detector_model.rs
+++ b/crates/simulator/src/detector_model.rs
@@ -19,7 +19,7 @@
 /// Parameters of the network and of the controllers' pauses.
 #[derive(Debug, Clone)]
 pub struct Network {
-    /// Number of controllers.
+    /// Number of controllers, each of which sends heartbeats to all others.
     pub controllers: usize,
     /// Share of heartbeats that are lost, 0 to 1.
     pub loss_share: f64,
@@ -34,12 +34,12 @@
     pub pause_max_s: f64,
 }
 
-/// What other controllers observe when they send heartbeats to a failed one.
+/// How a failed controller's host reacts to the heartbeats of other controllers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FailureMode {
-    /// Its host refuses connections.
+    /// The host refuses connections, so that a heartbeat fails after one message latency.
     Refuses,
-    /// Its host does not respond.
+    /// The host does not respond, so that a heartbeat times out after a round.
     Silent,
 }
 
@@ -62,7 +62,7 @@
         self.false_positives += other.false_positives;
     }
 
-    /// Suspicions per controller-hour.
+    /// Mean number of suspicions per controller-hour.
     pub fn suspicions_per_hour(&self) -> f64 {
         self.suspicions as f64 / self.controller_hours
     }
@@ -76,7 +76,7 @@
 /// An event rate with its 95% confidence interval.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RateEstimate {
-    /// Events per hour.
+    /// Number of events divided by the observed hours.
     pub per_hour: f64,
     /// Lower bound of the interval, in events per hour.
     pub low: f64,
--- a/crates/simulator/src/detector_model/model.rs
+++ b/crates/simulator/src/detector_model/model.rs
@@ -200,13 +200,15 @@
         }
     }
 
-    /// How late a controller's timers fire, in seconds: as long as the latest pause when it ends,
-    /// then half as much with each further second.
+    /// How late a controller's timers fire, in seconds. At the end of a pause this is the duration
+    /// of the pause; it then halves with each second.
     fn timer_lag_s(&self, controller: usize, now_s: f64) -> f64 {
         let pause = self.latest_pauses[controller];
         pause.duration_s * 0.5f64.powf(now_s - pause.end_s)
     }
 
+    /// A controller's heartbeat. The model has no store, so the time in microseconds serves as the
+    /// revision, which increases as it would with a store.
     fn new_heartbeat(&self, controller: usize, now_s: f64) -> Box<PeerHeartbeat> {
         Box::new(PeerHeartbeat {
             member: member_name(controller),
@@ -218,7 +220,9 @@
         })
     }
 
-    /// Evaluates a controller's peers, and counts the detection or the detector's errors.
+    /// Evaluates a controller's peers. Records the time to detection of the controller whose
+    /// failure is simulated, and counts it as an error if another peer is suspected or declared
+    /// failed.
     fn evaluate_peers(&mut self, now_s: f64, controller: usize) {
         let lag_s = self.timer_lag_s(controller, now_s);
         let local_health = LocalHealth {
--- a/crates/simulator/src/inspect.rs
+++ b/crates/simulator/src/inspect.rs
@@ -12,23 +12,23 @@
 pub struct UnhealthyPeer {
     /// The name of the unhealthy controller.
     pub member: String,
-    /// Whether it is declared failed; otherwise it is suspected.
+    /// Whether the controller is declared failed; otherwise it is suspected.
     pub failed: bool,
-    /// Whether the reason is the expiry of its member lease in the store; otherwise it is
-    /// evidence from heartbeats.
+    /// Whether the reason is the expiry of the controller's member lease in the store; otherwise
+    /// the reason is evidence from heartbeats.
     pub lease_expired: bool,
-    /// When it became unhealthy, in seconds of the observer's uptime.
+    /// When the controller became unhealthy, in seconds of the observer's uptime.
     pub since_s: f64,
 }
 
 /// A machine in a controller's state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MachineInfo {
-    /// The machine's name.
+    /// The machine's name, which the cloud assigned.
     pub name: String,
-    /// The name of the shard it belongs to.
+    /// The name of the shard that the machine belongs to.
     pub shard: String,
-    /// Whether it has become ready since it was rented.
+    /// Whether the machine has become ready since it was rented.
     pub ready: bool,
 }
 
--- a/crates/simulator/src/quantiles.rs
+++ b/crates/simulator/src/quantiles.rs
@@ -1,4 +1,4 @@
-//! Formats quantiles of measured times.
+//! Formats quantiles of times as table columns.
 
 use hdrhistogram::Histogram;
 
