--- a/crates/simulator/tests/cluster/restart.rs
+++ b/crates/simulator/tests/cluster/restart.rs
@@ -68,11 +68,14 @@
     cluster.assert_invariants();
 }
 
+/// A process that campaigned before it was registered as a member assigned all shards to other
+/// controllers when it became the leader. Its campaign must have no effect.
 #[tokio::test(start_paused = true)]
 async fn only_a_registered_member_is_elected() {
     let mut cluster = SimulatedCluster::new(12);
     cluster.crash_all();
     cluster.run_for(10).await;
+    // Without its background tasks, the new process doesn't register as a member.
     cluster.start(0);
     let process = cluster.processes[0].as_ref().unwrap();
     process.loops.iter().for_each(JoinHandle::abort);
--- a/crates/simulator/tests/cluster/scheduling.rs
+++ b/crates/simulator/tests/cluster/scheduling.rs
@@ -75,7 +75,8 @@
     // The first attempt starts all tasks, each retry one task of the array or the whole gang.
     let failed = cluster.platform.checker().failed_starts;
     assert!(failed <= 60 + 3 * 4 + 8, "{failed} failed starts");
-    // All tasks fail on the next machine to be rented and on three later ones.
+    // All tasks fail on the first machine that was rented after the failing jobs were submitted,
+    // and on the 15th, 30th and 45th machine after it.
     let mut faulty = Vec::new();
     faulty.extend((next_machine..next_machine + 1).map(|index| format!("i-{index:06}")));
     faulty.extend(
--- a/crates/simulator/tests/fault_combinations.rs
+++ b/crates/simulator/tests/fault_combinations.rs
@@ -106,7 +106,7 @@
     cluster.platform.clear(Fault::PeersUnreachable(leader));
     cluster.run_for(10).await;
     assert_eq!(health(leader).await, 200);
-    // In an outage no controller is better off than another, so all stay healthy.
+    // In an outage no controller reaches the store, so all stay healthy.
     cluster.platform.inject(Fault::StoreOutage);
     cluster.run_for(20).await;
     for controller in 0..3 {
@@ -118,9 +118,10 @@
     cluster.assert_invariants();
 }
 
-/// Some machines send heartbeats but receive no responses or commands. Such machines were
-/// assigned tasks until the fault ended, although their leases had expired. Instead, their tasks
-/// must move to other machines. With `with_crash` the leader also crashes and restarts.
+/// Some machines send heartbeats but receive no responses or commands. Their tasks must move to
+/// other machines. Before that was so, these machines were assigned tasks until the fault ended,
+/// although their worker leases had expired. With `with_crash` the leader also crashes and
+/// restarts.
 async fn move_tasks_after_inbound_loss(with_crash: bool) {
     let mut cluster = small_cluster(32, 50.0).await;
     let service = cluster.submit(1, "standing", 10, 4.0, 0.0).await;
@@ -206,8 +207,8 @@
     }
     cluster.platform.clear_each(Fault::MachineFrozen, &machines);
     cluster.run_for(30).await;
-    // Each task has started once: not before the commit was applied, then on another machine or
-    // in a new attempt.
+    // Each task has started exactly once: after the commit was applied, on another machine or in
+    // a new attempt.
     assert_eq!(cluster.platform.checker().starts_by_job[&array], 3);
     cluster.assert_invariants();
 }
@@ -295,7 +296,7 @@
         cluster.run_for(8).await;
     }
     cluster.wait_until_done(&arrays, 200).await;
-    // A straggler may be restarted once on another machine, a task that is done never.
+    // A straggler may be started once more on another machine, but a finished task must not.
     assert_eq!(
         cluster.platform.checker().starts_after_completion,
         0,
--- a/crates/simulator/tests/observed_faults/consistency.rs
+++ b/crates/simulator/tests/observed_faults/consistency.rs
@@ -107,9 +107,9 @@
 
 /// A controller loses the store for so long that it must list all keys, while the store is slow.
 /// Queries at this controller about jobs that are accepted during the listing must return no
-/// stale status, and after the listing its state must hold all jobs. (Its latest read is too old
-/// as well, so queries wait for the listing. The check that guards the replacement of its state
-/// has a test next to its code.)
+/// stale status, and after the listing its state must hold all jobs. Queries wait for the listing
+/// here, because the controller's latest read of the store is too old. That an older listing
+/// doesn't replace a newer state is tested in `rushwalk-state`.
 #[tokio::test(start_paused = true)]
 async fn controller_that_lists_the_store_again_returns_no_stale_job_status() {
     let config = ClusterConfig {
@@ -261,7 +261,8 @@
         let id = completions.recv().await.unwrap();
         let spec = serde_json::to_string(&cluster.jobs[&id]).unwrap();
         let platform = cluster.platform.clone();
-        // Some requests are sent immediately, others while the outcome is being committed.
+        // Requests are sent 0 to 300 ms after the completion: some immediately, others while the
+        // outcome is being committed.
         tokio::spawn(async move {
             sleep_ms(number % 6 * 60).await;
             let kind = [Request::Cancel, Request::Query, Request::Submit][number as usize % 3];
--- a/crates/simulator/tests/observed_faults/machines.rs
+++ b/crates/simulator/tests/observed_faults/machines.rs
@@ -48,8 +48,9 @@
     }
 }
 
-/// Machines whose heartbeats are lost still receive direct commands. Until the fault ended, their
-/// tasks ended whenever the worker lease expired and were started on the same machines again.
+/// Machines whose heartbeats are lost still receive direct commands. Controllers that kept using
+/// such machines started the same tasks there again each time the worker lease had expired and
+/// ended them, until the fault ended.
 #[tokio::test(start_paused = true)]
 async fn machines_with_outbound_loss_get_no_more_tasks() {
     let mut cluster = small_cluster(141, 50.0).await;
--- a/crates/simulator/tests/observed_faults/validation.rs
+++ b/crates/simulator/tests/observed_faults/validation.rs
@@ -140,7 +140,7 @@
     let jobs_before = inspect::job_count(cluster.first_controller());
     for submission in &submissions {
         assert_rejected(&cluster, submission).await;
-        // The same body with the id of a known job.
+        // With the id of a known job, the same body gets the status of that job.
         for (id, phase) in [
             (&known, StatusPhase::Done),
             (&service, StatusPhase::Running),
