--- a/crates/failure-detector/src/detector/evaluation.rs
+++ b/crates/failure-detector/src/detector/evaluation.rs
@@ -8,7 +8,8 @@
 
 impl FailureDetector {
     /// Derives the health of all peers from the current evidence and returns the changes.
-    /// Should be called several times per heartbeat interval.
+    /// Should be called at least twice per heartbeat interval, which usually is a few times a
+    /// second.
     pub fn evaluate(&mut self, now_s: f64, local: LocalHealth) -> Vec<HealthTransition> {
         let members: Vec<String> = self.peers.keys().cloned().collect();
         members
--- a/crates/failure-detector/src/detector/evidence.rs
+++ b/crates/failure-detector/src/detector/evidence.rs
@@ -68,7 +68,7 @@
             ProbeFailure::Refused => peer.consecutive_refusals += 1,
             // The peer hangs. If it refuses connections next, it has more connections than it can
             // accept, or no sockets left. When such refusals counted, live controllers were
-            // declared failed again and again while all controllers were overloaded, so refusals
+            // declared failed repeatedly while all controllers were overloaded, so refusals
             // after a time-out are ignored.
             ProbeFailure::TimedOut => {
                 peer.consecutive_refusals = 0;
@@ -81,7 +81,7 @@
 
     /// Records that the observer saw a new write of a peer in the store: a log entry, or the peer's
     /// member record. A write may be seen only after the process that made it has ended, so it only
-    /// defers a declaration of failure.
+    /// defers a declaration of failure for a limited time.
     pub fn record_write(&mut self, now_s: f64, member: &str) {
         if let Some(peer) = self.peers.get_mut(member) {
             peer.last_write_s = Some(now_s);
--- a/crates/failure-detector/src/detector/tests.rs
+++ b/crates/failure-detector/src/detector/tests.rs
@@ -204,8 +204,8 @@
     assert!(!detector.is_failed("a", 7) && detector.is_failed("a", 1));
 }
 
-/// Without the limit of once per worker lease and the check for headroom, two restarted
-/// controllers took leadership from each other six times in 0.2 s.
+/// Guards against leadership that circulates: two restarted controllers took it from each other
+/// six times in 0.2 s.
 #[test]
 fn a_stalled_leader_fails_once_per_lease_and_only_for_an_observer_with_headroom() {
     let health_of_stalled = |local: LocalHealth| {
@@ -246,7 +246,8 @@
     );
 }
 
-/// The JSON names and values are part of the administration API and must not change.
+/// The administration API has had these JSON names and values since its first version; they must
+/// not change.
 #[test]
 fn the_status_of_a_peer_keeps_its_json_form() {
     let mut detector = new_detector(&["a"]);
