--- a/crates/rushwalk/src/shards/assignment/candidates.rs
+++ b/crates/rushwalk/src/shards/assignment/candidates.rs
@@ -7,9 +7,9 @@
 use rushwalk_scheduler::shard_assignment::OwnerCandidate;
 use rushwalk_state::records::MemberRecord;
 
-/// A member that left, was declared failed or stepped down at most this many times recently is
-/// not considered flapping. A flapping member gets no shards if fewer than half of the members
-/// are flapping.
+/// A member with more recent departures than this, as flap damping counts them, is flapping
+/// until its damping delay is over. A flapping member gets no shards if fewer than half of the
+/// members are flapping.
 const MAX_DEPARTURES: usize = 2;
 
 impl<'a> InputGatherer<'a> {
@@ -87,9 +87,9 @@
 
     /// Whether a member may get shards that have a working owner, which are moved for balance.
     /// A member that has just registered must wait for the damping delay, which grows with its
-    /// recent departures. A member that departed more than once, or was recently cut off from
-    /// its machines, then gets at most one shard per interval: it must serve one shard before it
-    /// gets the next.
+    /// recent departures; only then are the shards of its zone moved back to it. A member that
+    /// departed more than once, or was recently cut off from its machines, then gets at most one
+    /// shard per interval: it must serve one shard before it gets the next.
     fn is_eligible_for_moves(
         &self,
         detector: &FailureDetector,
--- a/crates/rushwalk/src/shards/assignment/inputs.rs
+++ b/crates/rushwalk/src/shards/assignment/inputs.rs
@@ -98,7 +98,8 @@
         }
     }
 
-    /// A shard's lease; `None` if there is none or the process that owns it is not registered.
+    /// A shard's lease; `None` if the shard has no lease or the process that owns it is not
+    /// registered.
     fn valid_lease(&self, shard: &ShardId) -> Option<&'a ShardLease> {
         let lease = &self.state.shard_leases.get(shard)?.value;
         self.state.is_owner_registered(lease).then_some(lease)
--- a/crates/rushwalk/src/shards/dispatch.rs
+++ b/crates/rushwalk/src/shards/dispatch.rs
@@ -23,8 +23,9 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Number of workers that a tick may always probe, whatever the number of owned machines. While
-/// the event loop lags, a tick probes at most this many of the workers without any contact.
+/// Number of workers that a tick may always probe, whatever the number of owned machines: about as
+/// many as a small site has. While the event loop lags, a tick probes at most this many of the
+/// workers without any contact.
 const MIN_PROBES: f64 = 8.0;
 
 /// Ticks of the reconciler in a scheduling round.
@@ -55,9 +56,10 @@
 
 impl ProbeBudget {
     /// The budget of a tick. While the event loop lags, few workers without any contact are
-    /// probed: they send heartbeats by themselves, which the event loop handles late. Workers
-    /// whose heartbeats stopped are probed regardless: when their probes were limited too, the
-    /// failure of a third of the fleet was detected later.
+    /// probed: they send heartbeats by themselves, unless the event loop answers these too late,
+    /// and more probes would delay it further. Workers whose heartbeats stopped are probed
+    /// regardless: when their probes were limited too, the failure of a third of the fleet was
+    /// detected later.
     fn new(total: usize, is_lagging: bool) -> ProbeBudget {
         let never_contacted = if is_lagging {
             MIN_PROBES as usize
--- a/crates/rushwalk/src/shards/findings.rs
+++ b/crates/rushwalk/src/shards/findings.rs
@@ -63,7 +63,7 @@
         tasks.push(attempt.task.index);
     }
 
-    /// Adds a task that surely no longer runs on its machine.
+    /// Adds a task that certainly no longer runs on its machine.
     pub(super) fn task_ended(&mut self, attempt: &AttemptId, outcome: AttemptOutcome) {
         let ended = EndedAttempt {
             attempt: JobAttempt::of(attempt),
--- a/crates/rushwalk/src/shards/outcomes.rs
+++ b/crates/rushwalk/src/shards/outcomes.rs
@@ -158,7 +158,7 @@
     }
 
     /// The change to a placed task that the session shows. `is_lost` says that the worker's
-    /// lease has surely expired.
+    /// lease has certainly expired.
     fn task_transition(
         &self,
         session: &WorkerSession,
@@ -213,7 +213,7 @@
         outcome
     }
 
-    /// Whether a task that its worker does not report is surely not on the machine, and will
+    /// Whether a task that its worker does not report is certainly not on the machine, and will
     /// not be started there under this attempt.
     fn is_surely_absent(
         &self,
@@ -226,7 +226,8 @@
             || task.record.stop_reason.is_some()
             || task.record.started_ms.is_some();
         let has_ended = session.ended_attempts.contains(attempt);
-        // A task that an unreachable machine has not started is moved to another machine.
+        // An unreachable machine may receive no commands, so a task that it has not started is
+        // moved to another machine.
         let is_unreachable = self.machine.record.unreachable_since_ms.is_some();
         let will_not_start = must_not_start || has_ended || is_unreachable;
         will_not_start && session.proves_absence(self.token) || session.lease_expired(self.token)
--- a/crates/rushwalk/src/workers/registry.rs
+++ b/crates/rushwalk/src/workers/registry.rs
@@ -44,7 +44,7 @@
 }
 
 impl Sessions {
-    /// Returns a machine's session; creates it if there is none.
+    /// Returns a machine's session; creates an empty one for a machine without a session.
     pub fn session_mut(&mut self, machine: &MachineId) -> &mut WorkerSession {
         self.by_machine.entry(machine.clone()).or_default()
     }
--- a/crates/rushwalk/src/workers/session.rs
+++ b/crates/rushwalk/src/workers/session.rs
@@ -3,7 +3,7 @@
 //! The methods of [`WorkerSession`] decide when a task may be started on another machine.
 //! Only two things prove that a task no longer runs: a heartbeat of its worker that carries
 //! this controller's fencing token and does not list the task, or a worker lease that has
-//! surely expired.
+//! certainly expired.
 
 #[cfg(test)]
 mod tests;
@@ -137,8 +137,8 @@
     /// Fencing token of the ownership in which the worker's lease expired although its
     /// heartbeats kept arriving; `None` once the worker has seen that token.
     expired_under_token: Option<Revision>,
-    /// Since when this process owns the worker's shard, and under which token; `None` if it
-    /// has not examined the machine as owner.
+    /// Fencing token under which this process owns the worker's shard, and when it noticed the
+    /// ownership; `None` if it has not examined the machine as owner.
     pub owned: Option<Ownership>,
     /// When commands were last sent to the worker's own address.
     pub last_command: Option<Instant>,
@@ -253,7 +253,8 @@
         self.call_in_flight == Some(CallInFlight::Commands)
     }
 
-    /// Since when this process owns the worker's shard under `token`; `None` if it does not.
+    /// When this process noticed that it owns the worker's shard under `token`; `None` if it does
+    /// not own the shard under that token.
     fn owned_under(&self, token: Revision) -> Option<Instant> {
         let owned = self.owned.filter(|owned| owned.token == token)?;
         Some(owned.since)
@@ -340,7 +341,7 @@
         self.expired_under_token == Some(token)
     }
 
-    /// Whether the worker's lease has surely expired, given the time since the latest contact.
+    /// Whether the worker's lease has certainly expired, given the time since the latest contact.
     /// The expiry ends all tasks on the machine.
     ///
     /// The latest possible renewal is the latest contact or response of this process, or the
@@ -379,7 +380,7 @@
         reported.map(|t| &t.status)
     }
 
-    /// Whether a task that is missing from the newest heartbeat is surely not on the machine:
+    /// Whether a task that is missing from the newest heartbeat is certainly not on the machine:
     /// the worker has seen `token`, and no start sent to it may still take effect.
     pub fn proves_absence(&self, token: Revision) -> bool {
         self.last_contact.is_some()
@@ -398,7 +399,7 @@
     }
 }
 
-/// Time after the last possible renewal of a worker's lease at which it has surely expired.
+/// Time after the last possible renewal of a worker's lease at which it has certainly expired.
 fn surely_expired_after(timing: &Timing) -> Duration {
     timing.worker_lease.mul_f64(MAX_CLOCK_DRIFT_FACTOR) + timing.round / 2
 }
