--- a/crates/rushwalk/src/failure_detection/observation.rs
+++ b/crates/rushwalk/src/failure_detection/observation.rs
@@ -64,7 +64,7 @@
     }
 }
 
-fn rounded_to_tenths(seconds: f64) -> f64 {
+fn round_to_tenths(seconds: f64) -> f64 {
     (seconds * 10.0).round() / 10.0
 }
 
@@ -187,8 +187,8 @@
     fn handle(&self, transition: &HealthTransition) {
         let controller = &transition.member;
         let reason = transition.reason;
-        let phi = rounded_to_tenths(transition.phi);
-        let after_s = rounded_to_tenths(transition.previous_lasted_s);
+        let phi = round_to_tenths(transition.phi);
+        let after_s = round_to_tenths(transition.previous_lasted_s);
         let (agreeing, witnesses) = (transition.agreeing, transition.witnesses);
         match transition.to {
             PeerHealth::Healthy => tracing::info!(controller, after_s, "peer healthy again"),
