--- a/crates/rushwalk/src/context.rs
+++ b/crates/rushwalk/src/context.rs
@@ -14,7 +14,8 @@
     /// Intervals and time-outs, which follow from the settings.
     pub timing: Timing,
     /// A random number drawn at the start of the process. A restarted controller keeps its name
-    /// but has a new incarnation, so it does not take over leases of its previous process.
+    /// but has a new incarnation, so nothing that its previous process held, such as shard leases,
+    /// passes to it by the name alone.
     pub incarnation: u64,
     started: Instant,
 }
--- a/crates/rushwalk/src/leadership/leader.rs
+++ b/crates/rushwalk/src/leadership/leader.rs
@@ -48,8 +48,8 @@
     }
 }
 
-/// What this process knows of its own elections, commits and scheduling rounds, across all of its
-/// terms as the leader. Whether it leads now depends on the leader key in the replica.
+/// The elections, commits and scheduling rounds of this process, across all of its terms as the
+/// leader. Whether it leads now depends on the leader key in the replica.
 #[derive(Default)]
 struct LeadershipState {
     /// The id of the latest election that this process entered, won or not; `None` before the
--- a/crates/rushwalk/src/main.rs
+++ b/crates/rushwalk/src/main.rs
@@ -26,7 +26,7 @@
 #[derive(Parser)]
 #[command(version, about, subcommand_negates_reqs = true)]
 struct Cli {
-    /// Path of the settings file (TOML).
+    /// Path of the settings file (TOML) that the platform provides.
     #[arg(long, required = true)]
     config: Option<PathBuf>,
     /// Check the settings and exit.
--- a/crates/rushwalk/src/peers.rs
+++ b/crates/rushwalk/src/peers.rs
@@ -66,7 +66,8 @@
         self.busy_permille.load(Ordering::Relaxed)
     }
 
-    /// The same as [`PeerMonitor::busy_permille`], as a fraction from 0 to 1.
+    /// The share of time in which this controller's thread is busy, a moving average from 0 to 1;
+    /// 1 until it is measured.
     pub fn busy_share(&self) -> f64 {
         f64::from(self.busy_permille()) / 1000.0
     }
--- a/crates/rushwalk/src/reporting/incidents.rs
+++ b/crates/rushwalk/src/reporting/incidents.rs
@@ -91,7 +91,7 @@
     }
 
     /// Whether too many workers of the owned shards are without contact. Machines that the state
-    /// already shows as unreachable do not count: this controller did not cause their silence.
+    /// already shows as unreachable do not count as an incident of this controller.
     fn has_missing_heartbeats(&self, state: &ClusterState) -> bool {
         let sessions = self.workers.sessions();
         let limit = self.context.timing.unreachable_after;
--- a/crates/rushwalk/src/store/replica.rs
+++ b/crates/rushwalk/src/store/replica.rs
@@ -86,8 +86,8 @@
         self.last_read_sent.get().map(|sent| sent.elapsed())
     }
 
-    /// The same as [`Replica::last_read_age`], but [`Duration::MAX`] before the first successful
-    /// read.
+    /// How long ago the newest successful read of the store was sent; [`Duration::MAX`] before the
+    /// first.
     pub fn staleness(&self) -> Duration {
         self.last_read_age().unwrap_or(Duration::MAX)
     }
