--- a/crates/scheduler/src/boot_times/survival.rs
+++ b/crates/scheduler/src/boot_times/survival.rs
@@ -40,8 +40,8 @@
     if ratio <= USUAL_EARLIEST {
         1.0
     } else if ratio <= MOST_BOOTED_BY {
-        let booted = (1.0 - LATE_SHARE) * (ratio - USUAL_EARLIEST);
-        1.0 - booted / (MOST_BOOTED_BY - USUAL_EARLIEST)
+        let weighted_time = (1.0 - LATE_SHARE) * (ratio - USUAL_EARLIEST);
+        1.0 - weighted_time / (MOST_BOOTED_BY - USUAL_EARLIEST)
     } else {
         LATE_SHARE * (ratio / MOST_BOOTED_BY).powf(-LATE_EXPONENT)
     }
--- a/crates/scheduler/src/deadlines.rs
+++ b/crates/scheduler/src/deadlines.rs
@@ -1,10 +1,10 @@
 //! The order in which pending jobs of the same priority are placed.
 //!
-//! The paper that the design follows assumes the order of arrival. On a full fleet that order
-//! makes every job a little late. So if the settings contain service-level objectives on when
-//! jobs of a class should start or finish, jobs are ordered by the latest start that meets an
-//! objective. A job that can no longer meet any of its objectives is placed after those that
-//! can, until it is old enough to come first.
+//! The paper "Coding the Computing Continuum", which the design follows, assumes the order of
+//! arrival. On a full fleet that order makes every job a little late. So if the settings
+//! contain service-level objectives on when jobs of a class should start or finish, jobs are
+//! ordered by the latest start that meets an objective. A job that can no longer meet any of
+//! its objectives is placed after those that can, until it is old enough to come first.
 
 use rushwalk_protocol::jobs::JobSpec;
 use rushwalk_protocol::settings::{Objective, ObjectiveKind};
--- a/crates/scheduler/src/durations.rs
+++ b/crates/scheduler/src/durations.rs
@@ -3,12 +3,13 @@
 use rushwalk_protocol::jobs::{JobSpec, Shape};
 use std::collections::{HashMap, VecDeque};
 
-/// Mean of the latest samples (called Rolling-Average in the paper that the design follows).
+/// Mean of the latest samples (called Rolling-Average in the paper "Coding the Computing
+/// Continuum").
 #[derive(Debug, Clone, Default)]
 pub struct RollingMean {
     samples: VecDeque<f64>,
-    /// Mean of `samples`; `None` if there are none. It is stored, because it is read far more
-    /// often than samples are added.
+    /// Mean of `samples`; `None` before the first sample. It is stored, because it is read far
+    /// more often than samples are added.
     mean: Option<f64>,
 }
 
--- a/crates/scheduler/src/pending_job.rs
+++ b/crates/scheduler/src/pending_job.rs
@@ -44,8 +44,9 @@
     /// run out of if replacing it would cost other jobs more than this one.
     pub price_bias: Vec<[f64; 2]>,
     /// Whether the job is retried as a
-    /// [single probe](crate::retry::RetryDecision::SingleProbe): it is placed only on machines
-    /// where it can start now, and no machine is rented or reserved for it.
+    /// [single probe](crate::retry::RetryDecision::SingleProbe), because it failed wherever it
+    /// ran: it is placed only on machines where it can start now, and no machine is rented or
+    /// reserved for it.
     pub single_probe: bool,
 }
 
--- a/crates/scheduler/src/quota.rs
+++ b/crates/scheduler/src/quota.rs
@@ -104,7 +104,7 @@
         return Err(Unsatisfiable::NoMachineTypeFits);
     }
     // A spread array can run in a single zone: its tasks need not run at the same time, so it
-    // runs at most half of them at a time there.
+    // runs at most half of them, rounded up, at a time there.
     let single_zone = spec.one_zone || possible_zones.len() == 1;
     if spec.spread && single_zone && spec.tasks > 1 && spec.shape != Shape::Array {
         return Err(Unsatisfiable::SpreadImpossible);
--- a/crates/scheduler/src/retry.rs
+++ b/crates/scheduler/src/retry.rs
@@ -23,7 +23,8 @@
 pub enum RetryDecision {
     /// The job is planned as any other.
     Normal,
-    /// A single task is planned, or the whole job if it is a gang, and only where it can start
+    /// The job failed on several machines, and none of its tasks has finished or is running. A
+    /// single task is planned, or the whole job if it is a gang, and only where it can start
     /// now. No machine is rented and no capacity is reserved for it.
     SingleProbe,
     /// The job is not planned until its back-off has elapsed.
--- a/crates/scheduler/src/round/decisions.rs
+++ b/crates/scheduler/src/round/decisions.rs
@@ -23,7 +23,7 @@
     NoCapacity,
     /// The job's team has reached its resource limit.
     TeamLimitReached,
-    /// The job is a gang that is retried as a
+    /// The job is a gang that failed on every machine on which it ran. It is retried as a
     /// [single probe](crate::retry::RetryDecision::SingleProbe), and not all of its tasks can
     /// start now.
     FailsEverywhere,
--- a/crates/scheduler/src/shard_assignment.rs
+++ b/crates/scheduler/src/shard_assignment.rs
@@ -45,9 +45,9 @@
     /// Index of the owner among the candidates; `None` if the shard has no owner or the owner
     /// is not a candidate.
     pub owner: Option<usize>,
-    /// Whether some of the machines are unreachable for the owner. Such a shard is not moved
-    /// only for better balance, because the new owner would have to wait again for the leases
-    /// of those machines to expire.
+    /// Whether some of the machines are unreachable for the owner. Such a shard is moved only
+    /// if its owner is gone, cut off or slow, not for balance or to return it to its zone: the
+    /// new owner would have to wait again for the leases of those machines to expire.
     pub has_unreachable: bool,
     /// Whether the owner is cut off from the machines and another controller may reach them:
     /// either they sent heartbeats to other controllers, or most of them are unreachable for
@@ -74,7 +74,7 @@
 const OVERLOAD_LIMIT: f64 = 1.5;
 
 /// Plans which shards get a new owner: all shards without an owner and all whose owner is cut
-/// off from their machines. If there are none and `rebalance` is set, at most one shard is
+/// off from their machines. If no shard needs one and `rebalance` is set, at most one shard is
 /// moved to a better owner.
 pub fn plan_shard_moves(
     candidates: &[OwnerCandidate],
--- a/crates/scheduler/src/timeline.rs
+++ b/crates/scheduler/src/timeline.rs
@@ -15,8 +15,8 @@
 pub struct MachineTimeline {
     /// Name of the machine; empty for a machine that is not rented yet.
     pub name: Arc<str>,
-    /// Index of its machine type among the round's types. The paper that the design follows
-    /// calls this the machine group.
+    /// Index of its machine type among the round's types. The paper "Coding the Computing
+    /// Continuum", which the design follows, calls this the machine group.
     pub group: usize,
     /// Index of its zone among the round's zones.
     pub zone: usize,
@@ -35,8 +35,8 @@
     /// Resources of the machine without any task.
     pub capacity: Resources,
     /// Images that the machine has or is fetching, each with the time at which it is
-    /// available. If a fetch in progress counted as finished, tasks would be assigned to
-    /// machines that are still booting, and would wait for these boots.
+    /// available. When a fetch in progress counted as finished, tasks were assigned to
+    /// machines that were still booting, and waited for these boots.
     pub images: Vec<MachineImage>,
     /// Price per hour; the spot price for a spot instance if its type has one.
     pub price: f64,
@@ -260,8 +260,8 @@
     /// Predicts when a task of the job would start and finish on this machine if it is planned
     /// at `now_s`. The time until it finishes is the sum of the start-up overhead, the image
     /// fetch, the wait for other tasks with its prediction error, and the run time (§4.3.5-6
-    /// of the paper that the design follows). `None` if the job has no estimate for the
-    /// machine's type, or the machine never has room for the task.
+    /// of the paper). `None` if the job has no estimate for the machine's type, or the machine
+    /// never has room for the task.
     pub fn predict(&self, job: &PendingJob, now_s: f64) -> Option<PredictedFinish> {
         if !job.resources.fits_in(&self.capacity) {
             return None;
