--- a/crates/state/src/cluster_state.rs
+++ b/crates/state/src/cluster_state.rs
@@ -103,7 +103,8 @@
 pub struct ShardCounts {
     /// Machines that have sent their first heartbeat, reachable or not.
     pub ready: usize,
-    /// Ready machines from or to which the messages of the shard's owner are lost.
+    /// Ready machines that are unreachable for the shard's owner: it receives no heartbeats from
+    /// them, or messages are lost in one direction.
     pub unreachable: usize,
 }
 
--- a/crates/state/src/codec.rs
+++ b/crates/state/src/codec.rs
@@ -9,7 +9,7 @@
 use crate::{Revision, records};
 use serde_json::value::RawValue;
 
-/// Packs mutations, in their order, into texts of limited size.
+/// Packs mutations, in their order, into as few texts as the size limit of a text allows.
 #[derive(Debug)]
 pub struct MutationPacker {
     max_bytes: usize,
@@ -61,7 +61,7 @@
     }
 }
 
-/// Packs mutations, in their order, into texts of at most `max_bytes` bytes.
+/// Packs mutations, in their order, into as few texts of at most `max_bytes` bytes as possible.
 pub fn pack(mutations: &[Mutation], max_bytes: usize) -> Vec<String> {
     let mut packer = MutationPacker::new(max_bytes);
     packer.extend(mutations);
--- a/crates/state/src/log_keys/tests.rs
+++ b/crates/state/src/log_keys/tests.rs
@@ -23,8 +23,8 @@
     allocator.release(2);
     assert_eq!(allocate(&mut allocator, &state), (2, 0));
     // A late commit of an earlier process has written the free key 2 and the unallocated
-    // key 3. If one of them were allocated, the entry would be overwritten, and a replica
-    // that lists the store afterwards would miss a job that was accepted in it.
+    // key 3. Such a key was once allocated: the entry was overwritten, and a replica that
+    // listed the store afterwards missed a job that was accepted in it.
     allocator.release(2);
     state.log_versions.insert(log_entry("a", 2), 14);
     state.log_versions.insert(log_entry("a", 3), 15);
--- a/crates/state/src/mutation.rs
+++ b/crates/state/src/mutation.rs
@@ -67,8 +67,8 @@
     /// Records the cloud's notice that it will reclaim a spot instance, and drains it.
     #[serde(rename = "T")]
     ReclaimNotice(ReclaimNotice),
-    /// Records that messages from or to machines are lost, as detected by the owner of their
-    /// shard.
+    /// Records that the owner of the machines' shard receives no heartbeats from them, or that
+    /// messages between them are lost in one direction.
     #[serde(rename = "Q")]
     MachinesUnreachable(MachinesUnreachable),
     /// Records that the owner of the machines' shard exchanges messages with them again.
@@ -289,7 +289,7 @@
 /// [`Mutation::MachinesUnreachable`].
 #[derive(Debug, Clone, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct MachinesUnreachable {
-    /// When the loss of messages was detected; ignored for machines that are unreachable
+    /// When the owner of the shard detected this; ignored for machines that are unreachable
     /// already.
     pub since_ms: UnixMillis,
     /// The machines that became unreachable.
--- a/crates/state/src/records.rs
+++ b/crates/state/src/records.rs
@@ -224,8 +224,9 @@
     /// When the cloud reclaims the machine; `None` unless it sent a reclaim notice.
     #[serde(rename = "t", default, skip_serializing_if = "Option::is_none")]
     pub reclaim_ms: Option<UnixMillis>,
-    /// When the owner of the shard detected that messages from or to the machine are lost;
-    /// `None` while the machine counts as reachable.
+    /// When the owner of the shard detected that it receives no heartbeats from the machine, or
+    /// that messages between them are lost in one direction; `None` while the machine counts
+    /// as reachable.
     #[serde(rename = "q", default, skip_serializing_if = "Option::is_none")]
     pub unreachable_since_ms: Option<UnixMillis>,
 }
--- a/crates/state/src/service_counts.rs
+++ b/crates/state/src/service_counts.rs
@@ -19,8 +19,8 @@
     pub completed: u32,
     /// Accepted jobs that their users cancelled.
     pub cancelled: u32,
-    /// Jobs cancelled before a task was observed running. They are excluded from
-    /// [`JobCounts::started_share`].
+    /// Jobs cancelled before a task was observed running. That they did not start is no fault of
+    /// the service, so they are excluded from [`JobCounts::started_share`].
     pub withdrawn: u32,
 }
 
