--- a/crates/rushwalk/src/scheduling/expected_demand.rs
+++ b/crates/rushwalk/src/scheduling/expected_demand.rs
@@ -110,8 +110,8 @@
 }
 
 /// The number of standard deviations above the mean number of arrivals for which capacity is
-/// planned. A job without an objective for its start can wait for the end of a burst, unless
-/// its priority is high.
+/// planned. A job without an objective for its start can wait a short time, until a burst ends,
+/// unless its priority is production or high.
 fn deviations(context: &Context, spec: &JobSpec) -> f64 {
     let objectives = &context.settings.site.objectives;
     let has_start_objective = objectives.iter().any(|objective| {
@@ -153,7 +153,7 @@
     now_ms: UnixMillis,
 ) -> BTreeMap<&'a JobId, ExpectedRestart> {
     let timing = &context.timing;
-    // The last contact was `unreachable_after` before the machine counted as unreachable, and a
+    // A silent machine counts as unreachable `unreachable_after` after its last contact. A
     // previous owner of its shard may have renewed the worker lease for `lease_validity` longer.
     let lease_expiry_s = (timing.worker_lease + timing.lease_validity)
         .saturating_sub(timing.unreachable_after)
--- a/crates/rushwalk/src/scheduling/maintenance.rs
+++ b/crates/rushwalk/src/scheduling/maintenance.rs
@@ -93,7 +93,7 @@
 }
 
 /// Unassigns tasks that the owner of their shard has not placed in time, because it found no
-/// free machine or has failed.
+/// machine with room for them or has failed.
 fn unassign_stuck_tasks(
     context: &Context,
     state: &ClusterState,
--- a/crates/rushwalk/src/scheduling/scheduler.rs
+++ b/crates/rushwalk/src/scheduling/scheduler.rs
@@ -57,7 +57,8 @@
     pub context: Arc<Context>,
     /// The replica of the cluster state, with jobs and machines.
     pub replica: Arc<Replica>,
-    /// Tells whether this process leads, and commits the mutations of a round.
+    /// Whether this process is the leader, the only one that schedules. Commits the mutations of
+    /// a round.
     pub leadership: Arc<Leadership>,
     /// The health of the other controllers, which decides whose shards accept more work.
     pub peers: Arc<PeerMonitor>,
--- a/crates/rushwalk/src/scheduling/stragglers.rs
+++ b/crates/rushwalk/src/scheduling/stragglers.rs
@@ -1,5 +1,5 @@
 //! Stops stragglers, tasks that run much longer than predicted, so that they restart on another
-//! machine.
+//! machine and are probably finished sooner there.
 
 use crate::scheduler_inputs::{self, seconds};
 use rushwalk_protocol::ids::{JobId, MachineId, TaskId};
@@ -11,7 +11,7 @@
 use std::collections::BTreeSet;
 
 /// A task that has run for this many times its predicted run time is a straggler (§4.4 of the
-/// paper that the design follows).
+/// paper "Coding the Computing Continuum").
 const STRAGGLER_RATIO: f64 = 2.0;
 
 /// Tasks that have run for less than this, in seconds, are never stragglers, so that the run
@@ -133,8 +133,8 @@
     })
 }
 
-/// Reserves a place for the restart of a straggler on another machine. Returns false if the task
-/// can start on no other machine now.
+/// Reserves a place for the restart of a straggler on the best of the other machines on which it
+/// can start now. Returns false if there is no such machine.
 fn reserve_place_elsewhere(
     state: &ClusterState,
     round: &mut SchedulingRound,
