--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,7 +1,8 @@
 //! The message formats and the settings format that rushwalk reads or writes.
 //!
-//! The platform's protocols have their own field names, which serde renames map to the
-//! Rust names. All types are plain data, so clients of rushwalk can use this crate too.
+//! The platform's protocols have their own field names. Serde renames in this crate map them to
+//! the Rust names that the other crates use. All types are plain data, so clients of rushwalk can
+//! use this crate too.
 
 #![deny(missing_docs)]
 
--- a/crates/protocol/src/settings.rs
+++ b/crates/protocol/src/settings.rs
@@ -17,7 +17,7 @@
     /// The `IP:port` at which the controller serves the other controllers.
     #[serde(rename = "mesh_addr")]
     pub peer_addr: String,
-    /// The other controllers of the cluster; empty if there are none.
+    /// The other controllers of the cluster; empty for a cluster of one controller.
     #[serde(rename = "others", default)]
     pub peers: Vec<PeerSettings>,
     /// The addresses of the services that the controller calls.
@@ -61,7 +61,7 @@
     /// The teams whose users may submit jobs.
     #[serde(default)]
     pub teams: Vec<Team>,
-    /// The service-level objectives of the jobs; empty if there are none.
+    /// The service-level objectives of the jobs; empty if none is set.
     #[serde(default)]
     pub objectives: Vec<Objective>,
     /// The intervals and time limits of workers and their tasks.
