--- a/crates/clients/src/http.rs
+++ b/crates/clients/src/http.rs
@@ -66,7 +66,7 @@
     pub method: Method,
     /// The path and query of the URL.
     pub path: &'a str,
-    /// The request body; empty if there is none.
+    /// The request body; empty for a request without a body.
     pub body: Vec<u8>,
     /// The time limit of the whole call: connecting, sending and receiving the response.
     pub timeout: Duration,
--- a/crates/clients/src/store.rs
+++ b/crates/clients/src/store.rs
@@ -35,7 +35,7 @@
     /// A lease that the transaction attaches a key to has expired.
     LeaseExpired,
     /// The transaction was not carried out: the store responded with another status, such as
-    /// 429 or 503, or the request was never sent.
+    /// 429 or 503, which are temporary refusals, or the request was never sent.
     Rejected(Error),
     /// No valid response was received. The transaction may have been committed, or may still
     /// be.
--- a/crates/clients/src/workers.rs
+++ b/crates/clients/src/workers.rs
@@ -54,8 +54,8 @@
     /// # Errors
     ///
     /// [`Error::NotSent`] if `to` is not a valid address, or if the limit on command calls in
-    /// flight allows no call within the timeout; [`Error::Status`] for any status other than 200 and 409; otherwise
-    /// the errors of [`HttpClient::call`].
+    /// flight allows no call within the timeout; [`Error::Status`] for any status other than 200
+    /// and 409; otherwise the errors of [`HttpClient::call`].
     pub async fn command(
         &self,
         to: &str,
