--- a/crates/rushwalk/src/capacity/deletion.rs
+++ b/crates/rushwalk/src/capacity/deletion.rs
@@ -25,7 +25,7 @@
 /// The machines of the next deletion call.
 struct DeletionBatch {
     machines: Vec<MachineId>,
-    /// Whether any of the machines still has tasks. These count as lost, and can be restarted,
+    /// Whether any of the machines still has tasks. The tasks count as lost, and can be restarted,
     /// only once the deletion is confirmed.
     is_urgent: bool,
 }
--- a/crates/rushwalk/src/capacity/inventory.rs
+++ b/crates/rushwalk/src/capacity/inventory.rs
@@ -186,7 +186,8 @@
     }
 }
 
-/// When the cloud created a listed machine, by this process's clock.
+/// When the cloud created a listed machine, by this process's clock. The result is late by the lag
+/// of the list, since the machine's age is given for the time that the list describes.
 fn rented_ms(machine: &ListedMachine) -> UnixMillis {
     now_ms().saturating_sub((machine.age_s * 1000.0) as UnixMillis)
 }
--- a/crates/rushwalk/src/capacity/rentals.rs
+++ b/crates/rushwalk/src/capacity/rentals.rs
@@ -190,12 +190,12 @@
         let outcome = match self.parts.cloud.rent(&rent).await {
             Ok(outcome) => outcome,
             Err(error) => {
-                // The cloud may have carried the request out, so it is sent again with the same
-                // id.
+                // The cloud may have carried the request out, unless it was not sent. While the
+                // rental is open, the request is sent again with the same id.
                 tracing::info!(
                     rental = &**rental,
                     %error,
-                    "rental request failed; its outcome is unknown"
+                    "rental request failed; retrying with the same id while the rental is open"
                 );
                 return None;
             }
--- a/crates/rushwalk/src/capacity/scale_in.rs
+++ b/crates/rushwalk/src/capacity/scale_in.rs
@@ -16,7 +16,7 @@
 /// services are moved to other machines.
 const MAX_EMPTIED: usize = 64;
 
-/// Machines whose most used resource is used by this share or more are not emptied.
+/// Machines whose most used resource is used by this share or more are not worth emptying.
 const MAX_USED_SHARE: f64 = 0.7;
 
 /// Services that started less than this many milliseconds ago are not moved: a start that is
@@ -190,7 +190,8 @@
     Duration::from_secs_f64(PAUSE_BOOT_SHARE * shortest_s)
 }
 
-/// Machines that might be emptied, in ascending order of used share per price.
+/// Machines that might be emptied, in ascending order of used share per price: those that are the
+/// most expensive for what they run come first.
 fn candidates(state: &ClusterState, round: &SchedulingRound) -> Vec<Candidate> {
     let mut candidates = Vec::new();
     for (index, machine) in round.machines.iter().enumerate() {
--- a/crates/rushwalk/src/capacity/scale_out.rs
+++ b/crates/rushwalk/src/capacity/scale_out.rs
@@ -28,9 +28,9 @@
 /// Which jobs a round has planned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum PlannedDemand {
-    /// Only jobs that are pending now.
+    /// The round has planned only jobs that are pending now.
     Pending,
-    /// Jobs that are pending now, and jobs that are expected to be submitted.
+    /// The round has planned jobs that are pending now, and jobs that are expected to be submitted.
     PendingAndExpected,
 }
 
--- a/crates/rushwalk/src/capacity/scarcity.rs
+++ b/crates/rushwalk/src/capacity/scarcity.rs
@@ -28,7 +28,7 @@
 }
 
 impl PriceBias {
-    /// Computes the factors from the current state; there are none if no kind is exhausted.
+    /// Computes the factors from the current state. If no kind is exhausted, no class gets factors.
     pub(crate) fn new(
         state: &ClusterState,
         capacity: &CapacityEstimator,
