--- a/crates/rushwalk/src/connections/tests.rs
+++ b/crates/rushwalk/src/connections/tests.rs
@@ -15,7 +15,8 @@
     connections.iter().map(|c| c.state.is_closed()).collect()
 }
 
-/// Idle connections of users and failed machines must not keep workers from connecting.
+/// Fault: connections of failed machines and idle users filled the table, so that workers could not
+/// connect.
 #[tokio::test(start_paused = true)]
 async fn idle_users_are_shed_before_idle_workers() {
     let (user_idle, worker_idle) = (Duration::from_secs(3), Duration::from_secs(12));
