--- a/crates/rushwalk/src/http/admin/status_response.rs
+++ b/crates/rushwalk/src/http/admin/status_response.rs
@@ -75,7 +75,7 @@
     /// The recent lag of the event loop, in milliseconds.
     #[serde(rename = "late_ms")]
     lag_ms: u64,
-    /// The ongoing incident; `None` if there is none.
+    /// The ongoing incident; `None` while none is ongoing.
     #[serde(rename = "trouble")]
     incident: Option<Incident>,
     /// The last incident that was resolved; `None` if none was.
--- a/crates/rushwalk/src/http/admission/tests.rs
+++ b/crates/rushwalk/src/http/admission/tests.rs
@@ -67,10 +67,10 @@
     }
 }
 
-/// Without free file descriptors, a controller can make no calls, and its accept loop uses CPU
-/// time on a listener from which it can accept nothing.
+/// Fault: without free file descriptors, a controller could make no calls any more, and its accept
+/// loop retried without pause on a listener from which it could accept nothing.
 #[tokio::test]
-async fn connections_are_accepted_up_to_the_capacity() {
+async fn no_connection_is_accepted_beyond_the_capacity() {
     let mut listener = TestListener::bind(3, 60_000).await;
     let clients = listener.connect(5).await;
     let mut accepted = Vec::new();
@@ -87,8 +87,8 @@
     assert_eq!(io.read(&mut [0; 8]).await.unwrap(), 0);
 }
 
-/// If connections are served in order of arrival, clients get responses only after they have gone
-/// to another controller, and connect again.
+/// Fault: when connections were served in order of arrival, clients got responses only after they
+/// had gone to another controller, and connected again.
 #[tokio::test]
 async fn the_newest_connection_is_served_first() {
     let mut listener = TestListener::bind(100, 60_000).await;
--- a/crates/rushwalk/src/http/user_requests.rs
+++ b/crates/rushwalk/src/http/user_requests.rs
@@ -179,8 +179,8 @@
         }
     }
 
-    /// Whether this controller's last read of the store is older than the pause between two reads
-    /// of an idle controller.
+    /// Whether this controller's last read of the store is older than [`STORE_UNREACHABLE_ROUNDS`].
+    /// An idle controller reads more often than that.
     fn is_store_unreachable(&self) -> bool {
         self.replica.staleness() > self.context.timing.round * STORE_UNREACHABLE_ROUNDS
     }
