--- a/crates/rushwalk/src/observability/incidents.rs
+++ b/crates/rushwalk/src/observability/incidents.rs
@@ -44,7 +44,7 @@
 /// The current incident and the last resolved one.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct IncidentSummary {
-    /// The current incident; `None` if there is none.
+    /// The current incident; `None` while none is ongoing.
     pub current: Option<Incident>,
     /// The last incident that was resolved; `None` if none was.
     pub last: Option<Incident>,
