--- a/crates/testkit/src/fault.rs
+++ b/crates/testkit/src/fault.rs
@@ -5,7 +5,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Fault {
     /// The controller's process has ended: users and workers get no response from it, and it
-    /// refuses connections of other controllers.
+    /// refuses connections of other controllers. The requests that the process sends are stopped
+    /// by `ControllerTransport::alive` and not by this fault.
     ControllerStopped(usize),
     /// Simulates a suspended process: all messages to and from the controller are lost, while
     /// its background tasks go on running.
--- a/crates/testkit/src/invariants.rs
+++ b/crates/testkit/src/invariants.rs
@@ -172,7 +172,7 @@
         Duration::from_secs_f64(seconds.unwrap_or(0.0))
     }
 
-    /// Whether the tasks of a job fail when they start on a machine. Counts a start that fails in
+    /// Whether a task of the job fails when it starts on the machine. If so, increments
     /// `failed_starts`.
     pub(crate) fn fails_at_start(&mut self, job: &str, machine: &str) -> bool {
         let fails = self.failing_jobs.contains(job) || self.faulty_machines.contains(machine);
--- a/crates/testkit/src/platform/cloud_service.rs
+++ b/crates/testkit/src/platform/cloud_service.rs
@@ -152,8 +152,8 @@
     }
 
     fn list_entry(&self, worker: &Worker) -> serde_json::Value {
-        // A booted machine counts as starting until its worker's first heartbeat, but for no
-        // longer than a worker's lease.
+        // A worker may take up to the duration of its lease from its start to its first
+        // heartbeat. For that long, a booted machine without a heartbeat counts as starting.
         let booting = worker.lease_renewed_at > Instant::now();
         let starting =
             worker.sequence == 0 && worker.lease_renewed_at.elapsed() < self.worker_lease;
--- a/crates/testkit/src/platform/http_response.rs
+++ b/crates/testkit/src/platform/http_response.rs
@@ -8,7 +8,7 @@
 pub struct HttpResponse {
     /// The HTTP status code, such as 200.
     pub status: u16,
-    /// The complete body; empty if the response has none.
+    /// The complete body; empty for a response without a body.
     pub body: Vec<u8>,
 }
 
--- a/crates/testkit/src/store.rs
+++ b/crates/testkit/src/store.rs
@@ -59,8 +59,8 @@
     /// deletes.
     pub revision: u64,
     /// Number of puts and deletions received so far, also of transactions whose conditions
-    /// failed, but not of those that refer to an unknown lease. This store doesn't limit their
-    /// rate.
+    /// failed, but not of those that refer to an unknown lease. The platform limits their number
+    /// per second; this store doesn't.
     pub write_count: usize,
     /// Number of the latest changes (puts and deletions) that watches can read; 0 means all.
     pub retained_changes: usize,
