--- a/crates/simulator/src/cluster.rs
+++ b/crates/simulator/src/cluster.rs
@@ -274,9 +274,9 @@
         assert!(checker.started > 0, "no task was ever started");
     }
 
-    /// Tells the checker that all faults have ended. From the first call on, the checker reports
-    /// jobs that wait too long although they could start, and has a stricter limit for unanswered
-    /// queries. Further calls have no effect.
+    /// Records in the checker that all faults have ended. After the first call, the checker also
+    /// reports jobs that wait too long although they could start, and applies a stricter limit to
+    /// unanswered queries. Further calls have no effect.
     pub fn declare_faults_ended(&self) {
         let mut checker = self.platform.checker();
         checker
--- a/crates/simulator/src/failover.rs
+++ b/crates/simulator/src/failover.rs
@@ -47,8 +47,8 @@
     /// the failure until an owner of its shard received a heartbeat from it, in seconds.
     #[serde(rename = "heard_s")]
     pub machine_recovery_s: Vec<f64>,
-    /// Number of the other machines whose shards the failed controllers owned: no owner of their
-    /// shard received a heartbeat from them until the end of the run.
+    /// Number of machines whose shards the failed controllers owned and from which no owner of
+    /// their shard received a heartbeat between the failure and the end of the run.
     #[serde(rename = "unheard")]
     pub unrecovered_machines: usize,
     /// Number of versions of the leader key that were observed. Each election writes one, and so
@@ -145,7 +145,8 @@
     }
 }
 
-/// A cluster in which a service occupies `MACHINES` machines and short arrays have been submitted.
+/// A cluster in which a service occupies `MACHINES` machines and short arrays have been submitted,
+/// one every two seconds, so that scheduling rounds have tasks to start.
 async fn busy_cluster(controllers: usize, seed: u64) -> SimulatedCluster {
     let config = ClusterConfig {
         controllers,
--- a/crates/simulator/src/failover/observer.rs
+++ b/crates/simulator/src/failover/observer.rs
@@ -110,8 +110,8 @@
             let gap = now - last_round.max(self.failed_at - Duration::from_secs(1));
             self.longest_round_gap = self.longest_round_gap.max(gap);
         }
-        // Only the newest state is used, because the state of a controller that cannot read the
-        // store is outdated.
+        // The state of a controller that cannot read the store is outdated. A controller that
+        // reads the store has the newest state, so only that one is used.
         let newest = cluster
             .controllers()
             .max_by_key(|(_, controller)| inspect::revision(controller));
--- a/crates/simulator/src/failover/scenario.rs
+++ b/crates/simulator/src/failover/scenario.rs
@@ -19,7 +19,7 @@
     #[value(name = "five")]
     LeaderCrashFiveTimes,
     /// The controller that leads at the start crashes repeatedly for 20 s, each time 0.1 s after
-    /// its restart.
+    /// its restart, while it is still starting.
     #[value(name = "looping")]
     LeaderCrashLoop,
     /// The leader crashes, and a follower 0.4 s later.
--- a/crates/simulator/src/fault_search/run.rs
+++ b/crates/simulator/src/fault_search/run.rs
@@ -53,7 +53,8 @@
 /// Time from the end of the last fault until the cluster must have recovered, in seconds.
 const RECOVERY_S: f64 = 35.0;
 /// Time in which all jobs must complete, in seconds. It begins at the end of the recovery
-/// time, or `SUBMISSIONS_END_S` into the run if that is later.
+/// time or, if that is later, `SUBMISSIONS_END_S` into the run, about when the last job is
+/// submitted.
 const COMPLETION_S: f64 = 260.0;
 /// After a crash of all controllers: delay between the restart of the first controller and
 /// that of the others, in seconds.
--- a/crates/simulator/src/fault_search/users.rs
+++ b/crates/simulator/src/fault_search/users.rs
@@ -126,8 +126,8 @@
         None
     }
 
-    /// Sends a request to the next healthy controller. If no controller is healthy, tells the
-    /// checker that the request got no response.
+    /// Sends a request to the next healthy controller. If no controller is healthy, records in the
+    /// checker a request without a response.
     async fn request(&mut self, kind: Request, job: &str, body: &str) -> Option<JobResponse> {
         match self.next_healthy().await {
             Some(controller) => request(&self.platform, controller, kind, job, body).await,
@@ -222,11 +222,11 @@
     user: &'a User,
     accepted: Instant,
     /// Seconds from the acceptance until the job is to be cancelled; `None` if no cancellation
-    /// is planned, or it is confirmed.
+    /// is planned, or once a cancellation request has got a response with the job's phase.
     cancel_after_s: Option<f64>,
     /// Whether all controllers have been queried about the final phase.
     final_phase_queried: bool,
-    /// The value of the cancel signal that this user has reacted to.
+    /// The latest value of the cancel signal that this user has seen.
     seen_signal: usize,
 }
 
--- a/crates/simulator/src/inspect.rs
+++ b/crates/simulator/src/inspect.rs
@@ -14,8 +14,8 @@
     pub member: String,
     /// Whether the controller is declared failed; otherwise it is suspected.
     pub failed: bool,
-    /// Whether the reason is the expiry of the controller's member lease in the store; otherwise
-    /// the reason is evidence from heartbeats.
+    /// Whether the reason is the expiry of the controller's member lease in the store, and not
+    /// other evidence such as refused connections, missing heartbeats or reported lag.
     pub lease_expired: bool,
     /// When the controller became unhealthy, in seconds of the observer's uptime.
     pub since_s: f64,
@@ -153,8 +153,9 @@
     controller.runtime_lag.set_simulated_lag(lag);
 }
 
-/// Makes a controller campaign for leadership once with a new member lease, whether or not it is
-/// registered as a member. Panics if the store grants no lease.
+/// Makes a controller try to acquire leadership once with a new member lease. The attempt is made
+/// even if the controller is not registered as a member; it must have no effect then. Panics if
+/// the store grants no lease.
 pub async fn campaign(controller: &Controller) {
     let lease = controller.membership.new_lease().await.unwrap();
     controller.election().campaign(lease).await;
