--- a/crates/simulator/tests/cluster/restart.rs
+++ b/crates/simulator/tests/cluster/restart.rs
@@ -47,7 +47,7 @@
 }
 
 /// A restarted controller can only reject workers until the shards that its previous process
-/// owned are assigned again, so its port for workers stays closed until then.
+/// owned are assigned again, so its port for users and workers stays closed until then.
 #[tokio::test(start_paused = true)]
 async fn after_a_crash_of_all_controllers_ports_open_when_shards_are_assigned() {
     let mut cluster = SimulatedCluster::new(11);
@@ -57,11 +57,11 @@
     cluster.run_for(4).await;
     cluster.start_all();
     for process in cluster.processes.iter().flatten() {
-        let registered = tokio::time::timeout(
+        let ready = tokio::time::timeout(
             Duration::from_secs(8),
             process.controller.replica.wait_until_ready(),
         );
-        registered.await.unwrap();
+        ready.await.unwrap();
         let controller = &process.controller;
         assert!(inspect::is_registered_without_earlier_leases(controller));
     }
--- a/crates/simulator/tests/cluster/scale.rs
+++ b/crates/simulator/tests/cluster/scale.rs
@@ -40,7 +40,7 @@
     assert!(started >= 2000, "{started}");
     assert!(
         cluster.platform.workers().len() >= 250,
-        "fewer than 250 machines were rented"
+        "fewer than 250 machines of four GPUs were rented"
     );
     assert!(writes < started / 2, "{writes} writes for {started} tasks");
     cluster.assert_invariants();
--- a/crates/simulator/tests/fault_combinations.rs
+++ b/crates/simulator/tests/fault_combinations.rs
@@ -118,10 +118,9 @@
     cluster.assert_invariants();
 }
 
-/// Some machines send heartbeats but receive no responses or commands. Their tasks must move to
-/// other machines. Before that was so, these machines were assigned tasks until the fault ended,
-/// although their worker leases had expired. With `with_crash` the leader also crashes and
-/// restarts.
+/// The heartbeats of some machines arrive, but responses and commands to them are lost. Such
+/// machines were assigned tasks until the fault ended, although their worker leases had expired.
+/// Their tasks must move to other machines. With `with_crash` the leader also crashes and restarts.
 async fn move_tasks_after_inbound_loss(with_crash: bool) {
     let mut cluster = small_cluster(32, 50.0).await;
     let service = cluster.submit(1, "standing", 10, 4.0, 0.0).await;
@@ -351,7 +350,8 @@
         cluster
             .platform
             .inject_each(Fault::MachineFrozen, &machines);
-        // The commands that start and stop tasks of these jobs are delayed.
+        // The commands that start the tasks of these jobs, or stop tasks because of a
+        // cancellation, are sent and delayed.
         let job = cluster.submit(2, "sweep", 6, 1.0, 30.0).await;
         let cancelled = cluster.submit(3, "gang", 2, 2.0, 200.0).await;
         cluster.run_for(2).await;
--- a/crates/simulator/tests/observed_faults/failover.rs
+++ b/crates/simulator/tests/observed_faults/failover.rs
@@ -76,7 +76,8 @@
 }
 
 /// Jobs of one task are submitted at four per second for 150 s, and a quarter of them are
-/// cancelled. The store accepts 30 writes per second, and the leader crashes halfway.
+/// cancelled. The controllers' settings allow 30 writes to the store per second, and the leader
+/// crashes halfway.
 #[tokio::test(start_paused = true)]
 async fn four_jobs_per_second_for_minutes_are_all_served() {
     let config = ClusterConfig {
