--- a/crates/failure-detector/src/detector.rs
+++ b/crates/failure-detector/src/detector.rs
@@ -3,23 +3,26 @@
 //! | health | what other controllers do | how it ends |
 //! | --- | --- | --- |
 //! | healthy | treat the peer as working | a reason for suspicion appears |
-//! | suspected | take reversible measures: they assign no new work to the peer, forward no user requests to it, and a successor prepares to take over | the reason no longer holds, for example because the process responds to a later heartbeat |
-//! | failed | take over leadership and shards by conditional commits, which the store fences | the member registers again, or the same process responds for the length of a member lease |
+//! | suspected | take reversible measures: they forward no user requests to the peer, and a successor prepares to take over; if the peer is slow or most witnesses agree, they also assign no new work to it | the reason no longer holds, for example because the process responds to a later heartbeat |
+//! | failed | take over leadership and shards by conditional commits, which the store fences; from a stalled leader, only leadership | the member registers again, or the same process responds for the length of a member lease |
 //!
 //! A peer that is unresponsive or refuses connections is declared failed only if all of this holds:
 //!
-//! - Of the other controllers that send heartbeats and reach the store, most have the same
-//!   suspicion, and none has had contact with the peer since the suspicion began.
+//! - Of the other controllers that send heartbeats and reach the store, most also find the peer
+//!   unresponsive or are refused by it, and none has had contact with it since the suspicion
+//!   began.
 //! - The observer has seen no recent write of the peer in the store.
 //! - The observer itself has read the store since the suspicion began, and its event loop does
 //!   not lag.
 //!
 //! So a controller that is partitioned from the others can't declare any of them failed, and if a
-//! packet filter separates all controllers, none of them can. There are three exceptions: a single
-//! peer, for which there are no witnesses, is declared failed without their agreement if it refuses
-//! connections (but never for being unresponsive); a peer whose member lease has expired is failed
-//! without further evidence; and whether a leader finishes no scheduling rounds follows from its
-//! own heartbeats.
+//! packet filter separates all controllers, none of them can. There are three exceptions:
+//!
+//! - A single peer, for which there are no witnesses, is declared failed without their agreement
+//!   if it refuses connections, but never for being unresponsive.
+//! - A peer whose member lease has expired is failed without further evidence.
+//! - A leader that finishes no scheduling rounds reports this in its own heartbeats, so it is
+//!   declared failed without the agreement of witnesses.
 
 mod assessment;
 mod evaluation;
@@ -76,14 +79,14 @@
     peers: BTreeMap<String, PeerState>,
     /// Flap damping of all members, including this controller.
     pub damping: FlapDamping,
-    /// When peers were declared failed within the latest member lease, in seconds, the latest
-    /// last. Does not count peers whose member lease expired.
+    /// Times, in seconds and the oldest first, at which this controller declared peers failed by
+    /// its own evidence; covers the length of a member lease.
     declared_failed_at_s: Vec<f64>,
 }
 
 impl FailureDetector {
-    /// A detector that starts with all `peers` as healthy. Evidence about other members is
-    /// ignored.
+    /// A detector that starts with all `peers` as healthy. Of other members, it records only
+    /// departures.
     pub fn new<'a>(
         config: DetectorConfig,
         peers: impl Iterator<Item = &'a str>,
--- a/crates/failure-detector/src/detector/assessment.rs
+++ b/crates/failure-detector/src/detector/assessment.rs
@@ -10,7 +10,8 @@
 
 /// Age limit in scheduling rounds. A witness counts only if its last heartbeat and its last read of
 /// the store are younger than this. A peer's write to the store counts only if it is younger than
-/// this. Without witnesses, a suspicion must last this long.
+/// this. Without witnesses, a peer that refuses connections is declared failed only after this
+/// time.
 const RECENT_ROUNDS: f64 = 2.0;
 
 /// An unresponsive peer may be declared failed after this share of the member lease without
@@ -21,12 +22,12 @@
 pub(super) struct Assessment {
     /// Whether the evidence is enough to declare the peer failed.
     pub conclusive: bool,
-    /// Whether most witnesses have the same suspicion and no recent write of the peer contradicts
-    /// it.
+    /// Whether most witnesses agree with the suspicion and no recent write of the peer
+    /// contradicts it.
     pub majority_agrees: bool,
     /// The number of other controllers whose observations count.
     pub witnesses: usize,
-    /// The number of witnesses with the same suspicion.
+    /// The number of witnesses that agree with the suspicion.
     pub agreeing: usize,
 }
 
@@ -34,7 +35,7 @@
 #[derive(Default)]
 struct WitnessReports {
     witnesses: usize,
-    /// The number of witnesses with the same suspicion.
+    /// The number of witnesses that agree with the suspicion.
     agreeing: usize,
     /// Whether any witness has had contact with the peer since the suspicion began.
     contact_since_suspicion: bool,
@@ -102,8 +103,9 @@
                     && self.is_silent_for_long(peer, now_s)
                     && config.timing().is_on_time(local.mean_lag_s)
             }
-            // At most once per worker lease, whichever controller led: if the next leader is
-            // stalled too, the load is the cause, and leadership would only circulate.
+            // Stalled leaders are declared failed at most once per worker lease, whichever
+            // controller led: if the next leader is stalled too, the load is the cause, and
+            // leadership would only circulate.
             Some(SuspicionReason::Stalled) => {
                 can_observe
                     && suspected_s >= config.round_s
--- a/crates/failure-detector/src/detector/evaluation.rs
+++ b/crates/failure-detector/src/detector/evaluation.rs
@@ -8,8 +8,7 @@
 
 impl FailureDetector {
     /// Derives the health of all peers from the current evidence and returns the changes.
-    /// Should be called at least twice per heartbeat interval, which usually is a few times a
-    /// second.
+    /// Should be called at least twice per heartbeat interval, usually a few times a second.
     pub fn evaluate(&mut self, now_s: f64, local: LocalHealth) -> Vec<HealthTransition> {
         let members: Vec<String> = self.peers.keys().cloned().collect();
         members
--- a/crates/failure-detector/src/detector/evidence.rs
+++ b/crates/failure-detector/src/detector/evidence.rs
@@ -12,10 +12,10 @@
         self.record_alive(now_s, heartbeat, true);
     }
 
-    /// Records a heartbeat from a peer. The network may have delayed it for minutes, so a
-    /// heartbeat from a peer that is not healthy counts as evidence only if its sender had
-    /// already read the revision at which the peer's health changed. A heartbeat with a lower
-    /// revision than the previous one is out of order and ignored.
+    /// Records a heartbeat from a peer. The network may have delayed it for minutes. From a peer
+    /// that is not healthy, it therefore counts only if the peer had read at least the store
+    /// revision that this controller had read when the peer's health changed. A heartbeat with a
+    /// lower revision than the previous one is out of order and ignored.
     pub fn record_heartbeat(&mut self, now_s: f64, heartbeat: PeerHeartbeat) {
         let Some(peer) = self.peers.get(&heartbeat.member) else {
             return;
--- a/crates/failure-detector/src/detector/health.rs
+++ b/crates/failure-detector/src/detector/health.rs
@@ -73,7 +73,7 @@
     pub phi: f64,
     /// The number of other controllers whose observations counted.
     pub witnesses: usize,
-    /// The number of witnesses with the same suspicion.
+    /// The number of witnesses that agree with the suspicion.
     pub agreeing: usize,
 }
 
--- a/crates/failure-detector/src/detector/peer.rs
+++ b/crates/failure-detector/src/detector/peer.rs
@@ -17,8 +17,8 @@
 /// observer's clock.
 #[derive(Debug, Clone)]
 pub(super) struct PeerState {
-    /// The latest known process of the peer, by its member record or its heartbeats; 0 before
-    /// the first of either.
+    /// The incarnation of the peer's latest process, known from its member record or a
+    /// heartbeat; 0 if none is known.
     pub(super) incarnation: u64,
     /// The current term of the peer as a member; `None` if it is not registered in the store.
     pub(super) term: Option<MembershipTerm>,
@@ -38,8 +38,8 @@
     pub(super) lagging_since_s: Option<f64>,
     pub(super) health: PeerHealth,
     pub(super) reason: Option<SuspicionReason>,
-    /// Whether, at the latest evaluation, most witnesses had the same suspicion and no recent write
-    /// of the peer contradicted it.
+    /// Whether, at the latest evaluation, most witnesses agreed with the suspicion and no recent
+    /// write of the peer contradicted it.
     pub(super) majority_agrees: bool,
     /// When the current health or the reason for it began.
     pub(super) health_since_s: f64,
--- a/crates/failure-detector/src/detector/queries.rs
+++ b/crates/failure-detector/src/detector/queries.rs
@@ -42,8 +42,8 @@
     }
 
     /// Whether a member has failed, or is suspected and most witnesses agree. No new work should
-    /// be assigned to such a member. A suspicion of this controller alone does not count: if
-    /// a packet filter separates the controllers, all suspect each other though each still
+    /// be assigned to such a member. A suspicion that only this controller has does not count:
+    /// if a packet filter separates the controllers, all suspect each other though each still
     /// works.
     pub fn is_suspected_by_majority(&self, member: &str) -> bool {
         self.peers
@@ -55,8 +55,8 @@
             })
     }
 
-    /// Whether a process has lost its shards: it was declared failed for another reason than
-    /// being a stalled leader, which loses only leadership.
+    /// Whether a process has lost its shards because it was declared failed. A stalled leader
+    /// loses only leadership.
     pub fn has_lost_shards(&self, member: &str, incarnation: u64) -> bool {
         self.failed_peer(member, incarnation)
             .is_some_and(|peer| peer.reason != Some(SuspicionReason::Stalled))
--- a/crates/failure-detector/src/detector/suspicion.rs
+++ b/crates/failure-detector/src/detector/suspicion.rs
@@ -54,10 +54,10 @@
             return None;
         }
         let interval_s = (heartbeat.round_interval_ms as f64 / 1000.0).max(round_s);
-        let is_making_no_rounds = heartbeat
+        let misses_rounds = heartbeat
             .last_round_ms
             .is_some_and(|ms| ms as f64 / 1000.0 > STALLED_AFTER_ROUNDS * interval_s);
-        if is_making_no_rounds && lagging_s > round_s {
+        if misses_rounds && lagging_s > round_s {
             return Some(SuspicionReason::Stalled);
         }
         (lagging_s > SLOW_AFTER_ROUNDS * round_s).then_some(SuspicionReason::Slow)
