--- a/crates/failure-detector/src/damping.rs
+++ b/crates/failure-detector/src/damping.rs
@@ -11,7 +11,7 @@
 /// flapping.
 const RETENTION_FACTOR: f64 = 16.0;
 
-/// Departures beyond this number do not increase the delay; this bounds the exponent.
+/// Bounds the exponent of the delay. The delay itself reaches its maximum at four departures.
 const MAX_COUNTED_DEPARTURES: usize = 8;
 
 /// One term of a member, which ends with a departure. Each term counts as one departure at most,
@@ -73,8 +73,8 @@
             .count()
     }
 
-    /// How long after its latest departure a member does not get work back, in seconds; the first
-    /// delay if no departure counts.
+    /// How long a member must wait after its latest departure until it gets work back, in
+    /// seconds; the first delay if no departure counts.
     pub fn delay_s(&self, now_s: f64, member: &str) -> f64 {
         let factor = match self.departures(now_s, member) {
             0 => 1.0,
--- a/crates/failure-detector/src/reachability.rs
+++ b/crates/failure-detector/src/reachability.rs
@@ -75,8 +75,8 @@
     machines: BTreeMap<String, f64>,
 }
 
-/// Workers of shards owned by other controllers whose heartbeats arrived at this controller,
-/// by shard. Each worker counts once.
+/// Workers that sent heartbeats to this controller although another controller owns their
+/// shard, by shard. Each worker counts once.
 #[derive(Debug, Clone, Default)]
 pub struct MisroutedWorkers {
     shards: BTreeMap<String, MisroutedShard>,
--- a/crates/failure-detector/src/succession.rs
+++ b/crates/failure-detector/src/succession.rs
@@ -83,8 +83,8 @@
 }
 
 /// The best candidate to take over from a controller that lags: it is trusted and eligible, reaches
-/// the store, and has headroom. `None` if there is no such candidate. If all controllers are slow,
-/// there is none, and leadership does not circulate.
+/// the store, and has headroom. `None` if there is no such candidate, so leadership does not
+/// circulate while all controllers are slow.
 pub fn preferred_successor<'a>(
     others: &[LeaderCandidate<'a>],
     timing: DetectorTiming,
