--- a/crates/rushwalk/src/leadership/election.rs
+++ b/crates/rushwalk/src/leadership/election.rs
@@ -73,8 +73,8 @@
         let mut seen = self.parts.replica.change_count();
         let interval = self.parts.context.timing.peer_heartbeat / 2;
         loop {
-            // A change of the state ends the wait. It is limited to `interval` because lag and the
-            // delays of candidates depend on time alone.
+            // A change of the state ends the wait. The wait is limited to `interval` because lag
+            // and the delays of candidates depend on time alone.
             let _ = timeout(interval, self.parts.replica.changed_since(seen)).await;
             seen = self.parts.replica.change_count();
             let lease = self.parts.membership.lease();
@@ -113,8 +113,8 @@
         }
         let since = *self.vacant_since.get_or_insert_with(Instant::now);
         if since.elapsed() < self.election_delay() {
-            // The delay ends with time alone, so it is checked again; this pause limits how often
-            // that happens while the state keeps changing.
+            // The delay ends with time alone, but each change of the state makes the loop check it
+            // again. This pause limits how often that happens.
             sleep(pause / 4).await;
             return;
         }
@@ -191,9 +191,9 @@
         if !(is_slow || is_stalled) {
             return None;
         }
-        // No leader steps down within a worker lease after leadership left any live controller:
-        // if the next leader can't keep up either, the cause is the load, and leadership would
-        // only circulate.
+        // No leader steps down if leadership has moved away from a live controller within the
+        // last worker lease: if the next leader can't keep up either, the cause is the load, and
+        // leadership would only circulate.
         let since_transfer = self.parts.leadership.since_last_transfer();
         if since_transfer.is_some_and(|since| since < self.parts.context.timing.worker_lease) {
             return None;
--- a/crates/rushwalk/src/leadership/leader.rs
+++ b/crates/rushwalk/src/leadership/leader.rs
@@ -112,7 +112,7 @@
             && Some(leader.value.election_id) == self.election_id();
         // The watch delivers changes in order, so a state that contains this leader's key also
         // contains all commits of its predecessor. The leader's own commits must be applied as
-        // well: without them it would count too little against the teams' quotas.
+        // well: without them it would count less against the teams' quotas than the teams use.
         (is_ours && self.replica.is_complete(state)).then_some(LeaderVersion(leader.version))
     }
 
@@ -168,8 +168,8 @@
         self.own_state.lock().round_interval
     }
 
-    /// Time since leadership was last seen to leave a controller that was still a member, which
-    /// stepped down or was deposed; `None` if never.
+    /// Time since leadership was last seen to leave a controller that was still a member, because
+    /// it stepped down or was deposed; `None` if never.
     pub fn since_last_transfer(&self) -> Option<Duration> {
         self.own_state.lock().last_transfer.map(|at| at.elapsed())
     }
--- a/crates/rushwalk/src/leadership/snapshot_writer.rs
+++ b/crates/rushwalk/src/leadership/snapshot_writer.rs
@@ -16,8 +16,8 @@
 use tokio::task::yield_now;
 use tokio::time::sleep;
 
-/// A snapshot is due after as many log entries as the store's write limit allows in this many
-/// seconds.
+/// A snapshot is due once the log has grown by the number of entries that the store's write limit
+/// allows in this time, in seconds.
 const LOG_GROWTH_S: f64 = 12.0;
 
 /// The number of mutations that are packed before other tasks of the event loop may run.
