--- a/crates/rushwalk/src/shards/assignment.rs
+++ b/crates/rushwalk/src/shards/assignment.rs
@@ -29,7 +29,7 @@
 use std::sync::Arc;
 use tokio::time::sleep;
 
-/// Number of assignment passes per scheduling round.
+/// Maximum number of assignment passes per scheduling round.
 const PASSES_PER_ROUND: u32 = 4;
 
 /// Components that the assignment of shards depends on.
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Assigns shards four times in each scheduling round while this process leads; never
+    /// Assigns shards up to four times in each scheduling round while this process leads; never
     /// returns.
     pub async fn run(mut self) {
         let round = self.parts.context.timing.round;
--- a/crates/rushwalk/src/shards/assignment/assignable.rs
+++ b/crates/rushwalk/src/shards/assignment/assignable.rs
@@ -6,13 +6,13 @@
 use rushwalk_state::records::ShardLease;
 use std::collections::BTreeSet;
 
-/// If the process of a controller ended, the others have headroom to own its shards for the few
-/// seconds until it returns if their mean busy share is below 1 divided by this.
+/// The controllers have headroom for the shards of a controller whose process ended, for the few
+/// seconds until it returns, if their mean busy share is below 1 divided by this.
 const BUSY_SHARE_DIVISOR: u32 = 3;
 
 impl InputGatherer<'_> {
-    /// The shards that may be assigned now, among them one for each configured zone, even if
-    /// the zone has no machines yet.
+    /// The shards that may be assigned now. Each configured zone has a shard, even if it has no
+    /// machines yet.
     pub(super) fn assignable_shards(&self) -> Vec<ShardId> {
         let zones = &self.parts.context.settings.site.zones;
         let zones = zones.iter().map(|zone| ShardId::from(zone.as_str()));
--- a/crates/rushwalk/src/shards/assignment/candidates.rs
+++ b/crates/rushwalk/src/shards/assignment/candidates.rs
@@ -7,9 +7,9 @@
 use rushwalk_scheduler::shard_assignment::OwnerCandidate;
 use rushwalk_state::records::MemberRecord;
 
-/// A member with more recent departures than this, as flap damping counts them, is flapping
-/// until its damping delay is over. A flapping member gets no shards if fewer than half of the
-/// members are flapping.
+/// A member is flapping if flap damping counts more departures of it than this, and its damping
+/// delay is not over. A flapping member gets no shards if fewer than half of the members are
+/// flapping.
 const MAX_DEPARTURES: usize = 2;
 
 impl<'a> InputGatherer<'a> {
@@ -42,7 +42,8 @@
         members: &[(&'a String, &'a MemberRecord)],
     ) -> Vec<OwnerCandidate<'a>> {
         let detector = self.parts.peers.detector();
-        // Leading costs about as much as half of an equal share of the machines.
+        // Leading costs about as much as owning half as many machines as each member would own if
+        // they were shared equally.
         let leader_load = self.state.machines.len() / members.len().max(1) / 2;
         members
             .iter()
@@ -85,11 +86,12 @@
         }
     }
 
-    /// Whether a member may get shards that have a working owner, which are moved for balance.
-    /// A member that has just registered must wait for the damping delay, which grows with its
-    /// recent departures; only then are the shards of its zone moved back to it. A member that
-    /// departed more than once, or was recently cut off from its machines, then gets at most one
-    /// shard per interval: it must serve one shard before it gets the next.
+    /// Whether a member may get shards that have a working owner. A member that has just
+    /// registered must wait for the damping delay, which grows with its recent departures; only
+    /// then are the shards of its zone moved back to it. A member that departed more than once,
+    /// or was recently cut off from its machines, then gets at most one shard per member lease,
+    /// or per heartbeat interval if that is longer: it must serve one shard before it gets the
+    /// next.
     fn is_eligible_for_moves(
         &self,
         detector: &FailureDetector,
--- a/crates/rushwalk/src/shards/assignment/history.rs
+++ b/crates/rushwalk/src/shards/assignment/history.rs
@@ -14,16 +14,16 @@
     /// When a shard was last moved because its owner could no longer own shards, or because its
     /// machines reached neither the owner nor another controller.
     moved_from_unusable_owner: HashMap<ShardId, Instant>,
-    /// When moves were last committed in a pass that found that a shard's machines reached other
+    /// When a pass last committed moves after it found that this shard's machines reached other
     /// controllers, but not its owner. The shard itself need not be among those moved.
     moved_to_reachable: HashMap<ShardId, Instant>,
     /// When a controller was last found cut off from machines that others reached.
     owner_cut_off: HashMap<String, Instant>,
     /// When a controller was last planned to get a shard that had a working owner.
     last_gain: HashMap<String, Instant>,
-    /// When moves were last committed in a pass that moved no shard from an unusable owner and
-    /// found no shard whose machines reach other controllers instead of the owner. Such moves
-    /// are for balance, away from a slow owner, or first assignments.
+    /// When a pass last committed only moves for balance, moves away from a slow owner, or first
+    /// assignments. A pass does not count if it found a shard whose machines reach other
+    /// controllers instead of the owner.
     last_rebalance: Option<Instant>,
 }
 
@@ -76,9 +76,9 @@
 
     /// Whether a shard was moved from an owner that was unusable, or that its machines did not
     /// reach, so recently that the worker leases of its machines may still be running. During
-    /// that time an owner that receives nothing from most of the machines is not considered cut
-    /// off from them: if it receives nothing after the previous owner received nothing, the
-    /// machines themselves are cut off, and each new owner would have to wait again for their
+    /// that time the new owner is not considered cut off, even if it receives nothing from most
+    /// of the machines. If the previous owner received nothing either, the machines themselves
+    /// are cut off, and after another move the next owner would have to wait again for their
     /// leases to expire.
     pub(super) fn moved_recently(&self, shard: &ShardId, timing: &Timing) -> bool {
         let moved = self.moved_from_unusable_owner.get(shard).copied();
@@ -88,12 +88,12 @@
     }
 
     /// Whether a shard was moved to follow its machines' heartbeats so recently that it must not
-    /// be moved for that reason again. Heartbeats at another controller than the owner usually
-    /// show that it can reach the machines. But machines that receive no responses send their
-    /// heartbeats to all controllers in turn. When their shard followed them from controller to
-    /// controller, no owner kept it long enough to see that the leases of its tasks had expired.
-    /// If some machines of the shard are unreachable, the span is therefore the time for which
-    /// their leases may still be running; otherwise it is a member lease.
+    /// be moved for that reason again. A controller that receives the heartbeats can usually
+    /// reach the machines. But machines that receive no responses send their heartbeats to all
+    /// controllers in turn. When their shard followed them from controller to controller, no
+    /// owner kept it long enough to see that the worker leases had expired. If some machines of
+    /// the shard are unreachable, the span is therefore the time for which their leases may still
+    /// be running; otherwise it is a member lease.
     pub(super) fn moved_to_reachable_recently(
         &self,
         shard: &ShardId,
--- a/crates/rushwalk/src/shards/assignment/inputs.rs
+++ b/crates/rushwalk/src/shards/assignment/inputs.rs
@@ -17,8 +17,8 @@
     pub(super) ids: &'a [ShardId],
     /// The status of each shard, in the order of `ids`.
     pub(super) statuses: Vec<ShardStatus<'a>>,
-    /// Shards whose machines send heartbeats to other controllers than their owner, which does
-    /// not receive any.
+    /// Shards whose owner receives no heartbeats from their machines, while other controllers
+    /// do.
     pub(super) reachable_elsewhere: Vec<ShardId>,
 }
 
--- a/crates/rushwalk/src/shards/dispatch.rs
+++ b/crates/rushwalk/src/shards/dispatch.rs
@@ -56,8 +56,8 @@
 
 impl ProbeBudget {
     /// The budget of a tick. While the event loop lags, few workers without any contact are
-    /// probed: they send heartbeats by themselves, unless the event loop answers these too late,
-    /// and more probes would delay it further. Workers whose heartbeats stopped are probed
+    /// probed: they send heartbeats by themselves. If the event loop answers these too late, more
+    /// probes would only delay it further. Workers whose heartbeats stopped are probed
     /// regardless: when their probes were limited too, the failure of a third of the fleet was
     /// detected later.
     fn new(total: usize, is_lagging: bool) -> ProbeBudget {
@@ -136,8 +136,11 @@
         let shards = owned.keys().filter_map(|shard| state.shards.get(shard));
         let machines: usize = shards.map(BTreeSet::len).sum();
         let timing = &self.context.timing;
-        let ticks = timing.heartbeat.as_secs_f64() / timing.round.as_secs_f64() * TICKS_PER_ROUND;
-        let total = (2.0 * machines as f64 / ticks).ceil().max(MIN_PROBES);
+        let ticks_per_heartbeat =
+            timing.heartbeat.as_secs_f64() / timing.round.as_secs_f64() * TICKS_PER_ROUND;
+        let total = (2.0 * machines as f64 / ticks_per_heartbeat)
+            .ceil()
+            .max(MIN_PROBES);
         ProbeBudget::new(total as usize, self.runtime_lag.is_lagging())
     }
 
--- a/crates/rushwalk/src/shards/fencing.rs
+++ b/crates/rushwalk/src/shards/fencing.rs
@@ -69,8 +69,8 @@
             .committer
             .commit(transaction, WritePriority::Maintenance);
         if let CommitOutcome::Committed(new_token) = commit.await {
-            // No other controller owned the shard in between, so the sessions stay valid under
-            // the new token, with the time since which the shard is owned.
+            // No other controller owned the shard in between, so the ownership goes on under the
+            // new token and keeps the time at which it began.
             let mut sessions = self.workers.sessions();
             for session in sessions.by_machine.values_mut() {
                 if let Some(owned) = &mut session.owned
@@ -83,9 +83,10 @@
     }
 }
 
-/// Whether an unresolved start on a machine must be fenced. That is not needed if no task is
-/// placed there whose absence must be proved, if the machine is being deleted, which ends its
-/// tasks, or if it is unreachable, as its tasks then end with its worker lease.
+/// Whether an unresolved start on a machine must be fenced. There is no need if no task is placed
+/// there, because no absence must be proved then. There is none either if the machine is being
+/// deleted or is unreachable: the deletion ends its tasks, and on an unreachable machine they end
+/// with its worker lease.
 fn needs_fencing(machine: &MachineState) -> bool {
     let record = &machine.record;
     !machine.tasks.is_empty()
--- a/crates/rushwalk/src/shards/outcomes.rs
+++ b/crates/rushwalk/src/shards/outcomes.rs
@@ -84,11 +84,11 @@
         }
     }
 
-    /// Adds a finding if the machine became reachable or unreachable. Unless messages are lost
-    /// in one direction, a machine is unreachable only after [`Timing::unreachable_after`]
-    /// without contact, counted from the start of this ownership at the earliest, and after a
-    /// probe that it did not answer: a worker needs time to find a new owner, and a single
-    /// heartbeat may be lost.
+    /// Adds a finding if the machine became reachable or unreachable. Without contact, it is
+    /// unreachable only after [`Timing::unreachable_after`], counted from the start of this
+    /// ownership at the earliest, because a worker needs time to find a new owner. It must also
+    /// have left a probe unanswered, because a single heartbeat may be lost. Neither applies if
+    /// messages are lost in one direction.
     fn observe_reachability(&self, session: &mut WorkerSession, findings: &mut HeartbeatFindings) {
         let owned_since = session.owned.map(|owned| owned.since);
         let Some(last) = session.last_contact.max(owned_since) else {
@@ -226,8 +226,8 @@
             || task.record.stop_reason.is_some()
             || task.record.started_ms.is_some();
         let has_ended = session.ended_attempts.contains(attempt);
-        // An unreachable machine may receive no commands, so a task that it has not started is
-        // moved to another machine.
+        // Commands may not arrive at an unreachable machine, so a task that it has not started
+        // is moved to another machine.
         let is_unreachable = self.machine.record.unreachable_since_ms.is_some();
         let will_not_start = must_not_start || has_ended || is_unreachable;
         will_not_start && session.proves_absence(self.token) || session.lease_expired(self.token)
--- a/crates/rushwalk/src/shards/reconciler.rs
+++ b/crates/rushwalk/src/shards/reconciler.rs
@@ -43,8 +43,8 @@
 /// State that is kept between ticks.
 #[derive(Default)]
 struct TickState {
-    /// When the last regular scan for owned machines that are due was made; `None` if the next
-    /// tick must make one.
+    /// When the owned machines were last scanned on schedule; `None` if the next tick must scan
+    /// them.
     last_full_scan: Option<Instant>,
     /// The shards owned at the last scan, with their fencing tokens.
     scanned_shards: BTreeMap<ShardId, Revision>,
@@ -53,7 +53,7 @@
 }
 
 impl Reconciler {
-    /// Ticks three times in each scheduling round, until the process ends.
+    /// Ticks up to three times in each scheduling round, until the process ends.
     pub(crate) async fn run(self) {
         let interval = self.context.timing.round / 3;
         let mut tick = TickState::default();
