--- a/crates/rushwalk/src/workers/session.rs
+++ b/crates/rushwalk/src/workers/session.rs
@@ -128,7 +128,7 @@
     lease_renewed: Option<Instant>,
     /// The latest response, until a newer heartbeat shows whether it was received.
     unconfirmed: Option<UnconfirmedResponse>,
-    /// When the first lost response was sent, of those since messages were last known to reach
+    /// When the first response was sent that was lost since messages were last known to reach
     /// the worker; `None` if none was lost since then.
     undelivered_since: Option<Instant>,
     /// Whether starts were left out of the latest response, see
@@ -211,6 +211,8 @@
             let mut tasks = heartbeat.tasks.iter();
             tasks.any(|t| t.task == start.task && t.attempt == start.attempt)
         });
+        // The same token or a higher one shows receipt only if the worker had a lower one before.
+        // Otherwise only the started task shows it.
         if started == Some(true) || self.token < response.token {
             self.undelivered_since = None;
         } else if started == Some(false) && heartbeat.session == response.session {
@@ -261,8 +263,8 @@
     }
 
     /// Applies a heartbeat that will be answered under `token`, and returns whether it is
-    /// newer than all before it. Only a newer one is checked for an expired lease: a copy of
-    /// a heartbeat that was answered does not show whether that response renewed the lease.
+    /// newer than all before it. Only a newer one is checked for an expired lease: a duplicate of
+    /// an answered heartbeat does not show whether the response to it renewed the lease.
     pub fn receive(&mut self, heartbeat: &Heartbeat, token: Revision, timing: &Timing) -> bool {
         let is_newer = self.apply_heartbeat(heartbeat, HeartbeatOrigin::Worker);
         if is_newer {
@@ -315,12 +317,12 @@
     ///
     /// A worker that received a response under `token` sends that token in its heartbeats. If
     /// it sends a lower one, its lease was last renewed either by the response of
-    /// `lease_renewed` or by a previous owner, whose shard lease is valid for at most
-    /// [`Timing::lease_validity`] after this process came to own the shard. Once the lease has
-    /// expired after the later of these times, the worker's session to which a previous owner
-    /// can have sent commands has ended too. Then no task that runs now was started by a
-    /// previous owner, and none by this one unless a call to the worker's own address is
-    /// unresolved.
+    /// `lease_renewed` or by a previous owner. That owner's shard lease is valid for at most
+    /// [`Timing::lease_validity`] after this process came to own the shard. Once the worker's
+    /// lease has expired after the later of these times, any worker session in which a previous
+    /// owner can have sent commands has ended too. Then no task that runs now was started by a
+    /// previous owner. None was started by this owner either, unless a call to the worker's own
+    /// address is unresolved.
     fn check_lease_expiry(&mut self, token: Revision, timing: &Timing) {
         let Some(since) = self.owned_under(token) else {
             return;
@@ -346,9 +348,9 @@
     ///
     /// The latest possible renewal is the latest contact or response of this process, or the
     /// end of the validity of the previous owner's shard lease, as that owner may not know
-    /// yet that it was replaced. The clocks of both sides may drift. A pause of either
-    /// process does no harm: a lease counts from when the answered heartbeat was sent, which
-    /// is before the response.
+    /// yet that it was replaced. The clocks of both sides may drift, so the limit is longer than
+    /// the lease. A pause of either process does no harm: a lease counts from when the answered
+    /// heartbeat was sent, which is before the response.
     ///
     /// Only the ownership under `token` counts: between an earlier one and this, other
     /// controllers may have renewed the lease. When contact of an earlier ownership counted
