--- a/crates/scheduler/src/round.rs
+++ b/crates/scheduler/src/round.rs
@@ -1,9 +1,9 @@
 //! One scheduling round: assigns pending tasks, in order, to the machines with the earliest
 //! predicted finish, and plans rentals for tasks that would finish sooner on a new machine.
 //!
-//! Candidate machines are evaluated once per job and kept in a priority queue. After a task
-//! is planned, only the machine that received it is evaluated again. The result is the same
-//! as if every machine were evaluated for every task.
+//! For each job, a machine is evaluated only when it may be the best one, and then kept in a
+//! priority queue. After a task is planned, only the machine that received it is evaluated
+//! again. The result is the same as if every machine were evaluated for every task.
 
 mod candidates;
 mod decisions;
@@ -39,8 +39,8 @@
     pub current_time_s: f64,
     /// Names of all zones; [`crate::timeline::MachineTimeline::zone`] is an index into them.
     pub zones: Vec<Arc<str>>,
-    /// Machines that are up, that boot or are already being rented, and, from
-    /// [`Self::first_rental`] on, those that this round plans to rent.
+    /// Machines that are up, booting or already being rented. From [`Self::first_rental`] on:
+    /// machines that this round plans to rent.
     pub machines: TimelineIndex,
     /// The kinds of machines that may be rented.
     pub rentable: Vec<RentableCapacity>,
@@ -81,7 +81,8 @@
     }
 
     /// Plans the tasks of a job independently of each other. Returns why some of them can't
-    /// start now, or `None` if all can.
+    /// start now, or `None` if all can. A job whose team is not in the settings is not planned
+    /// and gets no reason.
     fn schedule_each(
         &mut self,
         job: &PendingJob,
--- a/crates/scheduler/src/round/candidates.rs
+++ b/crates/scheduler/src/round/candidates.rs
@@ -1,8 +1,8 @@
 //! The search for the best machine for a task.
 //!
-//! Machines are ordered by lower bounds on their scores, which are cheap to compute. A
-//! machine is evaluated only if its bound doesn't rule out that it is better than the best
-//! machine evaluated so far.
+//! Machines are ordered by lower bounds on their scores, which are cheap to compute. They are
+//! evaluated in this order, until the bounds show that none of the others can be better than
+//! the best machine evaluated so far.
 
 use super::trial::PlanScope;
 use super::{PendingJob, SchedulingRound};
@@ -119,7 +119,8 @@
         self.evaluated.pop();
     }
 
-    /// Adds an evaluated machine; `None`, a machine that can't take a task, adds nothing.
+    /// Adds an evaluated machine. `None` stands for a machine that can't take a task; nothing is
+    /// added then.
     pub(super) fn push_evaluated(&mut self, candidate: Option<MachineCandidate>) {
         self.evaluated.extend(candidate.map(Reverse));
     }
--- a/crates/scheduler/src/round/decisions.rs
+++ b/crates/scheduler/src/round/decisions.rs
@@ -19,7 +19,9 @@
 pub enum PendingReason {
     /// The best machine for a task is occupied by other tasks or still boots.
     MachineNotReady,
-    /// No machine has room for a task, and none can be rented.
+    /// No machine has room for a task, and none can be rented. For a
+    /// [single probe](crate::retry::RetryDecision::SingleProbe) of a job that is not a gang: no
+    /// machine has room now.
     NoCapacity,
     /// The job's team has reached its resource limit.
     TeamLimitReached,
--- a/crates/scheduler/src/round/gang.rs
+++ b/crates/scheduler/src/round/gang.rs
@@ -33,7 +33,8 @@
 impl SchedulingRound<'_> {
     /// Places all tasks of a gang on machines that are free now. If they can't all start now,
     /// none is placed, and capacity is reserved for a later start unless the gang is a single
-    /// probe. Returns why none was placed, or `None` if all were.
+    /// probe. Returns why none was placed, or `None` if all were. A job whose team is not in the
+    /// settings is not planned and gets no reason.
     pub(super) fn schedule_gang(
         &mut self,
         job: &PendingJob,
--- a/crates/scheduler/src/round/immediate.rs
+++ b/crates/scheduler/src/round/immediate.rs
@@ -1,4 +1,4 @@
-//! Placement of tasks that were assigned to a shard on the machines of that shard.
+//! Places the tasks that are assigned to a shard on machines of this shard.
 
 use super::trial::PlanScope;
 use super::{PendingJob, SchedulingRound};
@@ -16,9 +16,10 @@
 impl SchedulingRound<'_> {
     /// Places the tasks of a job that can start now, on the machines of one shard.
     ///
-    /// `hints` holds for each task the name of the machine that the preceding scheduling
-    /// round over all shards selected by the same rule, or `None`. A task that has no hint, or
-    /// can't start on the machine of its hint now, goes to the best machine on which it can.
+    /// `hints` holds for each task the name of a machine, or `None`. The machine was selected
+    /// by the same rule in the preceding scheduling round, which covers all shards. A task that
+    /// has no hint, or can't start on the machine of its hint now, goes to the best machine on
+    /// which it can.
     pub fn start_now(
         &mut self,
         job: &PendingJob,
--- a/crates/scheduler/src/round/rentals.rs
+++ b/crates/scheduler/src/round/rentals.rs
@@ -93,7 +93,7 @@
     /// Whether a rented machine would have a better score than `best_score`, by more than
     /// [`Self::tie_s`].
     ///
-    /// The score is the same as for machines that already exist. With a different one, the
+    /// The score is computed in the same way as for machines that already exist. Otherwise the
     /// next round might not use a machine that this round rents, and every round would rent
     /// more.
     fn is_worth_renting(
@@ -108,7 +108,7 @@
         self.score(machine.spot, true, &job.spec, &finish) + self.tie_s < best_score
     }
 
-    /// Adds a machine of a rentable kind to the round, by its index in [`Self::rentable`], and
+    /// Adds a machine of the kind with this index in [`Self::rentable`] to the round, and
     /// returns it as the choice for a task of the job. `None` if the task can't run there.
     pub(super) fn plan_rental(&mut self, index: usize, job: &PendingJob) -> Option<MachineChoice> {
         let rentable = &mut self.rentable[index];
@@ -131,8 +131,8 @@
             .find(|rentable| rentable.is_kind_of(machine))
     }
 
-    /// Replaces the round's machines with an earlier copy, and sets the numbers of planned
-    /// rentals to those in the copy.
+    /// Replaces the round's machines with an earlier copy, and counts the planned rentals in
+    /// this copy again.
     pub fn restore(&mut self, machines: TimelineIndex) {
         for rentable in &mut self.rentable {
             rentable.used = 0;
--- a/crates/scheduler/src/round/trial.rs
+++ b/crates/scheduler/src/round/trial.rs
@@ -145,8 +145,8 @@
     }
 
     /// Replaces the unlimited reservations that [`Self::place_tasks`] made for a gang by
-    /// limited ones. Each machine is reserved from the start of its task until the task would
-    /// finish if all tasks began to run when the last of them does.
+    /// limited ones. All tasks of the gang begin to run when the last of them can. The resources
+    /// of each task are reserved from its own start until it would then finish.
     fn reserve_until_finished(&mut self, job: &PendingJob, plan: TaskPlan) -> Vec<MachineChoice> {
         let running_s = last_running_s(&plan.choices);
         self.restore_snapshots(plan.snapshots);
@@ -193,9 +193,9 @@
 /// on a machine for another task of the job to finish. (With `free_now` all tasks start at
 /// the planned time anyway.)
 ///
-/// Otherwise, if boots are predicted to take longer than a gang's run time, one task of the
-/// gang is planned after another on the same machine, no machine is rented, and the gang
-/// never starts because it has too few machines.
+/// Without this rule, if boots are predicted to take longer than a gang's run time, one task
+/// of the gang is planned after another on the same machine, no machine is rented, and the
+/// gang never starts because it has too few machines.
 fn must_run_concurrently(job: &PendingJob, scope: PlanScope) -> bool {
     job.spec.shape == Shape::Gang && !scope.free_now
 }
