--- a/crates/scheduler/src/shard_assignment.rs
+++ b/crates/scheduler/src/shard_assignment.rs
@@ -1,10 +1,10 @@
 //! Assignment of shards (groups of machines) to the controllers that own them.
 //!
 //! A shard is preferably owned by a controller in its own zone, which can still reach the
-//! machines during a network partition between zones. Because a controller can serve only a
-//! limited number of workers, the controllers of one zone share its shards, and a zone with
-//! more machines than its controllers can serve has some of its shards assigned to controllers
-//! in other zones.
+//! machines during a network partition between zones. A controller can serve only a limited
+//! number of workers, so the controllers of one zone share its shards. If a zone has more
+//! machines than its controllers can serve, some of its shards are assigned to controllers in
+//! other zones.
 
 mod rebalance;
 #[cfg(test)]
@@ -54,7 +54,7 @@
     /// the owner. False if the shard was moved for this reason so recently that worker leases
     /// from before the move may still be valid.
     pub owner_cut_off: bool,
-    /// Indices of the candidates other than the owner to which the machines sent heartbeats.
+    /// Indices of the candidates, except the owner, to which the machines sent heartbeats.
     pub reachable_from: Vec<usize>,
 }
 
@@ -149,7 +149,8 @@
     }
 
     /// The new owner of a shard whose `owner` is cut off from it, preferably a candidate that
-    /// is known to reach its machines. `None` if there is no other candidate.
+    /// is known to reach its machines. `None` if there is no other candidate, or only untrusted
+    /// ones while the owner is trusted.
     fn replacement_owner(&self, shard: &ShardStatus, owner: usize) -> Option<usize> {
         let is_other = |candidate: usize| candidate != owner && self.may_be_assigned(candidate);
         let reaches = |candidate| is_other(candidate) && shard.reachable_from.contains(&candidate);
@@ -168,9 +169,9 @@
                 && self.candidates[candidate].zone == shard.zone
                 && (fits || self.load[candidate] == 0)
         };
-        // A trusted candidate must not become overloaded, even if it is the only one. When all
-        // controllers were overloaded, those that answered slowly lost all their shards and the
-        // only trusted one got too many.
+        // A trusted candidate must not become overloaded here, even if it is the only trusted
+        // one. When all controllers were overloaded, those that answered slowly lost all their
+        // shards and the only trusted one got too many.
         let has_room = |candidate: usize| {
             let fits = self.load_with(candidate, shard) <= OVERLOAD_LIMIT * self.mean_load;
             self.may_be_assigned(candidate) && fits
