--- a/crates/scheduler/src/boot_times.rs
+++ b/crates/scheduler/src/boot_times.rs
@@ -4,7 +4,7 @@
 //! as long, and a few never boot. There are also periods in which all machines are late, or
 //! all boot within a second. The estimate is the median of a survival curve (Kaplan-Meier, in
 //! `survival`) of the observed machines. The curve is combined with the usual distribution,
-//! which has little weight unless few machines were observed.
+//! which matters only while few machines were observed.
 
 mod survival;
 #[cfg(test)]
@@ -87,7 +87,7 @@
 const MIN_REMAINING_RATIO: f64 = 0.2;
 /// Maximum number of machines, rented at about the same time, from which an estimate is made.
 const COHORT: usize = 16;
-/// A sample that was rented longer ago than this multiple of the nominal boot time is not
+/// Machines that were rented longer ago than this multiple of the nominal boot time are not
 /// used to estimate the boot time of machines that are rented now.
 const STALE_RATIO: f64 = 6.0;
 /// A late machine is replaced if its remaining time is more than this many times the expected
@@ -103,8 +103,8 @@
 pub enum BootLateness {
     /// The machine is not late yet.
     OnTime,
-    /// The machine is late, but a new one is not expected to boot so much sooner that it
-    /// should be replaced. Of many such machines the caller may replace some, to find out
+    /// The machine is late, but a new one is not expected to boot much sooner, so replacing it
+    /// is not worthwhile. Of many such machines the caller may replace some, to find out
     /// whether new ones boot faster.
     LateLikeOthers,
     /// The machine is late, and a new one is expected to boot much sooner.
@@ -133,8 +133,8 @@
         }
         // A machine that still boots and is not late yet shows nothing about boot times.
         let is_evidence = sample.booted || sample.elapsed_s > MOST_BOOTED_BY * nominal_s;
-        let oldest_s = (STALE_RATIO + MAX_REMAINING_RATIO) * nominal_s;
-        let is_recent = self.now_s - sample.rented_s < oldest_s;
+        let max_age_s = (STALE_RATIO + MAX_REMAINING_RATIO) * nominal_s;
+        let is_recent = self.now_s - sample.rented_s < max_age_s;
         if is_evidence && is_recent {
             let observed = self.groups.entry(group).or_default();
             observed.nominal_s = nominal_s;
--- a/crates/scheduler/src/capacity.rs
+++ b/crates/scheduler/src/capacity.rs
@@ -66,8 +66,8 @@
 impl CapacityEstimator {
     /// Records the response to a rental call at `now_s`. The call requested `requested`
     /// machines of the kind and the cloud granted `granted`; `owned` is the number of machines of
-    /// the kind that were rented before.
-    /// `first_pause_s` is the time between the first refusal and the first probe.
+    /// the kind that were rented without this call. `first_pause_s` is the time between the
+    /// first refusal and the first probe.
     pub fn record_response(
         &mut self,
         kind: &InstanceKind,
@@ -136,7 +136,7 @@
     }
 
     /// Whether a kind is exhausted: a call was refused, in full or in part, and no later call
-    /// was granted in full beyond the limit that this showed.
+    /// was granted in full that brought the number of machines above the known limit.
     pub fn is_exhausted(&self, kind: &InstanceKind) -> bool {
         self.exhausted.contains_key(kind)
     }
@@ -171,9 +171,9 @@
 }
 
 /// Plans the next rental calls: at most `max_calls`, each for at most `call_size` machines.
-/// The calls that cover the most machines for pending tasks come first, then those that cover
-/// the most machines in total. The covered machines are subtracted from `shortfalls`, and
-/// kinds without a remaining shortfall are removed.
+/// Calls that cover more machines for pending tasks come first; of those that cover equally
+/// many, the one that covers more machines in total. The covered machines are subtracted from
+/// `shortfalls`, and kinds without a remaining shortfall are removed.
 pub fn plan_rental_calls(
     shortfalls: &mut BTreeMap<InstanceKind, Shortfall>,
     max_calls: usize,
--- a/crates/scheduler/src/quota.rs
+++ b/crates/scheduler/src/quota.rs
@@ -68,8 +68,8 @@
     /// The settings have no zone of this name.
     #[error("unknown zone {0}")]
     UnknownZone(String),
-    /// No machine type that the job allows and that is offered in a zone that it allows is
-    /// large enough for a task.
+    /// No machine type is allowed by the job, offered in a zone that the job allows, and large
+    /// enough for a task.
     #[error("a task fits no allowed machine type")]
     NoMachineTypeFits,
     /// The job requests that its tasks are spread over zones, but they can only be in one.
@@ -115,8 +115,8 @@
     Ok(())
 }
 
-/// The zones that a job allows and in which a machine type is offered that the job allows and
-/// that is large enough for a task.
+/// The zones in which a job can run: the job allows the zone, and a machine type offered there
+/// is allowed by the job and large enough for a task.
 fn possible_zones<'a>(spec: &JobSpec, types: &'a [MachineType]) -> BTreeSet<&'a String> {
     let amount = Resources::of_task(spec);
     let type_allowed = |name: &String| {
@@ -131,8 +131,8 @@
         .collect()
 }
 
-/// The CPUs and GPUs that a job needs at the same time at least: those of one task for an
-/// array, those of all tasks for other jobs. The memory is 0, since teams have no memory limit.
+/// The minimum of CPUs and GPUs that a job needs at one time: those of one task for an array,
+/// those of all tasks for other jobs. The memory is 0, since teams have no memory limit.
 fn min_concurrent_resources(spec: &JobSpec) -> Resources {
     let tasks = match spec.shape {
         Shape::Array => 1.0,
--- a/crates/scheduler/src/retry.rs
+++ b/crates/scheduler/src/retry.rs
@@ -21,7 +21,7 @@
 /// How a job with failures is planned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// The job is planned as any other.
+    /// The job is planned like any other.
     Normal,
     /// The job failed on several machines, and none of its tasks has finished or is running. A
     /// single task is planned, or the whole job if it is a gang, and only where it can start
--- a/crates/scheduler/src/timeline.rs
+++ b/crates/scheduler/src/timeline.rs
@@ -35,8 +35,8 @@
     /// Resources of the machine without any task.
     pub capacity: Resources,
     /// Images that the machine has or is fetching, each with the time at which it is
-    /// available. When a fetch in progress counted as finished, tasks were assigned to
-    /// machines that were still booting, and waited for these boots.
+    /// available. When images that were still to be fetched counted as present, tasks were
+    /// assigned to machines that were still booting, and waited for these boots.
     pub images: Vec<MachineImage>,
     /// Price per hour; the spot price for a spot instance if its type has one.
     pub price: f64,
@@ -44,7 +44,7 @@
     /// negative if the task finished early.
     pub prediction_error_s: f64,
     /// Estimated run time of a task on this machine divided by the run time predicted for
-    /// its machine type; 1 until tasks have completed on it.
+    /// its machine type; 1 unless completed tasks show that the machine is slow.
     pub slowdown: f64,
     /// Number of tasks on the machine, including planned ones.
     pub tasks: usize,
@@ -109,12 +109,12 @@
 
 /// When a task is predicted to start on a machine that is up and has room for it from
 /// `start_s` on. The machine's `prediction_error_s` counts only if `start_s` is after `now_s`,
-/// so that the task has to wait for others. A negative error can't make the wait shorter than
-/// the start-up overhead.
+/// that is, if the task has to wait for others. A negative error can't make the wait shorter
+/// than the start-up overhead.
 ///
 /// A wait for other tasks to finish is less certain than a fetch: tasks that finish early
-/// shorten the wait little, while delays add up. So the wait is extended by its own length, at
-/// most by the boot time of another machine, since a long queue shortens during a boot.
+/// shorten the wait little, while delays add up. So the wait is extended by its own length, but
+/// at most by the boot time of another machine: a long queue gets shorter during that boot.
 pub(crate) fn start_with_uncertainty(
     start_s: f64,
     now_s: f64,
--- a/crates/scheduler/src/timeline_index.rs
+++ b/crates/scheduler/src/timeline_index.rs
@@ -1,6 +1,6 @@
 //! Index over the machine timelines of a round. It keeps a summary of each machine, from
-//! which a lower bound on the finish of a task there is cheap to compute; most machines are
-//! excluded as the best for a task by this bound alone.
+//! which a lower bound on the finish of a task there is cheap to compute. For most machines
+//! this bound alone shows that they are not the best for a task.
 
 mod image_sets;
 
