--- a/crates/rushwalk/src/scheduling/expected_demand.rs
+++ b/crates/rushwalk/src/scheduling/expected_demand.rs
@@ -19,8 +19,8 @@
 /// The number of latest buckets from which the arrival rate is estimated.
 const MAX_BUCKETS: u64 = 5;
 
-/// A place for the restart of a service is planned before the worker lease of its machine expires,
-/// earlier by this many times the longest boot time.
+/// A place for the restart of a service is planned this many times the longest boot time before
+/// the worker lease of its machine expires.
 const RESTART_LEAD_BOOT_TIMES: f64 = 1.5;
 
 /// A job whose tasks are expected to become pending.
@@ -42,7 +42,8 @@
 /// Tasks of a service that may have to restart.
 struct ExpectedRestart {
     /// When the worker lease of the tasks' machine expires, in seconds from now; 0 if it has
-    /// expired. If the tasks are on several machines, the one whose name is first counts.
+    /// expired. If the tasks are on several machines, the first of these in the order of their
+    /// names counts.
     due_in_s: f64,
     /// The indexes of the tasks in the job.
     tasks: Vec<u32>,
@@ -144,8 +145,8 @@
     expected.collect()
 }
 
-/// The service tasks on unreachable machines whose worker lease has expired or expires within
-/// [`RESTART_LEAD_BOOT_TIMES`] of the longest boot time, by job.
+/// By job, the service tasks on unreachable machines whose worker lease has expired, or expires
+/// within [`RESTART_LEAD_BOOT_TIMES`] times the longest boot time.
 fn expected_restarts_by_job<'a>(
     context: &Context,
     state: &'a ClusterState,
--- a/crates/rushwalk/src/scheduling/maintenance.rs
+++ b/crates/rushwalk/src/scheduling/maintenance.rs
@@ -159,9 +159,9 @@
     }
 }
 
-/// Whether to evict a task from a draining machine. A service is always evicted. Another task is
-/// evicted if the machine is to be reclaimed and the task saves checkpoints or would not
-/// finish before that; on a machine that is not reclaimed, it runs to its end.
+/// Whether to evict a task from a draining machine. A service is always evicted. On a machine that
+/// is to be reclaimed, any other task is evicted if it saves checkpoints or would not finish
+/// before that. On a machine that is not reclaimed, it runs to its end.
 fn should_be_evicted(
     state: &ClusterState,
     job: &JobState,
@@ -195,9 +195,9 @@
     let unreachable_since_ms = machine.unreachable_since_ms?;
     // A single spot instance that becomes unreachable was mostly reclaimed without notice, so it
     // is deleted without delay. An on-demand machine rarely fails, and most machines of a shard
-    // rarely fail together: then a network partition is more likely, behind which the tasks
-    // continue, so the machine is kept until its worker lease has expired. It is kept for one
-    // more lease, since it may return without tasks but with its cached images.
+    // rarely fail together. In both cases a network partition is more likely, and the tasks behind
+    // it continue. The machine is therefore kept until its worker lease has expired, and then for
+    // one more lease, since it may return without tasks but with its cached images.
     let is_partitioned = state.shard_counts(&machine.shard).mostly_unreachable();
     let grace = if machine.spot && !is_partitioned {
         Duration::ZERO
--- a/crates/rushwalk/src/scheduling/queue.rs
+++ b/crates/rushwalk/src/scheduling/queue.rs
@@ -116,8 +116,8 @@
     }
 }
 
-/// How long a task takes on a machine of the first type without the job's image. The machine on
-/// which the task will run is not known yet.
+/// The durations of a task on a machine of the first type that has to fetch the job's image. The
+/// machine on which the task will run is not known yet.
 fn task_durations(
     state: &ClusterState,
     job: &JobState,
@@ -140,8 +140,8 @@
 }
 
 /// A job with its tasks to plan in this round. `None` if all its tasks are assigned or completed,
-/// if its back-off after failures has not elapsed, or if it is a gang of which tasks are
-/// still assigned.
+/// if its back-off after failures has not elapsed, or if it is a gang that still has assigned
+/// tasks.
 fn pending_job(
     context: &Context,
     state: &mut ClusterState,
--- a/crates/rushwalk/src/scheduling/scheduler.rs
+++ b/crates/rushwalk/src/scheduling/scheduler.rs
@@ -34,8 +34,8 @@
 use tokio::time::Instant;
 
 /// A trial plans the expected jobs without some machines, to find out whether these are needed.
-/// In a successful trial the expected tasks that have to wait exceed those that wait with all
-/// machines by at most the number of expected tasks divided by this.
+/// It fails if, compared with all machines, the number of expected tasks that have to wait grows by
+/// more than the number of expected tasks divided by this.
 const WAITING_TOLERANCE_DIVISOR: usize = 50;
 
 /// Why jobs are pending, as of the latest scheduling round, for the administration API.
@@ -57,8 +57,8 @@
     pub context: Arc<Context>,
     /// The replica of the cluster state, with jobs and machines.
     pub replica: Arc<Replica>,
-    /// Whether this process is the leader, the only one that schedules. Commits the mutations of
-    /// a round.
+    /// Whether this process is the leader; only the leader schedules. Commits the mutations of a
+    /// round.
     pub leadership: Arc<Leadership>,
     /// The health of the other controllers, which decides whose shards accept more work.
     pub peers: Arc<PeerMonitor>,
@@ -215,7 +215,7 @@
             mutations.extend(self.rent(context, &round, &types, basis, PlannedDemand::Pending));
             return mutations;
         }
-        // Begins a trial whether fewer machines are enough for the pending and the expected
+        // Begins a trial of whether fewer machines are enough for the pending and the expected
         // jobs. A machine with a task planned in this round must not be emptied. Such a machine
         // is recognized by having more tasks in the round than in the state, so this must come
         // before the commit of the assignments.
@@ -288,7 +288,8 @@
 
     /// Whether to plan the expected jobs in this round: if more than two and a half round intervals
     /// have passed since they were last planned, normally in every third round. There are many of
-    /// them, and most plans do not change from round to round.
+    /// them, and most plans do not change from round to round. If so, sets the time at which they
+    /// were last planned.
     fn is_expected_demand_due(&mut self, context: &Context) -> bool {
         let pause = context.timing.round * 5 / 2;
         let is_due = self
--- a/crates/rushwalk/src/scheduling/stragglers.rs
+++ b/crates/rushwalk/src/scheduling/stragglers.rs
@@ -28,7 +28,7 @@
 
 impl Stragglers {
     /// Stops tasks of array jobs that run much longer than predicted and can start on another
-    /// machine now. While no run time of the job on the type of the task's machine is known, the
+    /// machine now. If no run time of the job is known for the type of the task's machine, the
     /// prediction may be wrong; the task is then stopped only if the slowdown of the machine
     /// exceeds [`STRAGGLER_RATIO`]. Each restart reserves a place in the round, so that the tasks
     /// of a slow machine, which become stragglers together, are not all planned for the same
--- a/crates/rushwalk/src/scheduling/time_slices.rs
+++ b/crates/rushwalk/src/scheduling/time_slices.rs
@@ -29,8 +29,8 @@
 impl TimeSlicedPlanner {
     /// Plans the pending jobs in their order, in slices. Ends when all are planned, or when one
     /// round interval is over and at least one decision was made. The limit is a time rather than
-    /// a number of tasks: 3,000 tasks were all that waited on one fleet, but only a third of those
-    /// that waited on a fleet four times as large, where nothing was rented for the other two
+    /// a number of tasks: a limit of 3,000 tasks covered all waiting tasks of one fleet, but only a
+    /// third of those of a fleet four times as large, where nothing was rented for the other two
     /// thirds.
     pub(super) async fn plan_pending(
         &self,
--- a/crates/rushwalk/src/scheduling/usage.rs
+++ b/crates/rushwalk/src/scheduling/usage.rs
@@ -4,7 +4,7 @@
 use rushwalk_state::records::MachineTypes;
 use std::collections::BTreeMap;
 
-/// A kind of machine. The log lines are in the order of these fields.
+/// A kind of machine, in all zones. The log lines are sorted by these fields, in their order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct MachineKind {
     /// The index of the machine type among the types that the cloud offers.
