--- a/crates/rushwalk/src/capacity/boot_supervision.rs
+++ b/crates/rushwalk/src/capacity/boot_supervision.rs
@@ -54,7 +54,8 @@
     boot_times: BootTimeEstimator,
     /// Machines that were abandoned recently: they remain samples after their deletion.
     abandoned: Vec<AbandonedBoot>,
-    /// Trials that began less than a nominal boot time ago.
+    /// Trials. Those that began at least a nominal boot time ago are removed when new trials of
+    /// their group are considered.
     trials: Vec<Trial>,
 }
 
--- a/crates/rushwalk/src/capacity/inventory.rs
+++ b/crates/rushwalk/src/capacity/inventory.rs
@@ -20,8 +20,8 @@
 /// At most one in this many calls to the cloud may be for the machine list.
 const CALLS_PER_LIST_CALL: f64 = 10.0;
 
-/// A machine can come from a rental although it seems to have been created before the request, by
-/// at most this many milliseconds in addition to the clock skew.
+/// A machine can come from a rental although it seems to have been created before the request. The
+/// difference is at most this many milliseconds plus the clock skew.
 const AGE_TOLERANCE_MS: UnixMillis = 2000;
 
 /// Reads the machine types and the machine list periodically while this process leads.
@@ -99,7 +99,7 @@
     }
 
     /// Reads the machine list and commits which machines are to be deleted: those that have
-    /// failed, and those that are neither in the cluster state nor can come from an open rental.
+    /// failed, and those that are not in the cluster state and can't come from an open rental.
     async fn reconcile_list(&self) {
         let listed = match self.list().await {
             Ok(listed) => listed,
--- a/crates/rushwalk/src/capacity/machines.rs
+++ b/crates/rushwalk/src/capacity/machines.rs
@@ -127,17 +127,17 @@
 
     /// The machine kinds that may be rented now, and how many of each.
     fn rentable(&self, rentals: &mut RentalState) -> Vec<RentableCapacity> {
-        let in_zones = self.zone_counts();
+        let zone_counts = self.zone_counts();
         let owned = self.state.machines_by_kind();
         let requested = self.requested_by_kind();
         let mut rentable = Vec::new();
         for (type_index, machine_type) in self.types.types.iter().enumerate() {
             for zone_name in &machine_type.zones {
-                let in_zone = in_zones
+                let counts = zone_counts
                     .get(zone_name.as_str())
                     .copied()
                     .unwrap_or_default();
-                if in_zone.is_partitioned() {
+                if counts.is_partitioned() {
                     continue;
                 }
                 let Some(zone) = self.zones.iter().position(|z| **z == **zone_name) else {
@@ -155,7 +155,7 @@
                     if available > 0 {
                         rentable.push(RentableCapacity {
                             machine: self.rentable_machine(type_index, zone, spot),
-                            owned_in_zone: in_zone.machines,
+                            owned_in_zone: counts.machines,
                             available,
                             used: 0,
                         });
--- a/crates/rushwalk/src/capacity/rentals.rs
+++ b/crates/rushwalk/src/capacity/rentals.rs
@@ -190,8 +190,8 @@
         let outcome = match self.parts.cloud.rent(&rent).await {
             Ok(outcome) => outcome,
             Err(error) => {
-                // The cloud may have carried the request out, unless it was not sent. While the
-                // rental is open, the request is sent again with the same id.
+                // If the request was sent, the cloud may have carried it out. While the rental is
+                // open, the request is sent again with the same id.
                 tracing::info!(
                     rental = &**rental,
                     %error,
--- a/crates/rushwalk/src/capacity/scale_in.rs
+++ b/crates/rushwalk/src/capacity/scale_in.rs
@@ -16,7 +16,7 @@
 /// services are moved to other machines.
 const MAX_EMPTIED: usize = 64;
 
-/// Machines whose most used resource is used by this share or more are not worth emptying.
+/// Machines whose most used resource is in use to this share or more are not worth emptying.
 const MAX_USED_SHARE: f64 = 0.7;
 
 /// Services that started less than this many milliseconds ago are not moved: a start that is
@@ -30,8 +30,8 @@
 /// How long a machine of unknown type may be idle before it is drained, in seconds.
 const DEFAULT_IDLE_S: f64 = 60.0;
 
-/// The pause after a failed attempt to empty machines, and after a move of services before the next
-/// one, as a share of the shortest nominal boot time of any type.
+/// The pause after a failed attempt to empty machines, and between two moves of services, as a
+/// share of the shortest nominal boot time of any type.
 const PAUSE_BOOT_SHARE: f64 = 0.3;
 
 /// Upper limit of the shortest nominal boot time to which [`PAUSE_BOOT_SHARE`] applies, in seconds.
@@ -116,9 +116,9 @@
         }
     }
 
-    /// Selects machines that may be drained and cordons them in the round, in ascending order of
-    /// used share per price. The caller drains them if the round can place all pending and
-    /// expected jobs without them, and reports whether it can to [`ScaleIn::record_trial`].
+    /// Selects machines that may be drained, in ascending order of used share per price, and
+    /// cordons them in the round. The caller plans the expected jobs without them, drains them if
+    /// this trial succeeds, and reports the result to [`ScaleIn::record_trial`].
     ///
     /// Batch tasks stay on a drained machine until they end. Services are planned on other
     /// machines that already have their images, and only one machine with services is emptied at
@@ -164,8 +164,8 @@
         emptied
     }
 
-    /// Records whether the jobs could be placed without the emptied machines, and adapts the size
-    /// of the next attempt.
+    /// Records whether the trial without the emptied machines succeeded, and adapts the size of
+    /// the next attempt.
     pub(crate) fn record_trial(&mut self, succeeded: bool) {
         if succeeded {
             self.batch = (self.batch * 2).min(MAX_EMPTIED);
@@ -236,9 +236,9 @@
     true
 }
 
-/// A machine's services, as pending jobs. `None` if the machine must not be emptied: it runs a
-/// task of a gang, whose tasks are not moved, or a service that has not run for long enough, or a
-/// task that is to stop or whose job is not active.
+/// A machine's services, as pending jobs. `None` if the machine must not be emptied, because one
+/// of its tasks belongs to a gang, is a service that has not run for long enough, is to stop, or
+/// belongs to a job that is not active. Tasks of gangs are not moved.
 fn services_to_move(
     state: &ClusterState,
     machine: &MachineState,
--- a/crates/rushwalk/src/capacity/scale_out.rs
+++ b/crates/rushwalk/src/capacity/scale_out.rs
@@ -43,8 +43,8 @@
 
 impl ScaleOut {
     /// Decides rentals for the shortfall, limited to the calls that can be made until the next
-    /// round, less those in flight. The time until the next round is taken to be the round
-    /// interval or, if that is longer, the duration `took` of this round.
+    /// round, less those in flight. The time until the next round is taken to be the longer of
+    /// the round interval and the duration `took` of this round.
     ///
     /// Without that limit, requests waited in a queue, many of them for kinds that had been
     /// refused meanwhile, and delayed the requests that were needed by then.
--- a/crates/rushwalk/src/capacity/scarcity.rs
+++ b/crates/rushwalk/src/capacity/scarcity.rs
@@ -80,9 +80,9 @@
         .collect()
 }
 
-/// How much more a job's tasks would cost without a machine type: the lowest cost of a task among
-/// the kinds that are not exhausted, divided by its cost on this type. It is limited to the range
-/// from `1 / MAX_LOSS` to `MAX_LOSS`, and 1 for a type that the job can't use.
+/// The factor by which a job's tasks would cost more without a machine type: the lowest cost of a
+/// task among the kinds that are not exhausted, divided by its cost on this type. It is limited to
+/// the range from `1 / MAX_LOSS` to `MAX_LOSS`, and 1 for a type that the job can't use.
 fn losses(
     spec: &JobSpec,
     types: &MachineTypes,
--- a/crates/rushwalk/src/capacity/shard_allocation.rs
+++ b/crates/rushwalk/src/capacity/shard_allocation.rs
@@ -6,7 +6,7 @@
 use rushwalk_state::ClusterState;
 use std::collections::{BTreeSet, HashMap};
 
-/// The maximum number of machines in a shard is this number divided by that of controllers.
+/// The maximum number of machines in a shard is this divided by the number of controllers.
 const SHARD_SIZE_TIMES_CONTROLLERS: usize = 768;
 
 /// Clusters with fewer controllers than this have the same maximum shard size as one with this
@@ -20,7 +20,7 @@
 
 /// Maximum number of machines in a shard. It is large enough that few leases cover the fleet, and
 /// small enough that the machines of a failed controller can be divided among the others. More
-/// controllers need more shards to divide, so it shrinks with their number.
+/// controllers need more shards to divide, so the maximum decreases as their number grows.
 fn max_shard_size(controllers: usize) -> usize {
     (SHARD_SIZE_TIMES_CONTROLLERS / controllers.max(MIN_CONTROLLERS)).max(MIN_SHARD_SIZE)
 }
