--- a/crates/state/src/cluster_state.rs
+++ b/crates/state/src/cluster_state.rs
@@ -73,10 +73,10 @@
 pub struct TaskState {
     /// The replicated record of the task.
     pub record: TaskRecord,
-    /// Whether the task had to wait for its image to be fetched. `None` if fetch rate and
-    /// start overhead can't be learnt from the time until the task started: another task on
-    /// the machine may have been fetching at the same time, or the placement was read from a
-    /// snapshot. `None` also before the placement.
+    /// Whether the task had to wait for its image to be fetched. `None` before the placement,
+    /// and if neither fetch rate nor start overhead can be learnt from the time until the task
+    /// started: another task on the machine may have been fetching at the same time, or the
+    /// placement was read from a snapshot.
     cold_start: Option<bool>,
 }
 
@@ -197,8 +197,8 @@
     pub jobs_with_tasks: BTreeSet<JobId>,
     /// Tasks that are assigned to a shard but not yet placed by its owner.
     pub unplaced: BTreeSet<TaskId>,
-    /// Machines on which a task was added, removed or requested to stop since the process
-    /// last took the machines out of this set to examine them; after a listing, all machines.
+    /// Machines that this process has yet to examine, since a task on them was added, removed
+    /// or requested to stop; after a listing, all machines.
     pub changed_machines: BTreeSet<MachineId>,
     /// The latest arrivals of each class, ordered by time of acceptance.
     pub arrivals: SeededMap<String, VecDeque<Arrival>>,
--- a/crates/state/src/cluster_state/apply.rs
+++ b/crates/state/src/cluster_state/apply.rs
@@ -8,7 +8,8 @@
 impl ClusterState {
     /// Applies a mutation of the log entry that was committed at `revision`. A mutation
     /// whose preconditions no longer hold has no effect; of a list of tasks or machines,
-    /// those whose preconditions no longer hold are skipped.
+    /// those whose preconditions no longer hold are skipped. A gang, however, is assigned
+    /// only if all tasks of the mutation can be assigned.
     ///
     /// `now_ms` affects only statistics that are local to this process.
     pub fn apply(&mut self, mutation: Mutation, revision: Revision, now_ms: UnixMillis) {
--- a/crates/state/src/cluster_state/jobs.rs
+++ b/crates/state/src/cluster_state/jobs.rs
@@ -27,8 +27,8 @@
         }
     }
 
-    /// Records that a task of the job was observed running. The first such task counts the job
-    /// as started.
+    /// Records that a task of the job was observed running. The job is counted as started with
+    /// the first such task.
     pub(super) fn mark_started(&mut self, counts: &mut ServiceCounts) {
         if !std::mem::replace(&mut self.started, true) {
             counts.update(&self.spec, |counts| counts.started += 1);
--- a/crates/state/src/cluster_state/queries.rs
+++ b/crates/state/src/cluster_state/queries.rs
@@ -40,7 +40,7 @@
 }
 
 impl ClusterState {
-    /// The ID of an image. Every image of a job that was applied or of a machine has one. For
+    /// The ID of an image. Every image of a job in [`Self::jobs`] or of a machine has one. For
     /// any other image this returns the next free ID without assigning it. IDs have no gaps,
     /// since they are used as table indexes.
     pub fn image_id(&self, name: &str) -> ImageId {
--- a/crates/state/src/cluster_state/replication.rs
+++ b/crates/state/src/cluster_state/replication.rs
@@ -18,8 +18,8 @@
 #[error("the snapshot was replaced during the listing")]
 pub struct SnapshotReplaced;
 
-/// A watch response begins after the revision that a replica has reached, so the changes
-/// between the two revisions are missing.
+/// The changes in a watch response begin after a revision that the replica has not reached
+/// yet, so the changes up to that revision are missing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("watch response begins after revision {since}, but the replica is at {reached}")]
 pub struct WatchGap {
@@ -43,7 +43,7 @@
         revision: Revision,
         now_ms: UnixMillis,
     ) -> Result<ClusterState, SnapshotReplaced> {
-        // `replace_with` substitutes the durations that the previous state has learnt.
+        // `replace_with` replaces these durations with those that the previous state has learnt.
         let mut state = ClusterState::new(DurationEstimator::new(10, 0.0));
         let mut chunks: BTreeMap<String, Value> = BTreeMap::new();
         let mut log_entries: Vec<KeyValue> = Vec::new();
@@ -189,8 +189,8 @@
         }
     }
 
-    /// Sets `has_gap` if the entry's key had another version before this write than the one
-    /// known here: an earlier entry under the same key was missed.
+    /// Sets `has_gap` if the version that the entry's key had before this write differs from
+    /// the one known here, since then an earlier entry under the same key was missed.
     fn check_for_gap(&mut self, key: &str, entry: &LogEntry) {
         let known_version = self.log_versions.get(key).copied().unwrap_or(0);
         if entry.previous_version != known_version {
--- a/crates/state/src/cluster_state/tasks.rs
+++ b/crates/state/src/cluster_state/tasks.rs
@@ -157,8 +157,9 @@
         self.link_task(task, Some(&machine));
     }
 
-    /// The machine of a placement, if the attempt is current, neither placed nor being stopped,
-    /// and the machine is active and belongs to the shard to which the task is assigned.
+    /// The machine of a placement; `None` if the placement is no longer valid. The attempt must
+    /// be current, and neither placed nor being stopped. The machine must be active and in the
+    /// shard to which the task is assigned.
     fn usable_machine(
         &self,
         id: &JobId,
