--- a/crates/rushwalk/src/capacity/scale_out.rs
+++ b/crates/rushwalk/src/capacity/scale_out.rs
@@ -116,7 +116,7 @@
     let mut found: BTreeMap<InstanceKind, Shortfall> = BTreeMap::new();
     let rentals = round.machines.iter().enumerate().skip(round.first_rental);
     for (index, machine) in rentals {
-        let name = types.types[machine.group].name.as_str();
+        let name = types.types[machine.type_index].name.as_str();
         let zone = round.zones[machine.zone].clone();
         let shortfall = found
             .entry(InstanceKind::new(name, zone, machine.spot))
--- a/crates/rushwalk/src/scheduler_inputs.rs
+++ b/crates/rushwalk/src/scheduler_inputs.rs
@@ -119,11 +119,11 @@
     ) -> Option<MachineTimeline> {
         let record = &machine.record;
         let zone = self.zones.iter().position(|zone| *zone == record.zone)?;
-        let group = self.types.position(&record.machine_type)?;
-        let machine_type = &self.types.types[group];
+        let type_index = self.types.position(&record.machine_type)?;
+        let machine_type = &self.types.types[type_index];
         let name: Arc<str> = id.clone().into();
         let mut timeline =
-            MachineTimeline::new(name, group, machine_type, zone, record.spot, ready_s);
+            MachineTimeline::new(name, type_index, machine_type, zone, record.spot, ready_s);
         timeline.shard = record.shard.clone().into();
         timeline.up = record.ready_ms.is_some();
         timeline.images = machine
@@ -158,7 +158,7 @@
         if task.record.started_ms.is_some() {
             return;
         }
-        let machine_type = &self.types.types[timeline.group];
+        let machine_type = &self.types.types[timeline.type_index];
         let durations = &self.state.durations;
         let fetch_s = durations.fetch_time(
             spec.image_gb,
--- a/crates/rushwalk/src/scheduling/usage.rs
+++ b/crates/rushwalk/src/scheduling/usage.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct MachineKind {
     /// The index of the machine type among the types that the cloud offers.
-    group: usize,
+    type_index: usize,
     spot: bool,
 }
 
@@ -31,7 +31,7 @@
     let mut by_kind: BTreeMap<MachineKind, Usage> = BTreeMap::new();
     for machine in round.machines.iter() {
         let kind = MachineKind {
-            group: machine.group,
+            type_index: machine.type_index,
             spot: machine.spot,
         };
         let usage = by_kind.entry(kind).or_default();
@@ -41,8 +41,8 @@
         let free = machine.free_at(round.planned_time_s);
         usage.used += 1.0 - free.least_share_of(&machine.capacity);
     }
-    for (MachineKind { group, spot }, usage) in by_kind {
-        let kind = &types.types[group].name;
+    for (MachineKind { type_index, spot }, usage) in by_kind {
+        let kind = &types.types[type_index].name;
         let Usage {
             machines,
             ready,
--- a/crates/scheduler/src/pending_job.rs
+++ b/crates/scheduler/src/pending_job.rs
@@ -54,7 +54,7 @@
     /// Whether the job may use a machine: it is not cordoned, the job allows its type, and, if
     /// it is a spot instance, the job may run on these.
     pub(crate) fn allows_machine(&self, machine: &MachineTimeline) -> bool {
-        let estimate = self.estimates.get(machine.group);
+        let estimate = self.estimates.get(machine.type_index);
         !machine.cordoned
             && (self.spec.spot || !machine.spot)
             && estimate.is_some_and(|estimate| estimate.allowed)
@@ -74,7 +74,7 @@
 
     /// The factor on the price of a machine for this job; see [`Self::price_bias`].
     pub(crate) fn price_bias_of(&self, machine: &MachineTimeline) -> f64 {
-        let biases = self.price_bias.get(machine.group);
+        let biases = self.price_bias.get(machine.type_index);
         biases.map_or(1.0, |bias| bias[usize::from(machine.spot)])
     }
 }
--- a/crates/scheduler/src/round/rentals.rs
+++ b/crates/scheduler/src/round/rentals.rs
@@ -22,7 +22,7 @@
 
 impl RentableCapacity {
     fn is_kind_of(&self, machine: &MachineTimeline) -> bool {
-        self.machine.group == machine.group
+        self.machine.type_index == machine.type_index
             && self.machine.zone == machine.zone
             && self.machine.spot == machine.spot
     }
--- a/crates/scheduler/src/round/tests.rs
+++ b/crates/scheduler/src/round/tests.rs
@@ -76,14 +76,14 @@
     let types = machine_types();
     let mut machines = TimelineIndex::new(100.0, 40);
     for i in 0..40 {
-        let group = random(2) as usize;
+        let type_index = random(2) as usize;
         let zone = random(2) as usize;
         let ready = if random(4) == 0 { 110.0 } else { 100.0 };
         let name = format!("m-{i}");
         let mut machine = MachineTimeline::new(
             name.as_str().into(),
-            group,
-            &types[group],
+            type_index,
+            &types[type_index],
             zone,
             random(2) == 0,
             ready,
--- a/crates/scheduler/src/timeline.rs
+++ b/crates/scheduler/src/timeline.rs
@@ -17,7 +17,7 @@
     pub name: Arc<str>,
     /// Index of its machine type among the round's types. The paper "Coding the Computing
     /// Continuum", which the design follows, calls this the machine group.
-    pub group: usize,
+    pub type_index: usize,
     /// Index of its zone among the round's zones.
     pub zone: usize,
     /// Name of the shard that the machine belongs to; the machine's own name until the
@@ -134,7 +134,7 @@
     /// A machine without tasks that is not up yet and can take tasks from `ready_s` on.
     pub fn new(
         name: Arc<str>,
-        group: usize,
+        type_index: usize,
         machine_type: &MachineType,
         zone: usize,
         spot: bool,
@@ -149,7 +149,7 @@
         MachineTimeline {
             shard: name.clone(),
             name,
-            group,
+            type_index,
             zone,
             spot,
             ready_s,
@@ -266,7 +266,7 @@
         if !job.resources.fits_in(&self.capacity) {
             return None;
         }
-        let estimate = job.estimates.get(self.group)?;
+        let estimate = job.estimates.get(self.type_index)?;
         let run_s = estimate.run_s * self.slowdown;
         let from_s = now_s.max(self.ready_s);
         let recorded_s = self.image_available_s(job.image);
--- a/crates/scheduler/src/timeline_index.rs
+++ b/crates/scheduler/src/timeline_index.rs
@@ -48,7 +48,7 @@
 /// job's requirements on these properties exclude either all machines of a class or none.
 #[derive(Debug, Clone)]
 struct MachineClass {
-    group: usize,
+    type_index: usize,
     zone: usize,
     spot: bool,
     up: bool,
@@ -58,7 +58,7 @@
 impl MachineClass {
     fn of(machine: &MachineTimeline) -> MachineClass {
         MachineClass {
-            group: machine.group,
+            type_index: machine.type_index,
             zone: machine.zone,
             spot: machine.spot,
             up: machine.up,
@@ -67,7 +67,7 @@
     }
 
     fn contains(&self, machine: &MachineTimeline) -> bool {
-        self.group == machine.group
+        self.type_index == machine.type_index
             && self.zone == machine.zone
             && self.spot == machine.spot
             && self.up == machine.up
@@ -218,7 +218,7 @@
             free_now,
         };
         for class in &self.classes {
-            let estimate = job.estimates.get(class.group).filter(|e| e.allowed);
+            let estimate = job.estimates.get(class.type_index).filter(|e| e.allowed);
             let Some(estimate) = estimate else { continue };
             let is_excluded = (class.spot && !job.spec.spot)
                 || (free_now && !class.up)
