--- a/crates/rushwalk/src/capacity/machines.rs
+++ b/crates/rushwalk/src/capacity/machines.rs
@@ -62,7 +62,7 @@
         for request in self.state.rentals.values() {
             self.add_rental(&mut round, request);
         }
-        round.first_rental = round.machines.len();
+        round.first_planned_rental = round.machines.len();
         round
     }
 
--- a/crates/rushwalk/src/capacity/scale_out.rs
+++ b/crates/rushwalk/src/capacity/scale_out.rs
@@ -114,7 +114,11 @@
     for_pending: usize,
 ) -> BTreeMap<InstanceKind, Shortfall> {
     let mut found: BTreeMap<InstanceKind, Shortfall> = BTreeMap::new();
-    let rentals = round.machines.iter().enumerate().skip(round.first_rental);
+    let rentals = round
+        .machines
+        .iter()
+        .enumerate()
+        .skip(round.first_planned_rental);
     for (index, machine) in rentals {
         let name = types.types[machine.type_index].name.as_str();
         let zone = round.zones[machine.zone].clone();
--- a/crates/rushwalk/src/scheduler_inputs.rs
+++ b/crates/rushwalk/src/scheduler_inputs.rs
@@ -51,7 +51,7 @@
         teams: &context.settings.site.teams,
         usage: QuotaUsage::default(),
         tie_s: context.timing.tie.as_secs_f64(),
-        first_rental: usize::MAX,
+        first_planned_rental: usize::MAX,
         evaluations: Default::default(),
     }
 }
--- a/crates/rushwalk/src/scheduling/scheduler.rs
+++ b/crates/rushwalk/src/scheduling/scheduler.rs
@@ -327,7 +327,7 @@
         now_ms: UnixMillis,
     ) -> Vec<MachineId> {
         let _timer = self.parts.work_profile.start(WorkKind::ScaleOut);
-        if round.machines.len() > round.first_rental {
+        if round.machines.len() > round.first_planned_rental {
             return Vec::new();
         }
         let state = self.parts.replica.state();
@@ -355,7 +355,8 @@
         // wait than with all machines.
         let tasks: usize = expected.iter().map(|e| e.job.tasks.len()).sum();
         let max_waiting = self.waiting_on_full_fleet + tasks / WAITING_TOLERANCE_DIVISOR;
-        let is_enough = round.machines.len() == round.first_rental && waiting <= max_waiting;
+        let is_enough =
+            round.machines.len() == round.first_planned_rental && waiting <= max_waiting;
         self.scale_in.record_trial(is_enough);
         if is_enough {
             return emptied;
--- a/crates/scheduler/src/round.rs
+++ b/crates/scheduler/src/round.rs
@@ -39,8 +39,8 @@
     pub current_time_s: f64,
     /// Names of all zones; [`crate::timeline::MachineTimeline::zone`] is an index into them.
     pub zones: Vec<Arc<str>>,
-    /// Machines that are up, booting or already being rented. From [`Self::first_rental`] on:
-    /// machines that this round plans to rent.
+    /// Machines that are up, booting or already being rented. From
+    /// [`Self::first_planned_rental`] on: machines that this round plans to rent.
     pub machines: TimelineIndex,
     /// The kinds of machines that may be rented.
     pub rentable: Vec<RentableCapacity>,
@@ -52,7 +52,7 @@
     /// bucket count as equal; then the cheaper and fuller machine is preferred.
     pub tie_s: f64,
     /// Machines from this index on are rentals planned in this round.
-    pub first_rental: usize,
+    pub first_planned_rental: usize,
     /// Number of machine evaluations since the last call of [`Self::take_evaluations`]: a
     /// measure of the cost of planning.
     pub evaluations: Cell<usize>,
--- a/crates/scheduler/src/round/rentals.rs
+++ b/crates/scheduler/src/round/rentals.rs
@@ -137,7 +137,7 @@
         for rentable in &mut self.rentable {
             rentable.used = 0;
         }
-        for machine in machines.iter().skip(self.first_rental) {
+        for machine in machines.iter().skip(self.first_planned_rental) {
             if let Some(rentable) = self.rentable_kind(machine) {
                 rentable.used += 1;
             }
--- a/crates/scheduler/src/round/tests.rs
+++ b/crates/scheduler/src/round/tests.rs
@@ -105,7 +105,7 @@
     SchedulingRound {
         planned_time_s: 100.0,
         current_time_s: 100.0,
-        first_rental: machines.len(),
+        first_planned_rental: machines.len(),
         zones: vec!["east".into(), "west".into()],
         machines,
         rentable: Vec::new(),
@@ -133,7 +133,7 @@
         machine.reserve(capacity, 100.0, 110.0 + i as f64);
         machines.push(machine);
     }
-    full.first_rental = machines.len();
+    full.first_planned_rental = machines.len();
     full.machines = machines;
     let job = PendingJob {
         tasks: vec![0],
@@ -165,7 +165,7 @@
         let capacity = machine.capacity;
         machine.reserve(capacity, 100.0, 120.0);
         round.machines.push(machine);
-        round.first_rental = 1;
+        round.first_planned_rental = 1;
         let rental = MachineTimeline::new("".into(), 0, &types[0], 0, false, 130.0);
         round.rentable = vec![RentableCapacity {
             machine: rental,
@@ -208,7 +208,7 @@
             machine.up = true;
             round.machines.push(machine);
         }
-        round.first_rental = 2;
+        round.first_planned_rental = 2;
         round.rentable = vec![RentableCapacity {
             machine: MachineTimeline::new("".into(), 0, &types[0], 0, false, 100.0 + boot_s),
             owned_in_zone: 2,
