--- a/crates/rushwalk/src/capacity/machines.rs
+++ b/crates/rushwalk/src/capacity/machines.rs
@@ -157,7 +157,7 @@
                             machine: self.rentable_machine(type_index, zone, spot),
                             owned_in_zone: counts.machines,
                             available,
-                            used: 0,
+                            planned: 0,
                         });
                     }
                 }
--- a/crates/scheduler/src/round/rentals.rs
+++ b/crates/scheduler/src/round/rentals.rs
@@ -17,7 +17,7 @@
     pub available: u32,
     /// Number of machines of this kind that the round plans to rent; never above
     /// `available`.
-    pub used: u32,
+    pub planned: u32,
 }
 
 impl RentableCapacity {
@@ -61,7 +61,7 @@
             let machine = &rentable.machine;
             let is_open = zone.is_none_or(|zone| zone == machine.zone)
                 && job.allows_zone(&self.zones[machine.zone]);
-            let is_available = rentable.used < rentable.available;
+            let is_available = rentable.planned < rentable.available;
             if !is_open || !is_available || !job.allows_machine(machine) {
                 continue;
             }
@@ -85,7 +85,7 @@
     fn planned_rentals_by_zone(&self) -> Vec<usize> {
         let mut planned = vec![0; self.zones.len()];
         for rentable in &self.rentable {
-            planned[rentable.machine.zone] += rentable.used as usize;
+            planned[rentable.machine.zone] += rentable.planned as usize;
         }
         planned
     }
@@ -113,7 +113,7 @@
     pub(super) fn plan_rental(&mut self, index: usize, job: &PendingJob) -> Option<MachineChoice> {
         let rentable = &mut self.rentable[index];
         let finish = rentable.machine.predict(job, self.planned_time_s)?;
-        rentable.used += 1;
+        rentable.planned += 1;
         self.machines.push(rentable.machine.clone());
         Some(MachineChoice {
             machine: self.machines.len() - 1,
@@ -135,11 +135,11 @@
     /// this copy again.
     pub fn restore(&mut self, machines: TimelineIndex) {
         for rentable in &mut self.rentable {
-            rentable.used = 0;
+            rentable.planned = 0;
         }
         for machine in machines.iter().skip(self.first_planned_rental) {
             if let Some(rentable) = self.rentable_kind(machine) {
-                rentable.used += 1;
+                rentable.planned += 1;
             }
         }
         self.machines = machines;
--- a/crates/scheduler/src/round/tests.rs
+++ b/crates/scheduler/src/round/tests.rs
@@ -171,7 +171,7 @@
             machine: rental,
             owned_in_zone: 0,
             available: 9,
-            used: 0,
+            planned: 0,
         }];
         let mut job = pending_job(1, 1.0, 60.0, false);
         let mut spec = (*job.spec).clone();
@@ -213,7 +213,7 @@
             machine: MachineTimeline::new("".into(), 0, &types[0], 0, false, 100.0 + boot_s),
             owned_in_zone: 2,
             available: 9,
-            used: 0,
+            planned: 0,
         }];
         let mut gang = pending_job(1, 2.0, run_s, false);
         let mut spec = (*gang.spec).clone();
--- a/crates/scheduler/src/round/trial.rs
+++ b/crates/scheduler/src/round/trial.rs
@@ -182,7 +182,7 @@
         for index in plan.machines_before..self.machines.len() {
             let machine = self.machines[index].clone();
             if let Some(rentable) = self.rentable_kind(&machine) {
-                rentable.used -= 1;
+                rentable.planned -= 1;
             }
         }
         self.machines.truncate(plan.machines_before);
