--- a/crates/rushwalk/src/scheduler_inputs.rs
+++ b/crates/rushwalk/src/scheduler_inputs.rs
@@ -79,7 +79,7 @@
             machine_type.fetch_gb_per_s,
         ),
         boot_s: machine_type.boot_s,
-        allowed: is_usable_type(spec, machine_type),
+        usable: is_usable_type(spec, machine_type),
     });
     PendingJob {
         spec: spec.clone(),
--- a/crates/scheduler/src/pending_job.rs
+++ b/crates/scheduler/src/pending_job.rs
@@ -16,7 +16,7 @@
     /// Seconds that a new machine of this type takes to boot.
     pub boot_s: f64,
     /// Whether the job may use machines of this type, and a task fits on an empty one.
-    pub allowed: bool,
+    pub usable: bool,
 }
 
 /// A job with tasks that are not assigned to a machine.
@@ -57,7 +57,7 @@
         let estimate = self.estimates.get(machine.type_index);
         !machine.cordoned
             && (self.spec.spot || !machine.spot)
-            && estimate.is_some_and(|estimate| estimate.allowed)
+            && estimate.is_some_and(|estimate| estimate.usable)
     }
 
     /// Whether the job's next task may be placed in a zone: neither the zone that the job
--- a/crates/scheduler/src/round/tests.rs
+++ b/crates/scheduler/src/round/tests.rs
@@ -51,7 +51,7 @@
                 run_s,
                 fetch_s: 8.0,
                 boot_s: 30.0,
-                allowed: true,
+                usable: true,
             };
             2
         ],
--- a/crates/scheduler/src/timeline_index.rs
+++ b/crates/scheduler/src/timeline_index.rs
@@ -218,7 +218,7 @@
             free_now,
         };
         for class in &self.classes {
-            let estimate = job.estimates.get(class.type_index).filter(|e| e.allowed);
+            let estimate = job.estimates.get(class.type_index).filter(|e| e.usable);
             let Some(estimate) = estimate else { continue };
             let is_excluded = (class.spot && !job.spec.spot)
                 || (free_now && !class.up)
