--- a/crates/rushwalk/src/capacity/scale_out.rs
+++ b/crates/rushwalk/src/capacity/scale_out.rs
@@ -22,7 +22,7 @@
     pub began_ms: UnixMillis,
     /// The number of machines in the round after the pending jobs were planned, including those
     /// to rent for them. Machines added after these are for expected jobs only.
-    pub for_pending: usize,
+    pub machines_for_pending: usize,
 }
 
 /// Which jobs a round has planned.
@@ -82,14 +82,14 @@
         mutations
     }
 
-    /// Updates the shortfall with that of a round, in which machines from index `for_pending` on
-    /// are for expected jobs only. Expected jobs are not planned in every round, so their
-    /// shortfall is kept until they are planned again.
+    /// Updates the shortfall with that of a round, in which machines from index
+    /// `machines_for_pending` on are for expected jobs only. Expected jobs are not planned in every
+    /// round, so their shortfall is kept until they are planned again.
     pub(crate) fn update_shortfall(
         &mut self,
         round: &SchedulingRound,
         types: &MachineTypes,
-        for_pending: usize,
+        machines_for_pending: usize,
         demand: PlannedDemand,
     ) {
         for shortfall in self.shortfall.values_mut() {
@@ -98,7 +98,7 @@
                 shortfall.total = 0;
             }
         }
-        for (kind, found) in shortfall_by_kind(round, types, for_pending) {
+        for (kind, found) in shortfall_by_kind(round, types, machines_for_pending) {
             let shortfall = self.shortfall.entry(kind).or_default();
             shortfall.pending = found.pending;
             shortfall.total = shortfall.total.max(found.total);
@@ -111,7 +111,7 @@
 fn shortfall_by_kind(
     round: &SchedulingRound,
     types: &MachineTypes,
-    for_pending: usize,
+    machines_for_pending: usize,
 ) -> BTreeMap<InstanceKind, Shortfall> {
     let mut found: BTreeMap<InstanceKind, Shortfall> = BTreeMap::new();
     let rentals = round
@@ -126,7 +126,7 @@
             .entry(InstanceKind::new(name, zone, machine.spot))
             .or_default();
         shortfall.total += 1;
-        shortfall.pending += u32::from(index < for_pending);
+        shortfall.pending += u32::from(index < machines_for_pending);
     }
     found
 }
--- a/crates/rushwalk/src/scheduling/scheduler.rs
+++ b/crates/rushwalk/src/scheduling/scheduler.rs
@@ -209,7 +209,7 @@
         let basis = RentalBasis {
             leader: version,
             began_ms: now_ms,
-            for_pending: round.machines.len(),
+            machines_for_pending: round.machines.len(),
         };
         if !self.is_expected_demand_due(context) {
             mutations.extend(self.rent(context, &round, &types, basis, PlannedDemand::Pending));
@@ -312,7 +312,7 @@
     ) -> Vec<Mutation> {
         let took = Duration::from_millis(now_ms().saturating_sub(basis.began_ms));
         self.scale_out
-            .update_shortfall(round, types, basis.for_pending, demand);
+            .update_shortfall(round, types, basis.machines_for_pending, demand);
         let calls_per_s = self.parts.cloud.rate();
         self.scale_out
             .rent(context, &self.parts.tracker, calls_per_s, took, basis)
