--- a/crates/rushwalk/src/scheduling/scheduler.rs
+++ b/crates/rushwalk/src/scheduling/scheduler.rs
@@ -211,7 +211,7 @@
             began_ms: now_ms,
             machines_for_pending: round.machines.len(),
         };
-        if !self.is_expected_demand_due(context) {
+        if !self.record_expected_plan_if_due(context) {
             mutations.extend(self.rent(context, &round, &types, basis, PlannedDemand::Pending));
             return mutations;
         }
@@ -286,11 +286,11 @@
         mutations
     }
 
-    /// Whether to plan the expected jobs in this round: if more than two and a half round intervals
-    /// have passed since they were last planned, normally in every third round. There are many of
-    /// them, and most plans do not change from round to round. If so, sets the time at which they
-    /// were last planned.
-    fn is_expected_demand_due(&mut self, context: &Context) -> bool {
+    /// Sets the time at which the expected jobs were last planned, if they are to be planned in
+    /// this round, and returns whether they are: if more than two and a half round intervals have
+    /// passed since that time, normally in every third round. There are many of them, and most
+    /// plans do not change from round to round.
+    fn record_expected_plan_if_due(&mut self, context: &Context) -> bool {
         let pause = context.timing.round * 5 / 2;
         let is_due = self
             .expected_planned_at
