--- a/crates/rushwalk/src/shards/assignment/history.rs
+++ b/crates/rushwalk/src/shards/assignment/history.rs
@@ -16,7 +16,7 @@
     moved_from_unusable_owner: HashMap<ShardId, Instant>,
     /// When a pass last committed moves after it found that this shard's machines reached other
     /// controllers, but not its owner. The shard itself need not be among those moved.
-    moved_to_reachable: HashMap<ShardId, Instant>,
+    found_reachable_elsewhere: HashMap<ShardId, Instant>,
     /// When a controller was last found cut off from machines that others reached.
     owner_cut_off: HashMap<String, Instant>,
     /// When a controller was last planned to get a shard that had a working owner.
@@ -54,7 +54,7 @@
             .reachable_elsewhere
             .into_iter()
             .map(|shard| (shard, now));
-        self.moved_to_reachable.extend(reachable);
+        self.found_reachable_elsewhere.extend(reachable);
     }
 
     /// Whether moves for balance, as [`Self::last_rebalance`] defines them, were committed
@@ -74,39 +74,40 @@
         is_recent(self.last_gain.get(controller).copied(), span)
     }
 
-    /// Whether a shard was moved from an owner that was unusable, or that its machines did not
-    /// reach, so recently that the worker leases of its machines may still be running. During
-    /// that time the new owner is not considered cut off, even if it receives nothing from most
-    /// of the machines. If the previous owner received nothing either, the machines themselves
-    /// are cut off, and after another move the next owner would have to wait again for their
-    /// leases to expire.
+    /// Whether a shard was moved from an owner that was unusable, or its machines were found to
+    /// reach other controllers instead of the owner, so recently that the worker leases of its
+    /// machines may still be running. During that time the new owner is not considered cut off,
+    /// even if it receives nothing from most of the machines. If the previous owner received
+    /// nothing either, the machines themselves are cut off, and after another move the next owner
+    /// would have to wait again for their leases to expire.
     pub(super) fn moved_recently(&self, shard: &ShardId, timing: &Timing) -> bool {
         let moved = self.moved_from_unusable_owner.get(shard).copied();
-        let moved_to_reachable = self.moved_to_reachable.get(shard).copied();
+        let found_reachable_elsewhere = self.found_reachable_elsewhere.get(shard).copied();
         let span = lease_expiry_span(timing);
-        is_recent(moved, span) || is_recent(moved_to_reachable, span)
+        is_recent(moved, span) || is_recent(found_reachable_elsewhere, span)
     }
 
-    /// Whether a shard was moved to follow its machines' heartbeats so recently that it must not
-    /// be moved for that reason again. A controller that receives the heartbeats can usually
-    /// reach the machines. But machines that receive no responses send their heartbeats to all
-    /// controllers in turn. When their shard followed them from controller to controller, no
-    /// owner kept it long enough to see that the worker leases had expired. If some machines of
-    /// the shard are unreachable, the span is therefore the time for which their leases may still
-    /// be running; otherwise it is a member lease.
-    pub(super) fn moved_to_reachable_recently(
+    /// Whether a shard's machines were found to reach other controllers, but not its owner, so
+    /// recently ([`Self::found_reachable_elsewhere`]) that it must not be moved for that reason
+    /// again. A controller that receives the heartbeats can usually reach the machines. But
+    /// machines that receive no responses send their heartbeats to all controllers in turn. When
+    /// their shard followed them from controller to controller, no owner kept it long enough to
+    /// see that the worker leases had expired. If some machines of the shard are unreachable, the
+    /// span is therefore the time for which their leases may still be running; otherwise it is a
+    /// member lease.
+    pub(super) fn found_reachable_elsewhere_recently(
         &self,
         shard: &ShardId,
         has_unreachable: bool,
         timing: &Timing,
     ) -> bool {
-        let moved = self.moved_to_reachable.get(shard).copied();
+        let found = self.found_reachable_elsewhere.get(shard).copied();
         let span = if has_unreachable {
             lease_expiry_span(timing)
         } else {
             timing.member_lease
         };
-        is_recent(moved, span)
+        is_recent(found, span)
     }
 }
 
--- a/crates/rushwalk/src/shards/assignment/inputs.rs
+++ b/crates/rushwalk/src/shards/assignment/inputs.rs
@@ -53,7 +53,7 @@
     }
 
     /// The controllers that a shard's machines reach instead of its owner; empty if the owner is
-    /// not registered, or the shard was recently moved for that reason.
+    /// not registered, or the shard was recently found to be reached elsewhere.
     fn reachable_from(&self, id: &ShardId) -> Vec<&'a str> {
         let counts = self.state.shard_counts(id);
         let Some(lease) = self.valid_lease(id) else {
@@ -63,7 +63,7 @@
         let has_unreachable = counts.unreachable > 0;
         if self
             .history
-            .moved_to_reachable_recently(id, has_unreachable, timing)
+            .found_reachable_elsewhere_recently(id, has_unreachable, timing)
         {
             return Vec::new();
         }
