--- a/crates/rushwalk/src/shards/findings.rs
+++ b/crates/rushwalk/src/shards/findings.rs
@@ -50,7 +50,7 @@
     }
 
     /// Adds a spot machine that the cloud will reclaim at `reclaim_ms`.
-    pub(super) fn machine_reclaimed(&mut self, machine: &MachineId, reclaim_ms: UnixMillis) {
+    pub(super) fn reclaim_announced(&mut self, machine: &MachineId, reclaim_ms: UnixMillis) {
         self.reclaimed.push(ReclaimNotice {
             machine: machine.clone(),
             reclaim_ms,
--- a/crates/rushwalk/src/shards/outcomes.rs
+++ b/crates/rushwalk/src/shards/outcomes.rs
@@ -76,7 +76,7 @@
                 && record.reclaim_ms.is_none()
             {
                 tracing::info!(machine = &**self.id, "spot reclaim notice");
-                findings.machine_reclaimed(self.id, reclaim_ms);
+                findings.reclaim_announced(self.id, reclaim_ms);
             }
         }
         if record.ready_ms.is_some() {
