--- a/crates/rushwalk/src/observability/incidents.rs
+++ b/crates/rushwalk/src/observability/incidents.rs
@@ -65,13 +65,15 @@
     fn rounded(&self) -> Incident {
         let causes = self.causes.iter();
         Incident {
-            duration_s: tenths(self.duration_s),
-            causes: causes.map(|(cause, s)| (*cause, tenths(*s))).collect(),
+            duration_s: round_to_tenths(self.duration_s),
+            causes: causes
+                .map(|(cause, s)| (*cause, round_to_tenths(*s)))
+                .collect(),
         }
     }
 }
 
-fn tenths(seconds: f64) -> f64 {
+fn round_to_tenths(seconds: f64) -> f64 {
     (seconds * 10.0).round() / 10.0
 }
 
