--- a/crates/rushwalk/src/capacity/scale_in.rs
+++ b/crates/rushwalk/src/capacity/scale_in.rs
@@ -252,8 +252,8 @@
         let is_service = job.spec.shape == Shape::Service;
         let started_ms = record.started_ms;
         let is_established = started_ms.is_some_and(|at| now_ms > at + MIN_SERVICE_UPTIME_MS);
-        let is_open = job.phase == JobPhase::Active && record.stop_reason.is_none();
-        if !is_open || job.spec.shape == Shape::Gang || (is_service && !is_established) {
+        let is_active = job.phase == JobPhase::Active && record.stop_reason.is_none();
+        if !is_active || job.spec.shape == Shape::Gang || (is_service && !is_established) {
             return None;
         }
         if !is_service {
