--- a/crates/clients/src/workers.rs
+++ b/crates/clients/src/workers.rs
@@ -85,7 +85,8 @@
         }
     }
 
-    /// Queries the status of the worker at `to` (`IP:port`).
+    /// Queries the status of the worker at `to` (`IP:port`). The owner of a shard probes workers
+    /// without contact with this call.
     ///
     /// # Errors
     ///
--- a/crates/rushwalk/src/http/admission.rs
+++ b/crates/rushwalk/src/http/admission.rs
@@ -3,7 +3,7 @@
 //!
 //! After a restart of all controllers, all workers of the fleet connect at the same time. When
 //! all these connections were served together, each waited for all others. Responses came later
-//! than workers wait for them, so that the workers connected again. The membership lease was
+//! than workers wait for them, so that the workers connected again. The member lease was
 //! renewed too late as well, so that workers were sent to other controllers. For this reason the
 //! number of connections that are admitted in one pass of the event loop depends on how long
 //! passes take.
--- a/crates/rushwalk/src/shards/dispatch.rs
+++ b/crates/rushwalk/src/shards/dispatch.rs
@@ -1,5 +1,5 @@
 //! Calls to workers' own addresses: urgent commands, which can't wait for the response to the
-//! next heartbeat, and probes of workers without contact.
+//! next heartbeat, and probes (status queries) of workers without contact.
 
 #[cfg(test)]
 mod tests;
--- a/crates/rushwalk/src/timing.rs
+++ b/crates/rushwalk/src/timing.rs
@@ -26,8 +26,8 @@
     pub worker_lease: Duration,
     /// A machine without contact for longer than this counts as unreachable.
     pub unreachable_after: Duration,
-    /// The scheduler sorts predicted finish times into time spans of this length; times in the same
-    /// span count as equal.
+    /// The scheduler sorts predicted finish times into tie buckets of this length; times in the
+    /// same bucket count as equal.
     pub tie: Duration,
 }
 
