--- a/crates/rushwalk/src/scheduling/scheduler.rs
+++ b/crates/rushwalk/src/scheduling/scheduler.rs
@@ -34,8 +34,8 @@
 use tokio::time::Instant;
 
 /// A trial plans the expected jobs without some machines, to find out whether these are needed.
-/// In a successful trial the expected tasks that have to wait exceed those that wait with all
-/// machines by at most the number of expected tasks divided by this.
+/// It fails if, compared with all machines, the number of expected tasks that have to wait grows by
+/// more than the number of expected tasks divided by this.
 const WAITING_TOLERANCE_DIVISOR: usize = 50;
 
 /// Why jobs are pending, as of the latest scheduling round, for the administration API.
@@ -57,8 +57,8 @@
     pub context: Arc<Context>,
     /// The replica of the cluster state, with jobs and machines.
     pub replica: Arc<Replica>,
-    /// Whether this process is the leader, the only one that schedules. Commits the mutations of
-    /// a round.
+    /// Whether this process is the leader; only the leader schedules. Commits the mutations of a
+    /// round.
     pub leadership: Arc<Leadership>,
     /// The health of the other controllers, which decides whose shards accept more work.
     pub peers: Arc<PeerMonitor>,
@@ -209,13 +209,13 @@
         let basis = RentalBasis {
             leader: version,
             began_ms: now_ms,
-            for_pending: round.machines.len(),
+            machines_for_pending: round.machines.len(),
         };
-        if !self.is_expected_demand_due(context) {
+        if !self.record_expected_plan_if_due(context) {
             mutations.extend(self.rent(context, &round, &types, basis, PlannedDemand::Pending));
             return mutations;
         }
-        // Begins a trial whether fewer machines are enough for the pending and the expected
+        // Begins a trial of whether fewer machines are enough for the pending and the expected
         // jobs. A machine with a task planned in this round must not be emptied. Such a machine
         // is recognized by having more tasks in the round than in the state, so this must come
         // before the commit of the assignments.
@@ -286,10 +286,11 @@
         mutations
     }
 
-    /// Whether to plan the expected jobs in this round: if more than two and a half round intervals
-    /// have passed since they were last planned, normally in every third round. There are many of
-    /// them, and most plans do not change from round to round.
-    fn is_expected_demand_due(&mut self, context: &Context) -> bool {
+    /// Sets the time at which the expected jobs were last planned, if they are to be planned in
+    /// this round, and returns whether they are: if more than two and a half round intervals have
+    /// passed since that time, normally in every third round. There are many of them, and most
+    /// plans do not change from round to round.
+    fn record_expected_plan_if_due(&mut self, context: &Context) -> bool {
         let pause = context.timing.round * 5 / 2;
         let is_due = self
             .expected_planned_at
@@ -311,7 +312,7 @@
     ) -> Vec<Mutation> {
         let took = Duration::from_millis(now_ms().saturating_sub(basis.began_ms));
         self.scale_out
-            .update_shortfall(round, types, basis.for_pending, demand);
+            .update_shortfall(round, types, basis.machines_for_pending, demand);
         let calls_per_s = self.parts.cloud.rate();
         self.scale_out
             .rent(context, &self.parts.tracker, calls_per_s, took, basis)
@@ -326,7 +327,7 @@
         now_ms: UnixMillis,
     ) -> Vec<MachineId> {
         let _timer = self.parts.work_profile.start(WorkKind::ScaleOut);
-        if round.machines.len() > round.first_rental {
+        if round.machines.len() > round.first_planned_rental {
             return Vec::new();
         }
         let state = self.parts.replica.state();
@@ -354,7 +355,8 @@
         // wait than with all machines.
         let tasks: usize = expected.iter().map(|e| e.job.tasks.len()).sum();
         let max_waiting = self.waiting_on_full_fleet + tasks / WAITING_TOLERANCE_DIVISOR;
-        let is_enough = round.machines.len() == round.first_rental && waiting <= max_waiting;
+        let is_enough =
+            round.machines.len() == round.first_planned_rental && waiting <= max_waiting;
         self.scale_in.record_trial(is_enough);
         if is_enough {
             return emptied;
--- a/crates/scheduler/src/pending_job.rs
+++ b/crates/scheduler/src/pending_job.rs
@@ -16,7 +16,7 @@
     /// Seconds that a new machine of this type takes to boot.
     pub boot_s: f64,
     /// Whether the job may use machines of this type, and a task fits on an empty one.
-    pub allowed: bool,
+    pub usable: bool,
 }
 
 /// A job with tasks that are not assigned to a machine.
@@ -54,10 +54,10 @@
     /// Whether the job may use a machine: it is not cordoned, the job allows its type, and, if
     /// it is a spot instance, the job may run on these.
     pub(crate) fn allows_machine(&self, machine: &MachineTimeline) -> bool {
-        let estimate = self.estimates.get(machine.group);
+        let estimate = self.estimates.get(machine.type_index);
         !machine.cordoned
             && (self.spec.spot || !machine.spot)
-            && estimate.is_some_and(|estimate| estimate.allowed)
+            && estimate.is_some_and(|estimate| estimate.usable)
     }
 
     /// Whether the job's next task may be placed in a zone: neither the zone that the job
@@ -74,7 +74,7 @@
 
     /// The factor on the price of a machine for this job; see [`Self::price_bias`].
     pub(crate) fn price_bias_of(&self, machine: &MachineTimeline) -> f64 {
-        let biases = self.price_bias.get(machine.group);
+        let biases = self.price_bias.get(machine.type_index);
         biases.map_or(1.0, |bias| bias[usize::from(machine.spot)])
     }
 }
--- a/crates/scheduler/src/round/rentals.rs
+++ b/crates/scheduler/src/round/rentals.rs
@@ -17,12 +17,12 @@
     pub available: u32,
     /// Number of machines of this kind that the round plans to rent; never above
     /// `available`.
-    pub used: u32,
+    pub planned: u32,
 }
 
 impl RentableCapacity {
     fn is_kind_of(&self, machine: &MachineTimeline) -> bool {
-        self.machine.group == machine.group
+        self.machine.type_index == machine.type_index
             && self.machine.zone == machine.zone
             && self.machine.spot == machine.spot
     }
@@ -61,7 +61,7 @@
             let machine = &rentable.machine;
             let is_open = zone.is_none_or(|zone| zone == machine.zone)
                 && job.allows_zone(&self.zones[machine.zone]);
-            let is_available = rentable.used < rentable.available;
+            let is_available = rentable.planned < rentable.available;
             if !is_open || !is_available || !job.allows_machine(machine) {
                 continue;
             }
@@ -85,7 +85,7 @@
     fn planned_rentals_by_zone(&self) -> Vec<usize> {
         let mut planned = vec![0; self.zones.len()];
         for rentable in &self.rentable {
-            planned[rentable.machine.zone] += rentable.used as usize;
+            planned[rentable.machine.zone] += rentable.planned as usize;
         }
         planned
     }
@@ -93,7 +93,7 @@
     /// Whether a rented machine would have a better score than `best_score`, by more than
     /// [`Self::tie_s`].
     ///
-    /// The score is the same as for machines that already exist. With a different one, the
+    /// The score is computed in the same way as for machines that already exist. Otherwise the
     /// next round might not use a machine that this round rents, and every round would rent
     /// more.
     fn is_worth_renting(
@@ -108,12 +108,12 @@
         self.score(machine.spot, true, &job.spec, &finish) + self.tie_s < best_score
     }
 
-    /// Adds a machine of a rentable kind to the round, by its index in [`Self::rentable`], and
+    /// Adds a machine of the kind with this index in [`Self::rentable`] to the round, and
     /// returns it as the choice for a task of the job. `None` if the task can't run there.
     pub(super) fn plan_rental(&mut self, index: usize, job: &PendingJob) -> Option<MachineChoice> {
         let rentable = &mut self.rentable[index];
         let finish = rentable.machine.predict(job, self.planned_time_s)?;
-        rentable.used += 1;
+        rentable.planned += 1;
         self.machines.push(rentable.machine.clone());
         Some(MachineChoice {
             machine: self.machines.len() - 1,
@@ -131,15 +131,15 @@
             .find(|rentable| rentable.is_kind_of(machine))
     }
 
-    /// Replaces the round's machines with an earlier copy, and sets the numbers of planned
-    /// rentals to those in the copy.
+    /// Replaces the round's machines with an earlier copy, and counts the planned rentals in
+    /// this copy again.
     pub fn restore(&mut self, machines: TimelineIndex) {
         for rentable in &mut self.rentable {
-            rentable.used = 0;
+            rentable.planned = 0;
         }
-        for machine in machines.iter().skip(self.first_rental) {
+        for machine in machines.iter().skip(self.first_planned_rental) {
             if let Some(rentable) = self.rentable_kind(machine) {
-                rentable.used += 1;
+                rentable.planned += 1;
             }
         }
         self.machines = machines;
--- a/crates/scheduler/src/round/tests.rs
+++ b/crates/scheduler/src/round/tests.rs
@@ -51,7 +51,7 @@
                 run_s,
                 fetch_s: 8.0,
                 boot_s: 30.0,
-                allowed: true,
+                usable: true,
             };
             2
         ],
@@ -76,14 +76,14 @@
     let types = machine_types();
     let mut machines = TimelineIndex::new(100.0, 40);
     for i in 0..40 {
-        let group = random(2) as usize;
+        let type_index = random(2) as usize;
         let zone = random(2) as usize;
         let ready = if random(4) == 0 { 110.0 } else { 100.0 };
         let name = format!("m-{i}");
         let mut machine = MachineTimeline::new(
             name.as_str().into(),
-            group,
-            &types[group],
+            type_index,
+            &types[type_index],
             zone,
             random(2) == 0,
             ready,
@@ -105,7 +105,7 @@
     SchedulingRound {
         planned_time_s: 100.0,
         current_time_s: 100.0,
-        first_rental: machines.len(),
+        first_planned_rental: machines.len(),
         zones: vec!["east".into(), "west".into()],
         machines,
         rentable: Vec::new(),
@@ -133,7 +133,7 @@
         machine.reserve(capacity, 100.0, 110.0 + i as f64);
         machines.push(machine);
     }
-    full.first_rental = machines.len();
+    full.first_planned_rental = machines.len();
     full.machines = machines;
     let job = PendingJob {
         tasks: vec![0],
@@ -165,13 +165,13 @@
         let capacity = machine.capacity;
         machine.reserve(capacity, 100.0, 120.0);
         round.machines.push(machine);
-        round.first_rental = 1;
+        round.first_planned_rental = 1;
         let rental = MachineTimeline::new("".into(), 0, &types[0], 0, false, 130.0);
         round.rentable = vec![RentableCapacity {
             machine: rental,
             owned_in_zone: 0,
             available: 9,
-            used: 0,
+            planned: 0,
         }];
         let mut job = pending_job(1, 1.0, 60.0, false);
         let mut spec = (*job.spec).clone();
@@ -208,12 +208,12 @@
             machine.up = true;
             round.machines.push(machine);
         }
-        round.first_rental = 2;
+        round.first_planned_rental = 2;
         round.rentable = vec![RentableCapacity {
             machine: MachineTimeline::new("".into(), 0, &types[0], 0, false, 100.0 + boot_s),
             owned_in_zone: 2,
             available: 9,
-            used: 0,
+            planned: 0,
         }];
         let mut gang = pending_job(1, 2.0, run_s, false);
         let mut spec = (*gang.spec).clone();
