--- a/crates/rushwalk/src/shards/outcomes.rs
+++ b/crates/rushwalk/src/shards/outcomes.rs
@@ -129,7 +129,7 @@
     fn observe_tasks(&self, session: &mut WorkerSession, findings: &mut HeartbeatFindings) {
         self.forget_ended_attempts(session);
         let is_unreachable = self.machine.record.unreachable_since_ms.is_some();
-        let is_lost = is_unreachable && session.lease_surely_expired(self.token, self.timing);
+        let is_lost = is_unreachable && session.lease_must_have_expired(self.token, self.timing);
         for id in &self.machine.tasks {
             let Some(AssignedTask { job, task }) = self.state.task(id) else {
                 continue;
@@ -230,7 +230,8 @@
         // is moved to another machine.
         let is_unreachable = self.machine.record.unreachable_since_ms.is_some();
         let will_not_start = must_not_start || has_ended || is_unreachable;
-        will_not_start && session.proves_absence(self.token) || session.lease_expired(self.token)
+        will_not_start && session.proves_absence(self.token)
+            || session.heartbeats_show_lease_expiry(self.token)
     }
 
     fn log_start(&self, status: &TaskStatus, job: &JobState, task: &TaskState) {
--- a/crates/rushwalk/src/workers/commands.rs
+++ b/crates/rushwalk/src/workers/commands.rs
@@ -64,7 +64,7 @@
         // A task that had started and is missing was lost. It is started again only as a new
         // attempt.
         None if must_stop || task.record.started_ms.is_some() => None,
-        None if session.lease_expired(token) => None,
+        None if session.heartbeats_show_lease_expiry(token) => None,
         None if session.ended_attempts.contains(&attempt_id) => None,
         None => Some(Command::Run {
             task: id.to_string(),
--- a/crates/rushwalk/src/workers/session.rs
+++ b/crates/rushwalk/src/workers/session.rs
@@ -338,8 +338,8 @@
 
     /// Whether the worker's lease expired under `token` although its heartbeats arrive: all
     /// tasks that were on the machine before have ended. For workers without contact see
-    /// [`Self::lease_surely_expired`].
-    pub fn lease_expired(&self, token: Revision) -> bool {
+    /// [`Self::lease_must_have_expired`].
+    pub fn heartbeats_show_lease_expiry(&self, token: Revision) -> bool {
         self.expired_under_token == Some(token)
     }
 
@@ -355,7 +355,7 @@
     /// Only the ownership under `token` counts: between an earlier one and this, other
     /// controllers may have renewed the lease. When contact of an earlier ownership counted
     /// as proof, tasks behind a network partition ran twice.
-    pub fn lease_surely_expired(&self, token: Revision, timing: &Timing) -> bool {
+    pub fn lease_must_have_expired(&self, token: Revision, timing: &Timing) -> bool {
         let Some(since) = self.owned_under(token) else {
             return false;
         };
--- a/crates/rushwalk/src/workers/session/tests.rs
+++ b/crates/rushwalk/src/workers/session/tests.rs
@@ -32,29 +32,29 @@
     let timing = timing();
     let mut session = WorkerSession::default();
     assert!(
-        !session.lease_surely_expired(7, &timing),
+        !session.lease_must_have_expired(7, &timing),
         "the shard was never owned"
     );
     session.owned = owned_since(7, Instant::now());
     advance(timing.worker_lease + 2 * SECOND).await;
     assert!(
-        !session.lease_surely_expired(7, &timing),
+        !session.lease_must_have_expired(7, &timing),
         "a previous owner may have renewed the lease"
     );
     advance(timing.lease_validity).await;
-    assert!(session.lease_surely_expired(7, &timing));
+    assert!(session.lease_must_have_expired(7, &timing));
     assert!(
-        !session.lease_surely_expired(8, &timing),
+        !session.lease_must_have_expired(8, &timing),
         "other controllers owned the shard in between"
     );
     session.record_response(&heartbeat(0, 0), true, 7, None);
     advance(timing.worker_lease).await;
     assert!(
-        !session.lease_surely_expired(7, &timing),
+        !session.lease_must_have_expired(7, &timing),
         "the worker's clock may be slower"
     );
     advance(SECOND).await;
-    assert!(session.lease_surely_expired(7, &timing));
+    assert!(session.lease_must_have_expired(7, &timing));
 }
 
 /// A machine that receives no responses has lost its tasks once the validity of the previous
@@ -70,18 +70,24 @@
     session.record_response(&heartbeat(5, 3), true, 7, None);
     advance(wait).await;
     assert!(!session.receive(&heartbeat(5, 3), 7, &timing));
-    assert!(!session.lease_expired(7), "the heartbeat is a copy");
+    assert!(
+        !session.heartbeats_show_lease_expiry(7),
+        "the heartbeat is a copy"
+    );
     session.record_response(&heartbeat(5, 3), false, 7, None);
     session.receive(&heartbeat(6, 3), 7, &timing);
     assert!(
-        !session.lease_expired(7),
+        !session.heartbeats_show_lease_expiry(7),
         "the response to the copy may have been received"
     );
     advance(lease + SECOND).await;
     session.receive(&heartbeat(7, 3), 7, &timing);
-    assert!(session.lease_expired(7));
+    assert!(session.heartbeats_show_lease_expiry(7));
     session.receive(&heartbeat(8, 7), 7, &timing);
-    assert!(!session.lease_expired(7), "the worker has seen the token");
+    assert!(
+        !session.heartbeats_show_lease_expiry(7),
+        "the worker has seen the token"
+    );
 }
 
 #[tokio::test(start_paused = true)]
@@ -93,7 +99,7 @@
     advance(validity + lease / 2).await;
     session.receive(&heartbeat(5, 3), 7, &timing);
     assert!(
-        !session.lease_expired(7),
+        !session.heartbeats_show_lease_expiry(7),
         "a previous owner may have renewed the lease"
     );
     session.record_response(&heartbeat(5, 3), true, 7, None);
@@ -103,7 +109,7 @@
     session.owned = owned_since(9, Instant::now() - wait);
     session.receive(&heartbeat(7, 7), 9, &timing);
     assert!(
-        !session.lease_expired(9),
+        !session.heartbeats_show_lease_expiry(9),
         "the lease was renewed under an earlier token of this owner"
     );
     session.record_response(&heartbeat(7, 7), true, 9, None);
@@ -113,10 +119,13 @@
         session: 1,
     });
     session.receive(&heartbeat(8, 7), 9, &timing);
-    assert!(!session.lease_expired(9), "a start is unresolved");
+    assert!(
+        !session.heartbeats_show_lease_expiry(9),
+        "a start is unresolved"
+    );
     session.unresolved_start = None;
     session.receive(&heartbeat(9, 7), 9, &timing);
-    assert!(session.lease_expired(9));
+    assert!(session.heartbeats_show_lease_expiry(9));
 }
 
 /// An owner that gets a shard back still has the sessions of its earlier ownership. Their old
