--- a/crates/failure-detector/src/reachability.rs
+++ b/crates/failure-detector/src/reachability.rs
@@ -14,8 +14,8 @@
 /// The time within which a worker finds the new owner of its shard, in heartbeat intervals.
 const DISCOVERY_INTERVALS: f64 = 0.5;
 
-/// Inbound loss is assumed only after this fraction of a heartbeat interval without any
-/// heartbeat from a shard.
+/// The owner counts as receiving no heartbeats only after this fraction of a heartbeat interval
+/// without any heartbeat from a shard.
 const MIN_SILENCE_INTERVALS: f64 = 1.0 / 8.0;
 
 /// The time after which the next heartbeat of a worker is overdue, in seconds of the same clock as
@@ -53,7 +53,7 @@
 impl ShardReception {
     /// Whether heartbeats of the shard do not reach the owner: enough machines are overdue, and
     /// no heartbeat at all has arrived for an eighth of a heartbeat interval.
-    pub fn has_inbound_loss(&self, heartbeat_s: f64) -> bool {
+    pub fn owner_receives_no_heartbeats(&self, heartbeat_s: f64) -> bool {
         self.machines > 0
             && self.overdue >= evidence_threshold(self.machines)
             && self.contact_age_s > heartbeat_s * MIN_SILENCE_INTERVALS
--- a/crates/failure-detector/src/reachability/tests.rs
+++ b/crates/failure-detector/src/reachability/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-fn has_inbound_loss_of(
+fn receives_no_heartbeats(
     machines: usize,
     overdue: usize,
     contact_age_s: f64,
@@ -13,7 +13,7 @@
         overdue,
         contact_age_s,
     };
-    reception.has_inbound_loss(heartbeat_s)
+    reception.owner_receives_no_heartbeats(heartbeat_s)
 }
 
 #[test]
@@ -24,14 +24,14 @@
         .map(|_| next_heartbeat_due_s(Some(0.5), 0.0, heartbeat))
         .collect();
     let overdue = |now: f64| due.iter().filter(|at| **at < now).count();
-    assert!(!has_inbound_loss_of(20, overdue(9.0), 8.5, heartbeat));
-    assert!(has_inbound_loss_of(20, overdue(11.0), 10.5, heartbeat));
+    assert!(!receives_no_heartbeats(20, overdue(9.0), 8.5, heartbeat));
+    assert!(receives_no_heartbeats(20, overdue(11.0), 10.5, heartbeat));
     // Many workers are overdue, but heartbeats of others still arrive.
-    assert!(!has_inbound_loss_of(200, 60, 0.1, heartbeat));
-    assert!(has_inbound_loss_of(200, 12, 1.5, heartbeat));
+    assert!(!receives_no_heartbeats(200, 60, 0.1, heartbeat));
+    assert!(receives_no_heartbeats(200, 12, 1.5, heartbeat));
     // Workers get more time to find a new owner.
     assert_eq!(next_heartbeat_due_s(Some(3.0), 100.0, heartbeat), 114.0);
-    assert!(!has_inbound_loss_of(0, 0, 100.0, heartbeat));
+    assert!(!receives_no_heartbeats(0, 0, 100.0, heartbeat));
     assert_eq!([1, 4, 30, 256].map(evidence_threshold), [1, 3, 3, 16]);
 }
 
--- a/crates/rushwalk/src/workers/registry.rs
+++ b/crates/rushwalk/src/workers/registry.rs
@@ -87,7 +87,7 @@
 
     /// Names of the owned shards whose heartbeats do not reach this process: enough of their
     /// machines are overdue, and none has been in contact for an eighth of a heartbeat interval
-    /// (see [`ShardReception::has_inbound_loss`]).
+    /// (see [`ShardReception::owner_receives_no_heartbeats`]).
     pub fn unreachable_shards(
         &self,
         state: &ClusterState,
@@ -115,7 +115,7 @@
     }
 
     /// Whether the heartbeats of a shard that is owned since `since` do not reach this process,
-    /// see [`ShardReception::has_inbound_loss`].
+    /// see [`ShardReception::owner_receives_no_heartbeats`].
     fn is_unreachable(
         &self,
         state: &ClusterState,
@@ -136,7 +136,7 @@
             overdue: machines,
             contact_age_s,
         };
-        if !reception.has_inbound_loss(heartbeat_s) {
+        if !reception.owner_receives_no_heartbeats(heartbeat_s) {
             return false;
         }
         let in_shard = state.shards.get(shard).into_iter().flatten();
@@ -145,7 +145,7 @@
                 && self.is_overdue(sessions, machine, since)
         });
         reception.overdue = overdue.count();
-        reception.has_inbound_loss(heartbeat_s)
+        reception.owner_receives_no_heartbeats(heartbeat_s)
     }
 
     /// Whether the heartbeat of a machine is overdue. `since` is when this process came to own
