--- a/crates/rushwalk/src/shards/findings.rs
+++ b/crates/rushwalk/src/shards/findings.rs
@@ -23,7 +23,7 @@
     ready: Vec<MachineAddress>,
     unreachable: Vec<MachineId>,
     reachable: Vec<MachineId>,
-    reclaimed: Vec<ReclaimNotice>,
+    reclaim_notices: Vec<ReclaimNotice>,
     /// Indices of started tasks.
     started: BTreeMap<JobAttempt, Vec<u32>>,
     /// Indices of ended tasks.
@@ -51,7 +51,7 @@
 
     /// Adds a spot machine that the cloud will reclaim at `reclaim_ms`.
     pub(super) fn reclaim_announced(&mut self, machine: &MachineId, reclaim_ms: UnixMillis) {
-        self.reclaimed.push(ReclaimNotice {
+        self.reclaim_notices.push(ReclaimNotice {
             machine: machine.clone(),
             reclaim_ms,
         });
@@ -75,8 +75,8 @@
 
     /// Converts the findings to mutations, all with the time `now_ms`.
     pub(super) fn into_mutations(self, now_ms: UnixMillis) -> Vec<Mutation> {
-        let reclaimed = self.reclaimed.into_iter();
-        let mut mutations: Vec<Mutation> = reclaimed.map(Mutation::ReclaimNotice).collect();
+        let reclaim_notices = self.reclaim_notices.into_iter();
+        let mut mutations: Vec<Mutation> = reclaim_notices.map(Mutation::ReclaimNotice).collect();
         mutations.extend(in_batches(&self.ready, |machines| {
             Mutation::MachinesReady(MachinesReady {
                 ready_ms: now_ms,
