--- a/crates/rushwalk/src/shards/assignment/history.rs
+++ b/crates/rushwalk/src/shards/assignment/history.rs
@@ -80,7 +80,11 @@
     /// even if it receives nothing from most of the machines. If the previous owner received
     /// nothing either, the machines themselves are cut off, and after another move the next owner
     /// would have to wait again for their leases to expire.
-    pub(super) fn moved_recently(&self, shard: &ShardId, timing: &Timing) -> bool {
+    pub(super) fn moved_or_reachable_elsewhere_recently(
+        &self,
+        shard: &ShardId,
+        timing: &Timing,
+    ) -> bool {
         let moved = self.moved_from_unusable_owner.get(shard).copied();
         let found_reachable_elsewhere = self.found_reachable_elsewhere.get(shard).copied();
         let span = lease_expiry_span(timing);
--- a/crates/rushwalk/src/shards/assignment/inputs.rs
+++ b/crates/rushwalk/src/shards/assignment/inputs.rs
@@ -82,8 +82,10 @@
         let lease = self.valid_lease(id);
         let counts = self.state.shard_counts(id);
         let timing = &self.parts.context.timing;
-        let moved_recently = self.history.moved_recently(id, timing);
-        let looks_cut_off = lease.is_some() && !moved_recently && counts.mostly_unreachable();
+        let moved_or_elsewhere = self
+            .history
+            .moved_or_reachable_elsewhere_recently(id, timing);
+        let looks_cut_off = lease.is_some() && !moved_or_elsewhere && counts.mostly_unreachable();
         let position = |name: &str| candidate_names.binary_search(&name).ok();
         ShardStatus {
             zone: id.zone(),
