--- a/crates/rushwalk/src/leadership/leader.rs
+++ b/crates/rushwalk/src/leadership/leader.rs
@@ -129,7 +129,7 @@
 
     /// The version of the leader key if this process may make new decisions: it is the leader,
     /// and none of its commits has an unknown outcome and may still be carried out.
-    pub fn version_to_act(&self) -> Option<LeaderVersion> {
+    pub fn version_for_new_decisions(&self) -> Option<LeaderVersion> {
         let version = self.current_version();
         version.filter(|_| !self.has_unresolved_commit())
     }
@@ -153,7 +153,7 @@
 
     /// Time since this process last became the leader, also if it no longer is; `None` if it
     /// never did.
-    pub fn leading_for(&self) -> Option<Duration> {
+    pub fn since_last_acquired(&self) -> Option<Duration> {
         self.own_state.lock().since.map(|since| since.elapsed())
     }
 
@@ -243,7 +243,7 @@
 
     /// Records the outcome of a commit of this leader; returns whether the commit was carried out.
     /// After an unknown outcome, no new decisions are made until the leader key has been rewritten
-    /// (see [`Leadership::version_to_act`]).
+    /// (see [`Leadership::version_for_new_decisions`]).
     pub(super) fn record_outcome(&self, outcome: &CommitOutcome) -> bool {
         match outcome {
             CommitOutcome::Committed(_) => true,
--- a/crates/rushwalk/src/scheduling/scheduler.rs
+++ b/crates/rushwalk/src/scheduling/scheduler.rs
@@ -123,7 +123,7 @@
         let leadership = self.parts.leadership.clone();
         loop {
             let started = Instant::now();
-            if let Some(version) = leadership.version_to_act() {
+            if let Some(version) = leadership.version_for_new_decisions() {
                 self.make_round(&context, version).await;
                 leadership.record_round();
             }
@@ -182,8 +182,8 @@
             .update(state, types, &zones, now_ms, heartbeat_s);
         // The state of a new leader may lack what the owners of shards are about to commit, for
         // instance that a machine is ready.
-        let leading_for = self.parts.leadership.leading_for();
-        if leading_for.is_none_or(|leading| leading <= timing.unreachable_after) {
+        let since_acquired = self.parts.leadership.since_last_acquired();
+        if since_acquired.is_none_or(|elapsed| elapsed <= timing.unreachable_after) {
             return BTreeSet::new();
         }
         let jobs_wait = !self.parts.pending_reasons.by_job().is_empty();
--- a/crates/rushwalk/src/shards/assignment.rs
+++ b/crates/rushwalk/src/shards/assignment.rs
@@ -71,7 +71,7 @@
         let round = self.parts.context.timing.round;
         loop {
             sleep(round / PASSES_PER_ROUND).await;
-            let Some(version) = self.parts.leadership.version_to_act() else {
+            let Some(version) = self.parts.leadership.version_for_new_decisions() else {
                 continue;
             };
             let Some(moves) = self.plan(version) else {
