--- a/crates/clients/src/workers.rs
+++ b/crates/clients/src/workers.rs
@@ -92,7 +92,7 @@
     ///
     /// [`Error::NotSent`] if `to` is not a valid address, or if the limit on status queries in
     /// flight allows no call within the timeout; otherwise the errors of [`HttpClient::json`].
-    pub async fn heartbeat(&self, to: &str, timeout: Duration) -> Result<Heartbeat, Error> {
+    pub async fn query_status(&self, to: &str, timeout: Duration) -> Result<Heartbeat, Error> {
         let address = parse_address(to)?;
         let permit = acquire_permit(&self.status_permits, timeout).await?;
         let request = Request {
--- a/crates/clients/src/workers/tests.rs
+++ b/crates/clients/src/workers/tests.rs
@@ -44,7 +44,7 @@
     let queries: Vec<_> = (0..100)
         .map(|_| {
             let workers = workers.clone();
-            tokio::spawn(async move { workers.heartbeat("10.0.0.1:9000", timeout).await })
+            tokio::spawn(async move { workers.query_status("10.0.0.1:9000", timeout).await })
         })
         .collect();
     tokio::time::sleep(Duration::from_secs(1)).await;
--- a/crates/rushwalk/src/shards/dispatch.rs
+++ b/crates/rushwalk/src/shards/dispatch.rs
@@ -204,12 +204,12 @@
         }
     }
 
-    /// Asks a worker for a heartbeat, and sends it this owner's fencing token if it has only
+    /// Queries the status of a worker, and sends it this owner's fencing token if it has only
     /// seen a lower one. A worker that still sends heartbeats to a previous owner then ignores
     /// that owner's responses.
     async fn probe(self, call: WorkerCall) {
         let timeout = self.context.timing.round * 2;
-        let mut result = self.client.heartbeat(&call.address, timeout).await;
+        let mut result = self.client.query_status(&call.address, timeout).await;
         let token = {
             let state = self.replica.state();
             self.replica.fencing_token(&state, &call.shard)
