--- a/crates/rushwalk/src/capacity/scale_in.rs
+++ b/crates/rushwalk/src/capacity/scale_in.rs
@@ -30,7 +30,7 @@
 /// How long a machine of unknown type may be idle before it is drained, in seconds.
 const DEFAULT_IDLE_S: f64 = 60.0;
 
-/// The pause after a failed attempt to empty machines, and between two moves of services, as a
+/// The pause after a failed trial of emptying machines, and between two moves of services, as a
 /// share of the shortest nominal boot time of any type.
 const PAUSE_BOOT_SHARE: f64 = 0.3;
 
@@ -45,10 +45,10 @@
     idle_since: HashMap<MachineId, Instant>,
     /// When a machine with services was last emptied; `None` if none was.
     last_service_move: Option<Instant>,
-    /// How many machines the next attempt may empty: doubled after a successful attempt, halved
+    /// How many machines the next trial may empty: doubled after a successful trial, halved
     /// after a failed one, and at least 1.
     batch: usize,
-    /// When an attempt last failed because the jobs did not fit on the other machines; `None` if
+    /// When a trial last failed because the jobs did not fit on the other machines; `None` if
     /// none has.
     last_failure: Option<Instant>,
 }
@@ -130,7 +130,7 @@
         types: &MachineTypes,
         now_ms: UnixMillis,
     ) -> Vec<MachineId> {
-        let pause = pause_after_attempt(types);
+        let pause = pause_after_trial(types);
         let is_recent = |at: Option<Instant>| at.is_some_and(|at| at.elapsed() < pause);
         if is_recent(self.last_failure) {
             return Vec::new();
@@ -165,7 +165,7 @@
     }
 
     /// Records whether the trial without the emptied machines succeeded, and adapts the size of
-    /// the next attempt.
+    /// the next trial.
     pub(crate) fn record_trial(&mut self, succeeded: bool) {
         if succeeded {
             self.batch = (self.batch * 2).min(MAX_EMPTIED);
@@ -183,8 +183,8 @@
         .map_or(DEFAULT_IDLE_S, |t| IDLE_BOOT_SHARE * t.boot_s)
 }
 
-/// The minimum time from a failed attempt to the next one, and between two moves of services.
-fn pause_after_attempt(types: &MachineTypes) -> Duration {
+/// The minimum time from a failed trial to the next one, and between two moves of services.
+fn pause_after_trial(types: &MachineTypes) -> Duration {
     let boot_times = types.types.iter().map(|t| t.boot_s);
     let shortest_s = boot_times.fold(MAX_SHORTEST_BOOT_S, f64::min);
     Duration::from_secs_f64(PAUSE_BOOT_SHARE * shortest_s)
