--- a/crates/scheduler/src/timeline.rs
+++ b/crates/scheduler/src/timeline.rs
@@ -35,8 +35,8 @@
     /// Resources of the machine without any task.
     pub capacity: Resources,
     /// Images that the machine has or is fetching, each with the time at which it is
-    /// available. When images that were still to be fetched counted as present, tasks were
-    /// assigned to machines that were still booting, and waited for these boots.
+    /// available. When a fetch that was still in progress counted as finished, tasks were assigned
+    /// to machines that were still booting, and waited for their boots.
     pub images: Vec<MachineImage>,
     /// Price per hour; the spot price for a spot instance if its type has one.
     pub price: f64,
