--- a/crates/simulator/src/cluster.rs
+++ b/crates/simulator/src/cluster.rs
@@ -4,7 +4,7 @@
 mod requests;
 
 pub use jobs::{JobShape, job, job_with};
-pub use requests::{JobResponse, query_all_controllers, request};
+pub use requests::{JobResponse, request, send_requests_to_all_controllers};
 
 use crate::inspect;
 use poem::endpoint::{BoxEndpoint, EndpointExt};
--- a/crates/simulator/src/cluster/requests.rs
+++ b/crates/simulator/src/cluster/requests.rs
@@ -80,7 +80,11 @@
 /// Sends four requests about a job to each controller within milliseconds: three queries, and a
 /// repeated submission. The checker verifies that no response reports an older phase than a
 /// response that had arrived before its request was sent.
-pub async fn query_all_controllers(platform: &Arc<SimulatedPlatform>, job: &str, body: &str) {
+pub async fn send_requests_to_all_controllers(
+    platform: &Arc<SimulatedPlatform>,
+    job: &str,
+    body: &str,
+) {
     let mut requests = JoinSet::new();
     for repetition in 0..4 {
         for controller in 0..platform.controller_count() {
--- a/crates/simulator/src/fault_search/users.rs
+++ b/crates/simulator/src/fault_search/users.rs
@@ -1,7 +1,7 @@
 //! Simulated users. Each submits one job, queries its status and may cancel it.
 
 use super::{CONTROLLERS, SUBMISSIONS_END_S};
-use crate::cluster::{JobResponse, job, query_all_controllers, request};
+use crate::cluster::{JobResponse, job, request, send_requests_to_all_controllers};
 use rand::RngExt;
 use rand::rngs::SmallRng;
 use rushwalk::observable::Observable;
@@ -34,9 +34,9 @@
     run_time_s: f64,
     /// Seconds from the job's acceptance to its cancellation; `None` if none is planned.
     cancel_after_s: Option<f64>,
-    /// Whether the user queries all controllers within milliseconds, once after the job's
-    /// acceptance and once in its final phase.
-    queries_all_controllers: bool,
+    /// Whether the user sends several requests to all controllers within milliseconds, once after
+    /// the job's acceptance and once in its final phase.
+    sends_requests_to_all_controllers: bool,
 }
 
 impl UserPlan {
@@ -52,7 +52,7 @@
             gpus: if shape == "gang" { 4.0 } else { 1.0 },
             run_time_s: [8.0, 20.0, 50.0][random.random_range(0..3)],
             cancel_after_s: cancels.then(|| random.random_range(0.0..120.0)),
-            queries_all_controllers: random.random_range(0..3) == 0,
+            sends_requests_to_all_controllers: random.random_range(0..3) == 0,
         }
     }
 
@@ -177,8 +177,8 @@
             return;
         }
         self.reported_phases.set(&plan.job, None);
-        if plan.queries_all_controllers {
-            query_all_controllers(&self.platform, &plan.job, &body).await;
+        if plan.sends_requests_to_all_controllers {
+            send_requests_to_all_controllers(&self.platform, &plan.job, &body).await;
         }
         self.poll_job(&mut balancer, &body).await;
     }
@@ -224,7 +224,7 @@
     /// Seconds from the acceptance until the job is to be cancelled; `None` if no cancellation
     /// is planned, or once a cancellation request has got a response with the job's phase.
     cancel_after_s: Option<f64>,
-    /// Whether all controllers have been queried about the final phase.
+    /// Whether the requests in the final phase have been sent to all controllers.
     final_phase_queried: bool,
     /// The latest value of the cancel signal that this user has seen.
     seen_signal: usize,
@@ -261,13 +261,13 @@
         }
     }
 
-    /// Queries all controllers about the final phase if that is planned; only the first call
+    /// Sends requests to all controllers in the final phase if that is planned; only the first call
     /// has an effect.
     async fn query_final_phase(&mut self, body: &str) {
         let plan = &self.user.plan;
-        if plan.queries_all_controllers && !self.final_phase_queried {
+        if plan.sends_requests_to_all_controllers && !self.final_phase_queried {
             self.final_phase_queried = true;
-            query_all_controllers(&self.user.platform, &plan.job, body).await;
+            send_requests_to_all_controllers(&self.user.platform, &plan.job, body).await;
         }
     }
 
--- a/crates/simulator/tests/observed_faults/consistency.rs
+++ b/crates/simulator/tests/observed_faults/consistency.rs
@@ -4,7 +4,7 @@
 use crate::sleep_ms;
 use rushwalk::controller::Controller;
 use rushwalk_protocol::jobs::StatusPhase;
-use rushwalk_simulator::cluster::{job, query_all_controllers, request};
+use rushwalk_simulator::cluster::{job, request, send_requests_to_all_controllers};
 use rushwalk_simulator::{ClusterConfig, SimulatedCluster, inspect};
 use rushwalk_testkit::{Fault, Request};
 use std::time::Duration;
@@ -65,9 +65,9 @@
             assert!(matches!(status, None | Some(404 | 429 | 503)), "{other:?}");
         }
     }
-    query_all_controllers(&platform, &id, &body).await;
+    send_requests_to_all_controllers(&platform, &id, &body).await;
     cluster.cancel(&id).await;
-    query_all_controllers(&platform, &id, &body).await;
+    send_requests_to_all_controllers(&platform, &id, &body).await;
 }
 
 /// Users query all controllers many times within milliseconds, and repeat the submission, right
@@ -89,13 +89,13 @@
             number += 1;
             let id = cluster.submit(number, "sweep", 1, 1.0, 3.0).await;
             let body = job(&id, "sweep", 1, 1.0, 3.0);
-            query_all_controllers(&cluster.platform, &id, &body).await;
+            send_requests_to_all_controllers(&cluster.platform, &id, &body).await;
             for cancel_after_ms in [0, 2, 40] {
                 number += 1;
                 submit_and_cancel_concurrently(&mut cluster, number, cancel_after_ms).await;
             }
             cluster.wait_until_done(std::slice::from_ref(&id), 60).await;
-            query_all_controllers(&cluster.platform, &id, &body).await;
+            send_requests_to_all_controllers(&cluster.platform, &id, &body).await;
         }
         cluster.platform.clear(Fault::StoreSlow);
         cluster.platform.clear(Fault::CommitResponsesLost);
@@ -207,7 +207,7 @@
         cluster.run_for(15).await;
         cluster.cancel(&service).await;
         let body = job(&array, "sweep", 4, 1.0, 12.0);
-        query_all_controllers(&cluster.platform, &array, &body).await;
+        send_requests_to_all_controllers(&cluster.platform, &array, &body).await;
         cluster
             .wait_until_done(&[array.clone(), gang.clone()], 90)
             .await;
@@ -267,7 +267,7 @@
             sleep_ms(number % 6 * 60).await;
             let kind = [Request::Cancel, Request::Query, Request::Submit][number as usize % 3];
             request(&platform, number as usize % 3, kind, &id, &spec).await;
-            query_all_controllers(&platform, &id, &spec).await;
+            send_requests_to_all_controllers(&platform, &id, &spec).await;
         });
     }
     cluster.run_for(10).await;
--- a/crates/simulator/tests/observed_faults/failover.rs
+++ b/crates/simulator/tests/observed_faults/failover.rs
@@ -3,7 +3,7 @@
 use crate::common::small_cluster;
 use crate::sleep_ms;
 use rushwalk_protocol::jobs::StatusPhase;
-use rushwalk_simulator::cluster::{job, query_all_controllers, request};
+use rushwalk_simulator::cluster::{job, request, send_requests_to_all_controllers};
 use rushwalk_simulator::{ClusterConfig, SimulatedCluster, inspect};
 use rushwalk_testkit::{Fault, Request};
 use std::time::Duration;
@@ -191,7 +191,7 @@
             cluster.platform.clear(Fault::StoreOutage);
             let id = &jobs[jobs.len() - 1];
             let body = job(id, "sweep", 2, 1.0, 15.0);
-            query_all_controllers(&cluster.platform, id, &body).await;
+            send_requests_to_all_controllers(&cluster.platform, id, &body).await;
             cluster.run_for(5).await;
         }
         cluster.declare_faults_ended();
