--- a/crates/simulator/src/cluster.rs
+++ b/crates/simulator/src/cluster.rs
@@ -3,7 +3,7 @@
 mod jobs;
 mod requests;
 
-pub use jobs::{JobShape, job, job_with};
+pub use jobs::{JobProperties, job, job_with};
 pub use requests::{JobResponse, request, send_requests_to_all_controllers};
 
 use crate::inspect;
--- a/crates/simulator/src/cluster/requests.rs
+++ b/crates/simulator/src/cluster/requests.rs
@@ -2,7 +2,7 @@
 //! about jobs.
 
 use super::SimulatedCluster;
-use super::jobs::{JobShape, job_with};
+use super::jobs::{JobProperties, job_with};
 use rushwalk_protocol::jobs::{JobSpec, JobStatus, StatusPhase};
 use rushwalk_testkit::platform::HttpResponse;
 use rushwalk_testkit::{Request, SimulatedPlatform};
@@ -152,13 +152,13 @@
         fields: Value,
     ) -> String {
         let id = format!("j-{number:06}");
-        let shape = JobShape {
+        let properties = JobProperties {
             shape,
             tasks,
             gpus,
             seconds,
         };
-        let body = job_with(&id, shape, fields);
+        let body = job_with(&id, properties, fields);
         self.register_job(&id, &body);
         let response = self.request_until_final(Request::Submit, &id, &body).await;
         assert!(response.is_success(), "{id}: {}", response.status);
--- a/crates/simulator/tests/observed_faults/validation.rs
+++ b/crates/simulator/tests/observed_faults/validation.rs
@@ -1,7 +1,7 @@
 //! Rejection of submissions that are malformed or can never run.
 
 use rushwalk_protocol::jobs::StatusPhase;
-use rushwalk_simulator::cluster::{JobShape, job_with, request};
+use rushwalk_simulator::cluster::{JobProperties, job_with, request};
 use rushwalk_simulator::{ClusterConfig, SimulatedCluster, inspect};
 use rushwalk_testkit::Request;
 use serde_json::{Value, json};
@@ -19,7 +19,7 @@
 
 /// The body that submits a gang, with some fields changed or added.
 fn submission(fields: Value) -> String {
-    let gang = JobShape {
+    let gang = JobProperties {
         shape: "gang",
         tasks: 4,
         gpus: 1.0,
