--- a/crates/rushwalk/src/scheduling/usage.rs
+++ b/crates/rushwalk/src/scheduling/usage.rs
@@ -4,15 +4,16 @@
 use rushwalk_state::records::MachineTypes;
 use std::collections::BTreeMap;
 
-/// A kind of machine, in all zones. The log lines are sorted by these fields, in their order.
+/// Machines of one type, either spot or on-demand, in all zones. The log lines are sorted by these
+/// fields, in their order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct MachineKind {
+struct UsageGroup {
     /// The index of the machine type among the types that the cloud offers.
     type_index: usize,
     spot: bool,
 }
 
-/// The usage of all machines of one kind.
+/// The usage of all machines of one group.
 #[derive(Default)]
 struct Usage {
     machines: usize,
@@ -23,25 +24,25 @@
     used: f64,
 }
 
-/// Logs the usage of the machines by kind, at debug level.
+/// Logs the usage of the machines by group, at debug level.
 pub(super) fn log_usage(round: &SchedulingRound, types: &MachineTypes) {
     if !tracing::enabled!(tracing::Level::DEBUG) {
         return;
     }
-    let mut by_kind: BTreeMap<MachineKind, Usage> = BTreeMap::new();
+    let mut by_group: BTreeMap<UsageGroup, Usage> = BTreeMap::new();
     for machine in round.machines.iter() {
-        let kind = MachineKind {
+        let group = UsageGroup {
             type_index: machine.type_index,
             spot: machine.spot,
         };
-        let usage = by_kind.entry(kind).or_default();
+        let usage = by_group.entry(group).or_default();
         usage.machines += 1;
         usage.ready += usize::from(machine.up);
         usage.idle += usize::from(machine.tasks == 0);
         let free = machine.free_at(round.planned_time_s);
         usage.used += 1.0 - free.least_share_of(&machine.capacity);
     }
-    for (MachineKind { type_index, spot }, usage) in by_kind {
+    for (UsageGroup { type_index, spot }, usage) in by_group {
         let kind = &types.types[type_index].name;
         let Usage {
             machines,
