--- a/crates/simulator/src/cluster/requests.rs
+++ b/crates/simulator/src/cluster/requests.rs
@@ -2,7 +2,7 @@
 //! about jobs.
 
 use super::SimulatedCluster;
-use super::jobs::{JobShape, job_with};
+use super::jobs::{JobProperties, job_with};
 use rushwalk_protocol::jobs::{JobSpec, JobStatus, StatusPhase};
 use rushwalk_testkit::platform::HttpResponse;
 use rushwalk_testkit::{Request, SimulatedPlatform};
@@ -80,7 +80,11 @@
 /// Sends four requests about a job to each controller within milliseconds: three queries, and a
 /// repeated submission. The checker verifies that no response reports an older phase than a
 /// response that had arrived before its request was sent.
-pub async fn query_all_controllers(platform: &Arc<SimulatedPlatform>, job: &str, body: &str) {
+pub async fn send_requests_to_all_controllers(
+    platform: &Arc<SimulatedPlatform>,
+    job: &str,
+    body: &str,
+) {
     let mut requests = JoinSet::new();
     for repetition in 0..4 {
         for controller in 0..platform.controller_count() {
@@ -148,13 +152,13 @@
         fields: Value,
     ) -> String {
         let id = format!("j-{number:06}");
-        let shape = JobShape {
+        let properties = JobProperties {
             shape,
             tasks,
             gpus,
             seconds,
         };
-        let body = job_with(&id, shape, fields);
+        let body = job_with(&id, properties, fields);
         self.register_job(&id, &body);
         let response = self.request_until_final(Request::Submit, &id, &body).await;
         assert!(response.is_success(), "{id}: {}", response.status);
